--- a/src/main/java/dockshed/Rehearsal.java
+++ b/src/main/java/dockshed/ArchiveTraining.java
@@ -19,11 +19,11 @@
  * build runs it to learn which classes a broker needs, so that the JVM can keep them ready: half of a start was spent
  * on reading them.
  */
-final class Rehearsal {
+final class ArchiveTraining {
     private static final String SESSION = "0000000000000001";
     private static final int PATIENCE = 20_000;
 
-    private Rehearsal() {}
+    private ArchiveTraining() {}
 
     /** Plays it with a configuration whose {@code EDGE_PORT} is put in; throws where no session came to play. */
     static void play(Path template) throws IOException {
--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -9,7 +9,7 @@
  * worths are per second. {@code now} never goes backwards. The module keeps no thread and reads no clock: it must be
  * called from one thread at a time, and acts only inside a call, through the {@code Actions} it was built with.
  *
- * <p>The caller owes it: {@link #members} with the last known list first of all; each event once, in the order in
+ * <p>The caller owes it: {@link #serversChanged} with the last known list first of all; each event once, in the order in
  * which it happened; {@link #timer} at or after each time asked for. The module promises: exactly one final answer to
  * each request (a set-up that plays, {@code refuse} or {@code fail}), never two attempts of a request out at once, and
  * the same actions for the same settings, seed and events.
@@ -36,15 +36,15 @@
     }
 
     /** DELIVERED: share of the rate that arrives; RUNG: in force; LINK, UPLINK: what is asked over what it gives. */
-    enum Topic {
+    enum Metric {
         DELIVERED,
-        RUNG,
+        RENDITION,
         LINK,
         UPLINK
     }
 
     /** What a list of servers is: only what changed, all there is, or all as it was last known before a restart. */
-    enum Scope {
+    enum ListScope {
         CHANGES,
         SNAPSHOT,
         DISK,
@@ -86,8 +86,8 @@
     }
 
     /** A kind of server and the streams that it runs at most. */
-    record Kind(String name, int streams) {
-        public Kind {
+    record ServerKind(String name, int streams) {
+        public ServerKind {
             require(streams > 0, "kind_slots of kind " + name);
         }
     }
@@ -122,11 +122,17 @@
 
     /** What the caller can do and how long things take. {@code tell} 0: no notes of topics LINK and UPLINK. */
     record Limits(
-            int attempts, boolean probing, boolean peers, long connectTimeout, long maxComeBack, long see, long tell) {
+            int attempts,
+            boolean probing,
+            boolean peers,
+            long connectTimeout,
+            long maxRetryAfter,
+            long reportDelay,
+            long reportInterval) {
         public Limits {
             require(attempts > 0, "try_limit");
             require(
-                    connectTimeout >= 0 && maxComeBack >= 0 && see >= 0 && tell >= 0,
+                    connectTimeout >= 0 && maxRetryAfter >= 0 && reportDelay >= 0 && reportInterval >= 0,
                     "connect_timeout, max_retry_after, see or reports_every");
         }
     }
@@ -134,26 +140,28 @@
     /** The figures of the rules. {@code countedOver} 0: attempts are not rationed. */
     record Rules(
             long drainGrace,
-            double coldFrom,
+            double coldStartShare,
             long warmUp,
-            double tipMultiple,
-            long fall,
-            int spareAttempts,
-            double extraRatio,
-            long countedOver) {
+            double overloadMultiple,
+            long overloadWindow,
+            int spareRetries,
+            double retryRatio,
+            long retryWindow) {
         public Rules {
             require(
-                    drainGrace >= 0 && warmUp >= 0 && fall >= 0 && countedOver >= 0,
+                    drainGrace >= 0 && warmUp >= 0 && overloadWindow >= 0 && retryWindow >= 0,
                     "drain_grace, warm_up, fall or counted_over");
-            require(coldFrom >= 0 && coldFrom <= 1, "cold_from");
+            require(coldStartShare >= 0 && coldStartShare <= 1, "cold_from");
             require(
-                    tipMultiple >= 0 && spareAttempts >= 0 && extraRatio >= 0,
+                    overloadMultiple >= 0 && spareRetries >= 0 && retryRatio >= 0,
                     "tip_multiple, spare_attempts or extra_ratio");
         }
 
         /** The part of its rate that a server gives which started then; 1 once it must be warm. */
         public double warmth(long now, long since) {
-            return now - since >= warmUp ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, now - since) / (double) warmUp;
+            return now - since >= warmUp
+                    ? 1
+                    : coldStartShare + (1 - coldStartShare) * Math.max(0, now - since) / (double) warmUp;
         }
 
         /** Of the chance at most with which a cold server's window may hold more than it bears, the logarithm. */
@@ -163,7 +171,7 @@
          * The mean of set-ups in a window of a cold server's fall, of many senders who decide for themselves, that exceeds a
          * budget by over 2 x its root + 2 with the chance 1e-5 at most; by Chernoff's bound, so for any of them.
          */
-        public static double borne(double budget) {
+        public static double maxMeanSetUps(double budget) {
             double over = Math.floor(budget + 2 * Math.sqrt(budget) + 2) + 1;
             double low = 0;
             double high = over;
@@ -184,21 +192,21 @@
 
     /** All that a director is handed at its start. {@code reportFields} names the values of a load report in order. */
     record Settings(
-            int me,
-            int balancers,
+            int brokerNumber,
+            int brokers,
             String zone,
             List<SessionClass> classes,
-            List<Kind> kinds,
+            List<ServerKind> kinds,
             Ladder ladder,
             Limits limits,
             Rules rules,
             Prices prices,
-            List<Field> reportFields) {
+            List<ReportField> reportFields) {
         public Settings {
             classes = List.copyOf(classes);
             kinds = List.copyOf(kinds);
             reportFields = List.copyOf(reportFields);
-            require(balancers > 0 && me >= 0 && me < balancers, "me or balancers");
+            require(brokers > 0 && brokerNumber >= 0 && brokerNumber < brokers, "me or balancers");
             require(!classes.isEmpty(), "classes");
             for (SessionClass c : classes) {
                 require(c.floor() < ladder.rates().size(), "lowest_rung of class " + c.name());
@@ -207,17 +215,17 @@
 
         /** The streams that a server of the kind runs; one that is not told of runs what every kind does. */
         public int streams(String kind) {
-            int least = kinds.stream().mapToInt(Kind::streams).min().orElse(1);
+            int least = kinds.stream().mapToInt(ServerKind::streams).min().orElse(1);
             return kinds.stream()
                     .filter(k -> k.name().equals(kind))
-                    .mapToInt(Kind::streams)
+                    .mapToInt(ServerKind::streams)
                     .findFirst()
                     .orElse(least);
         }
     }
 
     /** A value of a load report; OTHER is one that the module has no use for. */
-    enum Field {
+    enum ReportField {
         STREAMS,
         LINK,
         UPLINK,
@@ -236,14 +244,14 @@
             String className,
             String viewer,
             String title,
-            long patience,
-            long length,
-            int home,
+            long clientDeadline,
+            long expectedDuration,
+            int homeCell,
             int copies,
-            int top,
+            int highestRendition,
             boolean retry,
-            boolean moved,
-            boolean back) {}
+            boolean afterMove,
+            boolean afterRefusal) {}
 
     /** Values of a server's load report in the order of {@link Settings#reportFields}; empty when none came. */
     record LoadReport(List<Double> values) {
@@ -258,29 +266,29 @@
     void request(long now, Request request);
 
     /** A session that plays already when the director starts. */
-    void open(long now, Request request, String server);
+    void adoptSession(long now, Request request, String server);
 
     /** The viewer watches: the attempt has become a session. */
-    void first(long now, String request, int attempt, String server);
+    void sessionStarted(long now, String request, int attempt, String server);
 
     /** An attempt or session is over; {@code last}: nothing more is owed to the viewer. */
     void outcome(
             long now, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report);
 
     /** A figure about a playing session and its server. */
-    void note(long now, String request, String server, Topic topic, double value);
+    void metricReceived(long now, String request, String server, Metric topic, double value);
 
     /** The viewer has left before an answer: nothing more is owed. */
-    void gone(long now, String request);
+    void requestCancelled(long now, String request);
 
     /** News of the servers. */
-    void members(long now, Scope scope, List<Server> servers);
+    void serversChanged(long now, ListScope scope, List<Server> servers);
 
     /** Answer to a {@link Actions#probe}. */
     void probed(long now, String server, boolean healthy, LoadReport report);
 
     /** A message from another director. */
-    void told(long now, int from, byte[] message);
+    void peerMessageReceived(long now, int from, byte[] message);
 
     /** A time that was asked for has come. */
     void timer(long now, String key);
@@ -300,7 +308,7 @@
         void fail(String request);
 
         /** Set the session's rung. */
-        void rate(String request, int rung);
+        void setRendition(String request, int rung);
 
         /** Take the session off its server; the viewer comes back as a new request. */
         void move(String request);
@@ -309,13 +317,13 @@
         void probe(String server);
 
         /** Message to every other director. */
-        void tell(byte[] message);
+        void broadcast(byte[] message);
 
         /** Ask for {@link Director#timer} at a time. */
         void timer(String key, long at);
 
         /** Whether a further attempt for a request is within what all further attempts together may be. */
-        default boolean mayTryAgain() {
+        default boolean mayRetry() {
             return true;
         }
 
@@ -325,17 +333,17 @@
         }
 
         /** The part of a server's headroom that this director's newcomers may take, of 1; negative: nobody shares it out. */
-        default double newcomers() {
+        default double newSessionShare() {
             return -1;
         }
 
         /** Whether somebody is just finding out about the server: what can go elsewhere need not go there. */
-        default boolean shunned(String server) {
+        default boolean shouldAvoid(String server) {
             return false;
         }
 
         /** What a viewer's way back is told in: microseconds, whole multiples of which reach it. */
-        default long comeBackUnit(String request) {
+        default long retryAfterUnit(String request) {
             return 1000;
         }
     }
--- a/src/main/java/dockshed/Main.java
+++ b/src/main/java/dockshed/Main.java
@@ -22,7 +22,7 @@
         }
         if (mode.equals("rehearse") && args.length == 2) {
             try {
-                Rehearsal.play(Path.of(args[1]));
+                ArchiveTraining.play(Path.of(args[1]));
                 System.exit(0);
             } catch (Exception e) {
                 System.err.println("dockshed: not rehearsed: " + e);
--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -1,6 +1,6 @@
 package dockshed;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
 import dockshed.choice.Choice;
@@ -71,7 +71,7 @@
     private Origins origins;
     private HlsFront hlsFront;
     private Map<String, Listing> boxes = Map.of();
-    private Scope last;
+    private ListScope last;
 
     private Wiring(Config config, OperatorConfig operator, Net net) {
         this.config = config;
@@ -82,9 +82,9 @@
         Director.Settings s = config.settings();
         fleet = operator.fleet() == null || !config.fleet()
                 ? null
-                : new FleetHost(operator.fleet(), s.me(), config.peers(), clock, config.seed() ^ FLEET_SEED);
+                : new FleetHost(operator.fleet(), s.brokerNumber(), config.peers(), clock, config.seed() ^ FLEET_SEED);
         rolloutConfig = operator.rollout();
-        rollout = fleet == null || rolloutConfig == null ? null : rollout(s.me());
+        rollout = fleet == null || rolloutConfig == null ? null : rollout(s.brokerNumber());
         // From the broker inwards: the fleet's admission filter, the storm part, the module.
         Function<Director.Actions, Director> module = actions -> new Choice(s, config.seed(), actions);
         Function<Director.Actions, Director> damped = operator.storm() == null
@@ -111,13 +111,13 @@
                 new Edges.Terms(
                         s.limits().connectTimeout(),
                         config.idleClose(),
-                        s.limits().tell(),
-                        s.limits().see(),
+                        s.limits().reportInterval(),
+                        s.limits().reportDelay(),
                         config.reportFields(),
                         config.lines()),
                 fleet == null || !operator.fleet().healthProbes()
                         ? Finder.ALONE
-                        : new FleetHealthProber(s.me(), fleet::snapshot, fleet::offer, admission[0]::avoid));
+                        : new FleetHealthProber(s.brokerNumber(), fleet::snapshot, fleet::offer, admission[0]::avoid));
         rtsp = new RtspFront(broker, edges, clock, deadlines, config.viewers());
     }
 
@@ -153,7 +153,7 @@
             w.fleet.start(config.peerListen());
             LOG.info(
                     "fleet part on: me={} of={} {}",
-                    config.settings().me(),
+                    config.settings().brokerNumber(),
                     config.peers().size(),
                     operator.fleet());
         } else if (operator.fleet() != null) {
@@ -267,15 +267,15 @@
         hlsFront = new HlsFront(
                 broker, origins, clock, deadlines, s, hls.idle(), config.sockets() / 6, config.seed() ^ 0x5eed);
         if (!hls.servers().isEmpty()) {
-            boxes(Scope.DISK, hls.servers());
+            boxes(ListScope.DISK, hls.servers());
         }
         if (hls.eureka() != null) {
-            new EurekaClient(hls.eureka(), net, clock, deadlines, list -> boxes(Scope.SNAPSHOT, list)).start();
+            new EurekaClient(hls.eureka(), net, clock, deadlines, list -> boxes(ListScope.SNAPSHOT, list)).start();
         }
     }
 
     /** The lesson boxes as HLS servers. */
-    private void boxes(Scope scope, List<Listing> list) {
+    private void boxes(ListScope scope, List<Listing> list) {
         Map<String, Listing> now = new LinkedHashMap<>();
         list.forEach(l -> now.put(l.server().id(), l));
         if (now.equals(boxes) && scope == last) {
@@ -302,7 +302,7 @@
         });
     }
 
-    private void news(Scope scope, List<Server> servers, Map<String, InetSocketAddress> addresses) {
+    private void news(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses) {
         edges.addresses(addresses);
         broker.members(clock.now(), "names", scope, servers);
         for (Server s : servers) {
--- a/src/main/java/dockshed/choice/Admission.java
+++ b/src/main/java/dockshed/choice/Admission.java
@@ -32,7 +32,7 @@
         if (session.paid()) {
             context.actions().fail(session.id());
         } else {
-            context.actions().refuse(session.id(), context.settings().limits().maxComeBack());
+            context.actions().refuse(session.id(), context.settings().limits().maxRetryAfter());
         }
     }
 
@@ -51,7 +51,7 @@
             }
         }
         List<EdgeServer> clear = new ArrayList<>(out);
-        clear.removeIf(server -> context.actions().shunned(server.id()));
+        clear.removeIf(server -> context.actions().shouldAvoid(server.id()));
         out = clear.isEmpty() ? out : clear; // else the request itself finds out
         double chance = cold.isEmpty() ? 1 : coldChance(now, session, out);
         cold.removeIf(server -> slowStart.open(now, server, chance * server.holderShare()));
--- a/src/main/java/dockshed/choice/Attempts.java
+++ b/src/main/java/dockshed/choice/Attempts.java
@@ -16,7 +16,7 @@
     void send(long now, Session session, EdgeServer server, int rendition) {
         context.rates().sent(now, session.attempts() > 0);
         session.send(now, server, rendition);
-        context.actions().rate(session.id(), rendition);
+        context.actions().setRendition(session.id(), rendition);
         context.actions().send(session.id(), server.id(), allowed(now, session));
     }
 
@@ -30,10 +30,10 @@
     boolean mayTryAgain(long now, Session session) {
         Rules rules = context.settings().rules();
         double ration =
-                rules.spareAttempts() + rules.extraRatio() * context.rates().requests(now);
-        boolean rationed = rules.countedOver() > 0 && context.rates().further(now) + 1 > ration;
+                rules.spareRetries() + rules.retryRatio() * context.rates().requests(now);
+        boolean rationed = rules.retryWindow() > 0 && context.rates().further(now) + 1 > ration;
         boolean left = session.attempts() < context.settings().limits().attempts() && now < session.deadline();
-        return left && !session.paid() && context.actions().mayTryAgain() && !rationed;
+        return left && !session.paid() && context.actions().mayRetry() && !rationed;
     }
 
     /** What an end tells of the server. One lost or late answer tells of its connection, or of a hurry here. */
--- a/src/main/java/dockshed/choice/Choice.java
+++ b/src/main/java/dockshed/choice/Choice.java
@@ -49,7 +49,7 @@
         Random random = new Random(seed);
         RenditionLadder ladder = new RenditionLadder(settings.ladder());
         sessions = new Sessions(settings, ladder, new StayEstimate(Pricing.PRIOR_STAY, PRIOR_ENDS));
-        boolean hope = !EdgeServers.uplinksTold(settings) && settings.balancers() < MANY_DIRECTORS;
+        boolean hope = !EdgeServers.uplinksTold(settings) && settings.brokers() < MANY_DIRECTORS;
         servers = new EdgeServers(settings, hope ? UPLINK_HOPE : 1, random::nextDouble);
         rates = new AttemptRates(settings.rules(), RATION_MARGIN, SET_UPS_OVER);
         Context context = new Context(settings, actions, random, ladder, servers, sessions, rates);
@@ -63,7 +63,7 @@
     }
 
     /** Edge servers known, for tests. */
-    public int known() {
+    public int knownServers() {
         return servers.all().size();
     }
 
@@ -75,9 +75,9 @@
     }
 
     @Override
-    public void members(long now, Scope scope, List<Server> news) {
+    public void serversChanged(long now, ListScope scope, List<Server> news) {
         start(now);
-        if (scope != Scope.ERROR) {
+        if (scope != ListScope.ERROR) {
             servers.members(now, scope, news);
         }
     }
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void open(long now, Request request, String id) {
+    public void adoptSession(long now, Request request, String id) {
         start(now);
         EdgeServer server = servers.get(id);
         Session session = server == null ? null : sessions.add(now, request);
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public void first(long now, String request, int attempt, String server) {
+    public void sessionStarted(long now, String request, int attempt, String server) {
         Session session = sessions.at(request, server);
         if (session != null) {
             session.play(now);
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void gone(long now, String request) {
+    public void requestCancelled(long now, String request) {
         Session session = sessions.remove(request);
         if (session != null && session.server() != null) {
             leave(now, session);
@@ -166,14 +166,14 @@
     }
 
     @Override
-    public void note(long now, String request, String id, Topic topic, double value) {
+    public void metricReceived(long now, String request, String id, Metric topic, double value) {
         EdgeServer server = servers.get(id);
         if (server == null) {
             return;
         }
         Session session = sessions.get(request);
         switch (topic) {
-            case RUNG -> renditionTold(now, server, session, value);
+            case RENDITION -> renditionTold(now, server, session, value);
             case LINK -> linkTold(now, server, session, value);
             case UPLINK -> uplinkTold(now, server, session, value);
             case DELIVERED -> readings.delivered(now, server, value);
@@ -189,7 +189,7 @@
 
     private void linkTold(long now, EdgeServer server, Session session, double value) {
         boolean setUp = session != null && session.awaitsLink(); // its own reading is of now
-        readings.link(now, server, value, setUp ? now : now - settings.limits().see());
+        readings.link(now, server, value, setUp ? now : now - settings.limits().reportDelay());
         if (setUp && session.linkRead(servers.uplinksTold())) {
             steps.settle(now, session);
         }
@@ -206,14 +206,14 @@
     public void probed(long now, String server, boolean healthy, LoadReport report) {} // none is sent
 
     @Override
-    public void told(long now, int from, byte[] message) {} // nothing is asked of the other directors
+    public void peerMessageReceived(long now, int from, byte[] message) {} // nothing is asked of the other directors
 
     @Override
     public void timer(long now, String key) {
         actions.timer(key, now + SWEEP);
         readings.regainUplinks(now, SWEEP);
         servers.decayTrust(sessions.stays().remaining(SWEEP / (double) SECOND));
-        headroom.update(rates.setUpsPerSecond(now), actions.newcomers()); // refused tries take no room
+        headroom.update(rates.setUpsPerSecond(now), actions.newSessionShare()); // refused tries take no room
         pricing.reprice(now, headroom.budget(now));
         servers.all().forEach(server -> steps.raise(now, server));
         servers.forgetGone();
--- a/src/main/java/dockshed/choice/Headroom.java
+++ b/src/main/java/dockshed/choice/Headroom.java
@@ -35,7 +35,7 @@
         this.pricing = pricing;
         settings = context.settings();
         servers = context.servers();
-        ownPart = 1.0 / settings.balancers();
+        ownPart = 1.0 / settings.brokers();
         newcomerPart = Math.max(ownPart, 1 / (1 + RIVALS));
     }
 
@@ -46,14 +46,14 @@
 
     /** Reckons fullness and the newcomers' part anew, at that many own set-ups a second. */
     void update(double setUps, double sharedOut) {
-        double opened = Math.min(1, openedKb * settings.balancers() / Math.max(1, servers.linksKb()));
+        double opened = Math.min(1, openedKb * settings.brokers() / Math.max(1, servers.linksKb()));
         linkFill = fullness(servers.all(), openedKb > 0 ? opened : PRIOR_FILL);
         uplinkFill = fullness(servers.racks(), PRIOR_FILL);
         ownKb = 0;
         servers.racks().forEach(rack -> ownKb += rack.load().own());
         int boxes = Math.max(1, servers.all().size());
-        double others = setUps * (settings.balancers() - 1) / boxes;
-        double rivals = others * settings.limits().tell() / Choice.SECOND;
+        double others = setUps * (settings.brokers() - 1) / boxes;
+        double rivals = others * settings.limits().reportInterval() / Choice.SECOND;
         // A share that is surely its own; more where few others come to a server between two readings.
         newcomerPart = Math.max(Math.max(ownPart, sharedOut), 1 / (1 + RIVALS * rivals));
     }
@@ -153,7 +153,7 @@
                 .filter(other -> pricing.premium(other.sessionClass()) != premium)
                 .count();
         int quota = premium ? server.quotas().low() : server.quotas().high();
-        return Math.max(0, (double) quota / settings.balancers() - used);
+        return Math.max(0, (double) quota / settings.brokers() - used);
     }
 
     /** What this director's sessions may ask in all: what they do, and its part of what is left. */
--- a/src/main/java/dockshed/choice/Pricing.java
+++ b/src/main/java/dockshed/choice/Pricing.java
@@ -80,7 +80,7 @@
 
     /** Finds the price for a budget of kB a second. */
     void reprice(long now, double budget) {
-        int directors = context.settings().balancers();
+        int directors = context.settings().brokers();
         double usual = context.servers().linksKb() / (ladder.middleRate() * PRIOR_STAY) / directors;
         double tries = context.rates().triesPerSecond(now, usual, PRIOR_TRIES);
         int sessions = Math.max(1, context.sessions().size());
--- a/src/main/java/dockshed/choice/Readings.java
+++ b/src/main/java/dockshed/choice/Readings.java
@@ -2,8 +2,8 @@
 
 import static dockshed.choice.Choice.SECOND;
 
-import dockshed.Director.Field;
 import dockshed.Director.LoadReport;
+import dockshed.Director.ReportField;
 import dockshed.model.EdgeServer;
 import dockshed.model.Link;
 import dockshed.model.Rack;
@@ -49,11 +49,11 @@
 
     /** Load reports are later and noisier than notes: used only where no note has come for long. */
     void report(long now, EdgeServer server, LoadReport report) {
-        int i = context.settings().reportFields().indexOf(Field.LINK);
+        int i = context.settings().reportFields().indexOf(ReportField.LINK);
         boolean told = i >= 0 && i < report.values().size();
         if (told
                 && now - server.load().readAt()
-                        > 2 * context.settings().limits().tell()) {
+                        > 2 * context.settings().limits().reportInterval()) {
             double asked = report.values().get(i) * headroom.capacity(now, server);
             server.read(asked, now - SECOND / 2, context.random().nextDouble());
         }
@@ -64,7 +64,7 @@
         if (delivered >= SHORT || delivered <= 0) {
             return;
         }
-        long seen = now - context.settings().limits().see();
+        long seen = now - context.settings().limits().reportDelay();
         Rack rack = server.rack();
         server.foundShort(now);
         if (rack.mostShort(now, SHORT_FOR)) {
@@ -102,7 +102,8 @@
 
     private void relieve(long now, Link link, double full, Collection<Session> sessions) {
         double gives = headroom.capacity(now, link);
-        long settled = context.settings().limits().see() + SECOND / 2; // not for readings from before others shed
+        long settled =
+                context.settings().limits().reportDelay() + SECOND / 2; // not for readings from before others shed
         if (headroom.load(link) > full * gives && now - link.relievedAt() > settled) {
             link.relieved(now);
             steps.shed(now, sessions, -headroom.part(link, RELIEVED * gives, 1));
--- a/src/main/java/dockshed/choice/Reserves.java
+++ b/src/main/java/dockshed/choice/Reserves.java
@@ -3,7 +3,7 @@
 import dockshed.Director.SessionClass;
 import dockshed.model.EdgeServer;
 import dockshed.queueing.ClassMix;
-import dockshed.queueing.MethodTwo;
+import dockshed.queueing.QuotaOptimizer;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -20,21 +20,21 @@
         }
         int listed = context.servers().listed().size();
         if (high.count() + low.count() < FEW || high.count() == 0 || low.count() == 0 || listed == 0) {
-            context.servers().all().forEach(server -> server.reserve(MethodTwo.Quotas.NONE));
+            context.servers().all().forEach(server -> server.reserve(QuotaOptimizer.Quotas.NONE));
             return;
         }
-        double perServer = context.settings().balancers() / (context.rates().elapsed(now) * listed);
-        MethodTwo method = new MethodTwo(
+        double perServer = context.settings().brokers() / (context.rates().elapsed(now) * listed);
+        QuotaOptimizer method = new QuotaOptimizer(
                 high.count() * perServer,
                 low.count() * perServer,
                 context.sessions().stays().rate(),
                 high.meanWorth(),
                 low.meanWorth(),
                 SubRating.ALPHA);
-        Map<Integer, MethodTwo.Quotas> bySlots = new HashMap<>();
+        Map<Integer, QuotaOptimizer.Quotas> bySlots = new HashMap<>();
         for (EdgeServer server : context.servers().all()) {
             int slots = (int) Math.min(server.streams(), server.toldKb() / pricing.slotKb());
-            server.reserve(bySlots.computeIfAbsent(MethodTwo.representative(slots), method::best));
+            server.reserve(bySlots.computeIfAbsent(QuotaOptimizer.representative(slots), method::best));
         }
     }
 }
--- a/src/main/java/dockshed/choice/SlowStart.java
+++ b/src/main/java/dockshed/choice/SlowStart.java
@@ -19,17 +19,18 @@
             return pace == Pace.WITHIN;
         }
         Rules rules = context.settings().rules();
-        int directors = context.settings().balancers();
+        int directors = context.settings().brokers();
         long sinceSent = now - server.lastSentAt();
         double takes = server.streams() * server.warmth(now) / Math.max(1, rules.warmUp());
-        double budget = rules.tipMultiple() * takes * rules.fall();
+        double budget = rules.overloadMultiple() * takes * rules.overloadWindow();
         if (budget > 0 && directors <= budget) {
-            return sinceSent * Math.max(1, Math.floor(takes * rules.fall() / directors)) >= rules.fall();
+            return sinceSent * Math.max(1, Math.floor(takes * rules.overloadWindow() / directors))
+                    >= rules.overloadWindow();
         }
         if (sinceSent * takes <= Math.min(2, directors)) {
             return false; // its own rush
         }
-        return budget <= 0 || drawn(now, server, chance, Rules.borne(budget) / directors); // 0: no fall is told
+        return budget <= 0 || drawn(now, server, chance, Rules.maxMeanSetUps(budget) / directors); // 0: no fall is told
     }
 
     private boolean drawn(long now, EdgeServer server, double chance, double part) {
--- a/src/main/java/dockshed/choice/Steps.java
+++ b/src/main/java/dockshed/choice/Steps.java
@@ -16,7 +16,7 @@
 
     private void step(long now, Session session, int rendition) {
         session.step(now, rendition);
-        context.actions().rate(session.id(), rendition);
+        context.actions().setRendition(session.id(), rendition);
     }
 
     /** For a newcomer; the session steps up again to where it was once a premium session has left. */
--- a/src/main/java/dockshed/config/Config.java
+++ b/src/main/java/dockshed/config/Config.java
@@ -4,7 +4,7 @@
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonParseException;
 import com.google.gson.ToNumberPolicy;
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
@@ -47,7 +47,10 @@
 
     /** Whether brokers may talk to one another: allowed by the settings, with an address for each and one to listen on. */
     public boolean fleet() {
-        return settings.limits().peers() && peerListen != null && peers.size() > 1 && settings.me() < peers.size();
+        return settings.limits().peers()
+                && peerListen != null
+                && peers.size() > 1
+                && settings.brokerNumber() < peers.size();
     }
 
     /** Viewers hold a third of the descriptors at most; a little more is let in before one is turned away. */
@@ -174,8 +177,8 @@
     }
 
     /** What the list's first event counts as: it may be stale. */
-    public static Scope scope(Notice notice, boolean first) {
-        return first ? Scope.DISK : notice.complete() ? Scope.SNAPSHOT : Scope.CHANGES;
+    public static ListScope scope(Notice notice, boolean first) {
+        return first ? ListScope.DISK : notice.complete() ? ListScope.SNAPSHOT : ListScope.CHANGES;
     }
 
     static Listing listing(Fields m) {
--- a/src/main/java/dockshed/config/HlsConfig.java
+++ b/src/main/java/dockshed/config/HlsConfig.java
@@ -48,7 +48,8 @@
     /** What is allowed and yet seldom meant, a line each. */
     public List<String> doubts(Settings settings) {
         List<String> out = new ArrayList<>();
-        List<String> kinds = settings.kinds().stream().map(Director.Kind::name).toList();
+        List<String> kinds =
+                settings.kinds().stream().map(Director.ServerKind::name).toList();
         for (Listing l : servers) {
             if (!kinds.contains(l.server().kind())) {
                 out.add("server " + l.server().id() + " has flavor '"
--- a/src/main/java/dockshed/config/SettingsReader.java
+++ b/src/main/java/dockshed/config/SettingsReader.java
@@ -1,12 +1,12 @@
 package dockshed.config;
 
 import dockshed.Director.Effect;
-import dockshed.Director.Field;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
 import dockshed.Director.Limits;
 import dockshed.Director.Prices;
+import dockshed.Director.ReportField;
 import dockshed.Director.Rules;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import java.util.ArrayList;
@@ -133,25 +133,25 @@
         };
     }
 
-    private static List<Kind> kinds(Fields options, Fields family) {
-        List<Kind> out = new ArrayList<>();
+    private static List<ServerKind> kinds(Fields options, Fields family) {
+        List<ServerKind> out = new ArrayList<>();
         List<Double> slots = family.numbers("kind_slots");
         for (String name : options.texts("kinds")) {
-            out.add(new Kind(name, (int) at(options.object("family_info"), slots, out.size(), "kind_slots")));
+            out.add(new ServerKind(name, (int) at(options.object("family_info"), slots, out.size(), "kind_slots")));
         }
         return out;
     }
 
-    private static List<Field> fields(Fields options) {
-        List<Field> out = new ArrayList<>();
+    private static List<ReportField> fields(Fields options) {
+        List<ReportField> out = new ArrayList<>();
         if (options.has("report")) {
             for (String name : options.object("report").texts("fields")) {
                 out.add(
                         switch (name) {
-                            case "busy_reqs" -> Field.STREAMS;
-                            case "cpu_share", "x0" -> Field.LINK;
-                            case "x1" -> Field.UPLINK;
-                            default -> Field.OTHER;
+                            case "busy_reqs" -> ReportField.STREAMS;
+                            case "cpu_share", "x0" -> ReportField.LINK;
+                            case "x1" -> ReportField.UPLINK;
+                            default -> ReportField.OTHER;
                         });
             }
         }
--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -2,14 +2,14 @@
 
 import dockshed.Director;
 import dockshed.Director.Effect;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import dockshed.core.Deadlines.Deadline;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -252,7 +252,7 @@
                 } else {
                     call.front.refused(connection, call.wish.name(), longestComeBack());
                 }
-                director.gone(t, call.id);
+                director.requestCancelled(t, call.id);
             }
         });
     }
@@ -325,7 +325,7 @@
         counts.opened++;
         event(at, t -> {
             stand(call, t);
-            director.open(t, wish.request(call.id), server);
+            director.adoptSession(t, wish.request(call.id), server);
         });
         return true;
     }
@@ -383,7 +383,7 @@
             if (call.rung != call.rungSent) {
                 setRung(call); // set while the answer was on its way
             }
-            director.first(t, call.id, call.attempts - 1, server);
+            director.sessionStarted(t, call.id, call.attempts - 1, server);
             call.early.forEach(told -> told.accept(t));
             call.early.clear();
         });
@@ -409,7 +409,7 @@
     }
 
     /** A figure about a session that stands. */
-    public void note(long at, String server, String name, Topic topic, double value) {
+    public void note(long at, String server, String name, Metric topic, double value) {
         event(at, t -> {
             Call call = byName.get(name);
             if (call != null && call.out && call.box.id.equals(server)) {
@@ -417,13 +417,13 @@
                     call.early.add(later -> note(later, server, name, topic, value));
                 }
             } else if (call != null && call.stands && call.box.id.equals(server)) {
-                if (topic == Topic.RUNG && (value < call.cls.floor() || value > call.cls.top())) {
+                if (topic == Metric.RENDITION && (value < call.cls.floor() || value > call.cls.top())) {
                     return;
                 }
-                if (topic == Topic.RUNG) {
+                if (topic == Metric.RENDITION) {
                     call.rung = (int) value; // in force when the server wrote it
                 }
-                director.note(t, call.id, server, topic, value);
+                director.metricReceived(t, call.id, server, topic, value);
             }
         });
     }
@@ -446,10 +446,10 @@
     // ---- From the lists, the peers and the clock.
 
     /** News of the servers from one of the lists; a server on several counts by the worst that is told of it. */
-    public void members(long at, String source, Scope scope, List<Server> servers) {
+    public void members(long at, String source, ListScope scope, List<Server> servers) {
         event(at, t -> {
             List<Server> merged = new ArrayList<>();
-            if (scope == Scope.SNAPSHOT || scope == Scope.DISK) {
+            if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
                 Set<String> named = servers.stream().map(Server::id).collect(Collectors.toSet());
                 for (Box b : boxes.values()) {
                     if (b.listings.containsKey(source) && !named.contains(b.id)) {
@@ -465,8 +465,8 @@
             }
             boolean alone = boxes.values().stream()
                     .allMatch(b -> b.listings.keySet().stream().allMatch(source::equals));
-            Scope told = scope == Scope.SNAPSHOT && !alone ? Scope.CHANGES : scope;
-            director.members(t, told, merged);
+            ListScope told = scope == ListScope.SNAPSHOT && !alone ? ListScope.CHANGES : scope;
+            director.serversChanged(t, told, merged);
             boxes.values()
                     .removeIf(b -> b.closedSince < t - FORGET
                             && b.info.state() == State.GONE
@@ -497,7 +497,7 @@
     }
 
     public void told(long at, int from, byte[] message) {
-        event(at, t -> director.told(t, from, message));
+        event(at, t -> director.peerMessageReceived(t, from, message));
     }
 
     /** Does what has come due. */
@@ -517,7 +517,7 @@
 
     /** The longest time that a viewer may be told to stay away; 0: none may be told. */
     public long longestComeBack() {
-        return settings.limits().maxComeBack();
+        return settings.limits().maxRetryAfter();
     }
 
     /** Whether a session of that name stands. */
@@ -565,7 +565,7 @@
         event(at, t -> {
             for (Call call : calls(c -> !c.answered)) {
                 fail(call.id);
-                director.gone(t, call.id);
+                director.requestCancelled(t, call.id);
             }
         });
     }
@@ -646,7 +646,7 @@
     }
 
     @Override
-    public void rate(String request, int rung) {
+    public void setRendition(String request, int rung) {
         Call call = call(request);
         if (call == null) {
             return;
@@ -685,7 +685,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         if (settings.limits().peers()) {
             peers.tell(message);
         }
@@ -697,7 +697,7 @@
     }
 
     @Override
-    public long comeBackUnit(String request) {
+    public long retryAfterUnit(String request) {
         Call call = call(request);
         return call == null ? 1000 : call.front.comeBackUnit();
     }
@@ -801,7 +801,7 @@
         finish(call);
         counts.gone++;
         call.front.left(call.connection, call.wish.name());
-        director.gone(now, call.id);
+        director.requestCancelled(now, call.id);
     }
 
     /** Writes down who left unanswered: a request that nobody heard the end of can be told from one that was given up. */
@@ -850,7 +850,7 @@
                 trail.bad(call.wish.name(), "held by the module until its time was up");
             }
             fail(call.id);
-            director.gone(now, call.id);
+            director.requestCancelled(now, call.id);
         }
     }
 
--- a/src/main/java/dockshed/edge/Edges.java
+++ b/src/main/java/dockshed/edge/Edges.java
@@ -1,8 +1,8 @@
 package dockshed.edge;
 
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
-import dockshed.Director.Topic;
 import dockshed.core.Broker;
 import dockshed.core.Deadlines;
 import dockshed.core.Finder;
@@ -821,12 +821,12 @@
     }
 
     private void note(long now, String server, Message m) {
-        Topic topic =
+        Metric topic =
                 switch (m.fields().getOrDefault("note", "")) {
-                    case "fill" -> Topic.DELIVERED;
-                    case "grade" -> Topic.RUNG;
-                    case "local" -> Topic.LINK;
-                    case "upstream" -> Topic.UPLINK;
+                    case "fill" -> Metric.DELIVERED;
+                    case "grade" -> Metric.RENDITION;
+                    case "local" -> Metric.LINK;
+                    case "upstream" -> Metric.UPLINK;
                     default -> null;
                 };
         try {
--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
 import dockshed.Director;
-import dockshed.Layer;
+import dockshed.DirectorFilter;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,7 +24,7 @@
  * <p>Times are microseconds of Unix time on the process's own clock. What all brokers have to compute alike (priorities and
  * retry times) needs clocks within a few tenths of a second of one another, and differs for some clients otherwise.
  */
-public final class AdmissionFilter extends Layer {
+public final class AdmissionFilter extends DirectorFilter {
     /** Microseconds between two load samples. */
     static final long REPORT_PERIOD = 250_000;
     /** Microseconds before its retry time at which a client still keeps it. */
@@ -118,7 +118,7 @@
         for (SessionClass c : settings.classes()) {
             classLevels.put(c.name(), Math.max(0, worths.indexOf(c.worth()) - belowLowestLevel));
         }
-        this.module = module.apply(new ModuleActions());
+        this.nextDirector = module.apply(new ModuleActions());
     }
 
     /** Counts since the start; they go on changing. */
@@ -153,7 +153,7 @@
 
     private int step(Request r) {
         int age = AGE_FRESH;
-        if (r.moved() || r.back()) {
+        if (r.afterMove() || r.afterRefusal()) {
             age = AGE_DISPLACED;
         } else if (r.retry() && keepsRetryTime(r)) {
             age = AGE_RETURNED;
@@ -167,23 +167,23 @@
     }
 
     private boolean keepsRetryTime(Request r) {
-        long unit = Math.max(1, out.comeBackUnit(r.id()));
+        long unit = Math.max(1, out.retryAfterUnit(r.id()));
         return SheddingThreshold.keepsRetryTime(
-                clientHash(r), now, settings.limits().maxComeBack(), EARLY + unit, LATE + unit);
+                clientHash(r), now, settings.limits().maxRetryAfter(), EARLY + unit, LATE + unit);
     }
 
     /** Whether a request that came now would be shed: alike at every broker with the same snapshot. */
     public boolean isShed(long at, Request r) {
-        begin(at);
+        beforeEvent(at);
         int threshold = snapshot().sheddingThreshold();
         return threshold > 0 && SheddingThreshold.priority(step(r), clientHash(r), now) < threshold;
     }
 
     @Override
     public void request(long at, Request r) {
-        begin(at);
+        beforeEvent(at);
         if (!classLevels.containsKey(r.className())) {
-            module.request(at, r); // fails it
+            nextDirector.request(at, r); // fails it
             return;
         }
         counts.requests++;
@@ -194,13 +194,13 @@
             return;
         }
         requestTimes.add(at);
-        module.request(at, r);
+        nextDirector.request(at, r);
     }
 
     /** In whole units of what the client's protocol can express; 0: no advice. */
     private long retryAfter(Request r) {
-        long unit = Math.max(1, out.comeBackUnit(r.id()));
-        long longest = settings.limits().maxComeBack();
+        long unit = Math.max(1, out.retryAfterUnit(r.id()));
+        long longest = settings.limits().maxRetryAfter();
         if (longest < unit) {
             return 0;
         }
@@ -211,7 +211,7 @@
     // ---- Time.
 
     @Override
-    protected void begin(long at) {
+    protected void beforeEvent(long at) {
         now = Math.max(now, at);
         if (!timerSet) {
             setTimer(now + REPORT_PERIOD);
@@ -225,9 +225,9 @@
 
     @Override
     public void timer(long at, String key) {
-        begin(at);
+        beforeEvent(at);
         if (!key.equals(TIMER)) {
-            module.timer(at, key);
+            nextDirector.timer(at, key);
             return;
         }
         sampleLoad();
@@ -252,14 +252,14 @@
         snapshot().stormNotes().forEach((from, note) -> {
             Integer previous = handedOnNotes.put(from, note.counter());
             if (previous == null || previous != note.counter()) {
-                module.told(now, from, note.value());
+                nextDirector.peerMessageReceived(now, from, note.value());
             }
         });
     }
 
     // ---- What the module may do.
 
-    private final class ModuleActions extends Through {
+    private final class ModuleActions extends ForwardingActions {
         ModuleActions() {
             super(AdmissionFilter.this.out);
         }
@@ -271,7 +271,7 @@
                 counts.retries++;
                 retryTimes.add(now);
             }
-            out.send(request, server, allow);
+            delegate.send(request, server, allow);
         }
 
         @Override
@@ -280,27 +280,27 @@
                 rejected++;
                 counts.rejected++;
             }
-            out.refuse(request, comeBack);
+            delegate.refuse(request, comeBack);
         }
 
         @Override
         public void fail(String request) {
             attempted.remove(request);
-            out.fail(request);
+            delegate.fail(request);
         }
 
         @Override
-        public boolean mayTryAgain() {
-            return retryAllowed() && out.mayTryAgain();
+        public boolean mayRetry() {
+            return retryAllowed() && delegate.mayRetry();
         }
 
         @Override
-        public double newcomers() {
+        public double newSessionShare() {
             return snapshot().newSessionShare(now);
         }
 
         @Override
-        public boolean shunned(String server) {
+        public boolean shouldAvoid(String server) {
             return avoided.contains(server) || isReportedDown(server);
         }
     }
@@ -357,36 +357,36 @@
     // ---- Events that pass through.
 
     @Override
-    public void first(long at, String request, int attempt, String server) {
-        begin(at);
+    public void sessionStarted(long at, String request, int attempt, String server) {
+        beforeEvent(at);
         if (attempted.remove(request)) {
             accepted++;
             counts.accepted++;
         }
-        module.first(at, request, attempt, server);
+        nextDirector.sessionStarted(at, request, attempt, server);
     }
 
     @Override
     public void outcome(
             long at, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
-        begin(at);
+        beforeEvent(at);
         if (last) {
             attempted.remove(request);
         }
-        module.outcome(at, request, attempt, server, outcome, last, report);
+        nextDirector.outcome(at, request, attempt, server, outcome, last, report);
     }
 
     @Override
-    public void gone(long at, String request) {
-        begin(at);
+    public void requestCancelled(long at, String request) {
+        beforeEvent(at);
         attempted.remove(request);
-        module.gone(at, request);
+        nextDirector.requestCancelled(at, request);
     }
 
     @Override
-    public void members(long at, Scope scope, List<Server> servers) {
-        begin(at);
+    public void serversChanged(long at, ListScope scope, List<Server> servers) {
+        beforeEvent(at);
         servers.stream().filter(s -> s.state() == State.GONE).forEach(s -> avoided.remove(s.id()));
-        module.members(at, scope, servers);
+        nextDirector.serversChanged(at, scope, servers);
     }
 }
--- a/src/main/java/dockshed/load/LoadTeller.java
+++ b/src/main/java/dockshed/load/LoadTeller.java
@@ -1,8 +1,8 @@
 package dockshed.load;
 
+import dockshed.Director.Metric;
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
-import dockshed.Director.Topic;
 import dockshed.core.Broker;
 import dockshed.core.Deadlines;
 import java.util.List;
@@ -24,8 +24,8 @@
         this.broker = broker;
         this.deadlines = deadlines;
         loads = new ReckonedLoads(settings);
-        every = settings.limits().tell() > 0 ? settings.limits().tell() : USUAL;
-        late = settings.limits().see();
+        every = settings.limits().reportInterval() > 0 ? settings.limits().reportInterval() : USUAL;
+        late = settings.limits().reportDelay();
     }
 
     public void members(List<Server> servers) {
@@ -35,7 +35,7 @@
     /** A session stands; its own reading is of now, as the module takes the first of each session. */
     public void stands(long now, String server, String name, String className, int rung) {
         loads.stands(now, server, name, className, rung);
-        broker.note(now, server, name, Topic.LINK, loads.share(now, server, now));
+        broker.note(now, server, name, Metric.LINK, loads.share(now, server, now));
         if (!waiting) {
             waiting = true;
             deadlines.at(now + every, this::tell);
@@ -62,7 +62,7 @@
     private void tell(long now) {
         loads.heldBy()
                 .forEach((server, name) ->
-                        broker.note(now, server, name, Topic.LINK, loads.share(now, server, now - late)));
+                        broker.note(now, server, name, Metric.LINK, loads.share(now, server, now - late)));
         waiting = !loads.heldBy().isEmpty();
         if (waiting) {
             deadlines.at(now + every, this::tell);
--- a/src/main/java/dockshed/load/ReckonedLoads.java
+++ b/src/main/java/dockshed/load/ReckonedLoads.java
@@ -120,7 +120,7 @@
         b.own += kb;
         b.changes.add(new Change(now, kb));
         while (b.changes.size() > MOST_CHANGES
-                || b.changes.peekFirst().at() < now - settings.limits().see() - BELIEVED) {
+                || b.changes.peekFirst().at() < now - settings.limits().reportDelay() - BELIEVED) {
             b.changes.removeFirst();
         }
         if (b.sessions.isEmpty()) {
@@ -142,9 +142,8 @@
             return 0;
         }
         double own = b.ownAt(at);
-        double all = b.saidAt > now - BELIEVED
-                ? Math.max(own, b.said + own - b.ownAt(b.saidAt))
-                : own * settings.balancers();
+        double all =
+                b.saidAt > now - BELIEVED ? Math.max(own, b.said + own - b.ownAt(b.saidAt)) : own * settings.brokers();
         return all / gives(now, server);
     }
 
--- a/src/main/java/dockshed/model/AttemptRates.java
+++ b/src/main/java/dockshed/model/AttemptRates.java
@@ -30,9 +30,9 @@
      */
     public AttemptRates(Rules rules, long rationMargin, long setUpsOver) {
         this.setUpsOver = setUpsOver;
-        triesOver = rules.fall();
-        further = new EventWindow(rules.countedOver());
-        requests = new EventWindow(rules.countedOver() - rationMargin);
+        triesOver = rules.overloadWindow();
+        further = new EventWindow(rules.retryWindow());
+        requests = new EventWindow(rules.retryWindow() - rationMargin);
         tries = new EventWindow(triesOver);
         setUps = new EventWindow(setUpsOver);
     }
--- a/src/main/java/dockshed/model/EdgeServer.java
+++ b/src/main/java/dockshed/model/EdgeServer.java
@@ -5,7 +5,7 @@
 import dockshed.Director.Rules;
 import dockshed.Director.Server;
 import dockshed.queueing.EventWindow;
-import dockshed.queueing.MethodTwo;
+import dockshed.queueing.QuotaOptimizer;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -32,11 +32,11 @@
     private double linkShare = 1;
     private double luck = 1;
     private double holderShare = Double.NaN;
-    private MethodTwo.Quotas quotas = MethodTwo.Quotas.NONE;
+    private QuotaOptimizer.Quotas quotas = QuotaOptimizer.Quotas.NONE;
 
     EdgeServer(Rules rules) {
         this.rules = rules;
-        expectedSetUps = new EventWindow(rules.fall() - 1);
+        expectedSetUps = new EventWindow(rules.overloadWindow() - 1);
     }
 
     // ---- The list.
@@ -234,7 +234,7 @@
 
     /** Whether it holds the title asked for, in a ring of so many cells. */
     public boolean holds(Request request, int cells) {
-        return Math.floorMod(info.cell() - request.home(), cells) < request.copies();
+        return Math.floorMod(info.cell() - request.homeCell(), cells) < request.copies();
     }
 
     /** A try was for a title that it holds or not; its share moves by one part in {@code memory}. */
@@ -250,12 +250,12 @@
     }
 
     /** Slots that are reserved there. */
-    public MethodTwo.Quotas quotas() {
+    public QuotaOptimizer.Quotas quotas() {
         return quotas;
     }
 
     /** Reserves slots. */
-    public void reserve(MethodTwo.Quotas quotas) {
+    public void reserve(QuotaOptimizer.Quotas quotas) {
         this.quotas = quotas;
     }
 }
--- a/src/main/java/dockshed/model/EdgeServers.java
+++ b/src/main/java/dockshed/model/EdgeServers.java
@@ -1,7 +1,7 @@
 package dockshed.model;
 
-import dockshed.Director.Field;
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
+import dockshed.Director.ReportField;
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
 import java.util.Collection;
@@ -39,7 +39,7 @@
 
     /** Whether load reports tell of uplinks. */
     public static boolean uplinksTold(Settings settings) {
-        return settings.reportFields().contains(Field.UPLINK);
+        return settings.reportFields().contains(ReportField.UPLINK);
     }
 
     /** Whether readings of uplinks come. */
@@ -73,10 +73,10 @@
     }
 
     /** News of the list. */
-    public void members(long now, Scope scope, List<Server> news) {
+    public void members(long now, ListScope scope, List<Server> news) {
         for (EdgeServer server : byId.values()) {
-            server.unnamed(scope != Scope.CHANGES); // unless it is named below
-            if (scope != Scope.DISK && server.presumedCold()) {
+            server.unnamed(scope != ListScope.CHANGES); // unless it is named below
+            if (scope != ListScope.DISK && server.presumedCold()) {
                 server.startedAsTold(); // fresh news names all that changed since the list was kept
             }
         }
@@ -87,12 +87,12 @@
         measure();
     }
 
-    private void member(long now, Scope scope, Server entry) {
+    private void member(long now, ListScope scope, Server entry) {
         EdgeServer server = byId.computeIfAbsent(entry.id(), id -> new EdgeServer(settings.rules()));
         boolean isNew = server.info() == null;
         boolean restarted = !isNew && entry.upSince() > server.info().upSince();
         server.named(entry);
-        if (scope == Scope.DISK) {
+        if (scope == ListScope.DISK) {
             server.presumeCold(now); // may have restarted since the list was kept
         } else if (isNew || restarted) {
             server.startedAsTold();
--- a/src/main/java/dockshed/model/Session.java
+++ b/src/main/java/dockshed/model/Session.java
@@ -34,8 +34,8 @@
         this.request = request;
         this.sessionClass = sessionClass;
         this.ladder = ladder;
-        top = Math.max(sessionClass.floor(), Math.min(request.top(), sessionClass.top()));
-        deadline = now + request.patience();
+        top = Math.max(sessionClass.floor(), Math.min(request.highestRendition(), sessionClass.top()));
+        deadline = now + request.clientDeadline();
         startedAt = now;
     }
 
--- a/src/main/java/dockshed/model/Sessions.java
+++ b/src/main/java/dockshed/model/Sessions.java
@@ -82,10 +82,10 @@
     /** Seconds that a session will probably still play; at least a part of the mean. */
     public double stay(long now, Session session, double leastPart) {
         double mean = stays.mean();
-        if (session.request().length() <= 0) {
+        if (session.request().expectedDuration() <= 0) {
             return mean;
         }
-        double left = (session.startedAt() + session.request().length() - now) / SECOND;
+        double left = (session.startedAt() + session.request().expectedDuration() - now) / SECOND;
         return Math.max(left, mean * leastPart);
     }
 
--- a/src/main/java/dockshed/names/FleetList.java
+++ b/src/main/java/dockshed/names/FleetList.java
@@ -1,6 +1,6 @@
 package dockshed.names;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
 import dockshed.names.Dns.Record;
@@ -30,9 +30,9 @@
     }
 
     /** Takes an event from the configuration: the whole list, or what has changed. */
-    List<Server> known(long number, Scope scope, List<Listing> listings) {
+    List<Server> known(long number, ListScope scope, List<Listing> listings) {
         serial = number;
-        if (scope == Scope.DISK) {
+        if (scope == ListScope.DISK) {
             now.clear();
         }
         return apply(listings);
--- a/src/main/java/dockshed/names/Names.java
+++ b/src/main/java/dockshed/names/Names.java
@@ -1,6 +1,6 @@
 package dockshed.names;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.core.Deadlines;
 import dockshed.names.Dns.Answer;
@@ -33,7 +33,7 @@
 
     /** Hears of every piece of news; {@code addresses} holds all servers that are listed now. */
     public interface Listener {
-        void news(Scope scope, List<Server> servers, Map<String, InetSocketAddress> addresses);
+        void news(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses);
     }
 
     /** A query that is out: to whom, when, and the question by name; null for the whole list. */
@@ -61,7 +61,7 @@
     }
 
     /** An event that the configuration holds. */
-    public void known(long number, Scope scope, List<Listing> listings) {
+    public void known(long number, ListScope scope, List<Listing> listings) {
         List<Server> news = list.known(number, scope, listings);
         listener.news(scope, news, list.addresses());
     }
@@ -164,7 +164,7 @@
                     before,
                     changes.size(),
                     a.cut() ? " cut" : "");
-            listener.news(Scope.CHANGES, changes, list.addresses());
+            listener.news(ListScope.CHANGES, changes, list.addresses());
         }
         askMore(clock.now());
     }
--- a/src/main/java/dockshed/queueing/MethodTwo.java
+++ b/src/main/java/dockshed/queueing/QuotaOptimizer.java
@@ -11,7 +11,7 @@
  * @param lowWorth worth a second of a session of the second; a refusal costs as much as a session is worth
  * @param subRated sessions that may be sub-rated for one newcomer (the paper's alpha)
  */
-public record MethodTwo(
+public record QuotaOptimizer(
         double highArrivals, double lowArrivals, double departures, double highWorth, double lowWorth, int subRated) {
 
     /** Slots up to which each pair of quotas is tried. */
--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -6,13 +6,13 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import dockshed.Director;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.Director.Request;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import dockshed.choice.Choice;
 import dockshed.config.Fields;
 import dockshed.config.SettingsReader;
@@ -146,27 +146,27 @@
     private void deliver(long now, String name, Fields e, Director d) {
         switch (name) {
             case "view" -> {
-                Scope scope = scope(e.text("scope"));
-                List<Server> list = scope == Scope.ERROR ? List.of() : rosters.get(e.integer("ref"));
+                ListScope scope = scope(e.text("scope"));
+                List<Server> list = scope == ListScope.ERROR ? List.of() : rosters.get(e.integer("ref"));
                 if (list == null) {
                     throw new Fields.Malformed("view: member 'ref' names no roster");
                 }
-                d.members(now, scope, list);
+                d.serversChanged(now, scope, list);
             }
             case "call" -> d.request(now, request(e));
-            case "already_open" -> d.open(now, request(e), e.text("node"));
-            case "opened" -> d.first(now, e.text("call"), e.integer("n"), e.text("node"));
+            case "already_open" -> d.adoptSession(now, request(e), e.text("node"));
+            case "opened" -> d.sessionStarted(now, e.text("call"), e.integer("n"), e.text("node"));
             case "note" -> {
-                Topic topic =
+                Metric topic =
                         switch (e.integer("topic")) {
-                            case 1 -> Topic.DELIVERED;
-                            case 2 -> Topic.RUNG;
-                            case 3 -> Topic.LINK;
-                            case 4 -> Topic.UPLINK;
+                            case 1 -> Metric.DELIVERED;
+                            case 2 -> Metric.RENDITION;
+                            case 3 -> Metric.LINK;
+                            case 4 -> Metric.UPLINK;
                             default -> null;
                         };
                 if (topic != null) {
-                    d.note(now, e.text("call"), e.text("node"), topic, e.number("x"));
+                    d.metricReceived(now, e.text("call"), e.text("node"), topic, e.number("x"));
                 }
             }
             case "ended" ->
@@ -178,10 +178,10 @@
                         outcome(e.integer("status")),
                         e.flag("final"),
                         report(e));
-            case "timed_out_client" -> d.gone(now, e.text("call"));
+            case "timed_out_client" -> d.requestCancelled(now, e.text("call"));
             case "alarm" -> d.timer(now, e.text("key_back"));
             case "health" -> d.probed(now, e.text("node"), e.integer("status") == 100, report(e));
-            case "datagram" -> d.told(now, e.integer("author"), e.bytes("bytes"));
+            case "datagram" -> d.peerMessageReceived(now, e.integer("author"), e.bytes("bytes"));
             default -> throw new Fields.Malformed("unknown event '" + name + "'");
         }
     }
@@ -229,12 +229,12 @@
         return out;
     }
 
-    private static Scope scope(String word) {
+    private static ListScope scope(String word) {
         return switch (word) {
-            case "diff" -> Scope.CHANGES;
-            case "snapshot" -> Scope.SNAPSHOT;
-            case "disk" -> Scope.DISK;
-            case "error" -> Scope.ERROR;
+            case "diff" -> ListScope.CHANGES;
+            case "snapshot" -> ListScope.SNAPSHOT;
+            case "disk" -> ListScope.DISK;
+            case "error" -> ListScope.ERROR;
             default -> throw new Fields.Malformed("view: member 'scope' is unknown: " + word);
         };
     }
@@ -305,7 +305,7 @@
         }
 
         @Override
-        public void rate(String request, int rung) {
+        public void setRendition(String request, int rung) {
             action("step_to", () -> {
                 out.writeStringField("call", request);
                 out.writeNumberField("rung", rung);
@@ -323,7 +323,7 @@
         }
 
         @Override
-        public void tell(byte[] message) {
+        public void broadcast(byte[] message) {
             action("share", () -> {
                 out.writeNullField("target");
                 out.writeStringField("bytes", HexFormat.of().formatHex(message));
--- a/src/main/java/dockshed/storm/ColdPace.java
+++ b/src/main/java/dockshed/storm/ColdPace.java
@@ -1,6 +1,6 @@
 package dockshed.storm;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
@@ -56,7 +56,7 @@
     ColdPace(Settings settings, Terms terms) {
         this.settings = settings;
         this.terms = terms;
-        part = 1.0 / settings.balancers();
+        part = 1.0 / settings.brokers();
     }
 
     static int hash(String id) {
@@ -65,12 +65,12 @@
         return (int) crc.getValue();
     }
 
-    void members(long now, Scope scope, List<Server> servers) {
-        if (scope == Scope.SNAPSHOT || scope == Scope.DISK) {
+    void members(long now, ListScope scope, List<Server> servers) {
+        if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
             List<String> named = servers.stream().map(Server::id).toList();
             boxes.keySet().removeIf(id -> !named.contains(id));
         }
-        if (scope == Scope.DISK) {
+        if (scope == ListScope.DISK) {
             newsSince = Long.MAX_VALUE;
         } else if (newsSince == Long.MAX_VALUE) {
             newsSince = now; // fresh news names all that changed since the list was kept
@@ -90,7 +90,7 @@
             b.up = s.state() == State.UP;
             if (s.upSince() > 0 && s.upSince() > b.since) {
                 begin(now, b, s.upSince());
-            } else if (scope == Scope.DISK && b.since == Long.MIN_VALUE) {
+            } else if (scope == ListScope.DISK && b.since == Long.MIN_VALUE) {
                 begin(now, b, now);
                 b.maybe = true;
             }
@@ -125,10 +125,10 @@
         b.maybe = false;
         b.hearsay = false;
         // As many brokers as a window of the fall bears may each begin with one at once, as the module alone lets them.
-        double budget = settings.rules().tipMultiple() * settings.rules().fall() / 1e6 * takes(now, b);
-        b.tokens = settings.balancers() <= budget ? 1 : 0;
+        double budget = settings.rules().overloadMultiple() * settings.rules().overloadWindow() / 1e6 * takes(now, b);
+        b.tokens = settings.brokers() <= budget ? 1 : 0;
         b.countedAt = now;
-        b.sent = new Window(100_000, Math.max(100_000, settings.rules().fall()));
+        b.sent = new Window(100_000, Math.max(100_000, settings.rules().overloadWindow()));
         b.peers.clear();
     }
 
@@ -148,7 +148,7 @@
 
     /** This broker's part of a cold box's pace, by its part of the fleet's arrivals: half to one and a half of an even one. */
     void part(double ofArrivals) {
-        double even = 1.0 / settings.balancers();
+        double even = 1.0 / settings.brokers();
         part = Math.max(LEAST_PART * even, Math.min(Math.min(1, MOST_PART * even), ofArrivals));
     }
 
@@ -164,12 +164,12 @@
             return true;
         }
         refill(now, b);
-        double fleet = b.sent.sum(now, settings.rules().fall());
+        double fleet = b.sent.sum(now, settings.rules().overloadWindow());
         for (long[] told : b.peers.values()) {
-            fleet += now - told[1] < settings.rules().fall() ? told[0] : 0;
+            fleet += now - told[1] < settings.rules().overloadWindow() ? told[0] : 0;
         }
         double window =
-                Math.max(1, terms.coldAim() * takes(now, b) * settings.rules().fall() / 1e6);
+                Math.max(1, terms.coldAim() * takes(now, b) * settings.rules().overloadWindow() / 1e6);
         return b.tokens >= 1 && fleet + 1 <= window;
     }
 
@@ -188,7 +188,7 @@
         for (Box b : boxes.values()) {
             if (!Double.isInfinite(takes(now, b)) && !b.hearsay) { // or a word would go round for ever
                 out.add(new Spent(b.hash, (int)
-                        Math.min(255, b.sent.sum(now, settings.rules().fall()))));
+                        Math.min(255, b.sent.sum(now, settings.rules().overloadWindow()))));
             }
         }
         out.sort((x, y) -> Integer.compare(y.count(), x.count()));
--- a/src/main/java/dockshed/storm/Damper.java
+++ b/src/main/java/dockshed/storm/Damper.java
@@ -1,7 +1,7 @@
 package dockshed.storm;
 
 import dockshed.Director;
-import dockshed.Layer;
+import dockshed.DirectorFilter;
 import dockshed.storm.Visits.Standing;
 import dockshed.storm.Visits.Visit;
 import dockshed.storm.WaitingRoom.Waiter;
@@ -18,7 +18,7 @@
  * a request may wait for its turn or be turned away before the module sees it, every refusal becomes an appointment, and
  * the module is told what the budget of further attempts and the pace of cold boxes leave.
  */
-public final class Damper extends Layer {
+public final class Damper extends DirectorFilter {
     private static final String KEY = "storm";
     /** Between turns while requests wait, and between looks while none does. */
     private static final long TURN = 20_000;
@@ -113,14 +113,14 @@
         random = new SplittableRandom(seed);
         settings.classes().forEach(c -> classes.put(c.name(), c));
         List<Double> rates = settings.ladder().rates();
-        double usual = settings.ladder().linksKb() / (rates.get(rates.size() / 2) * USUAL_STAY) / settings.balancers();
-        watch = new Watch(terms, Math.max(0.5, usual), settings.balancers());
+        double usual = settings.ladder().linksKb() / (rates.get(rates.size() / 2) * USUAL_STAY) / settings.brokers();
+        watch = new Watch(terms, Math.max(0.5, usual), settings.brokers());
         calendar = new Calendar(terms.slot());
         visits = new Visits(terms);
         waiting = new WaitingRoom(terms);
         budget = new RetryBudget(terms);
         cold = new ColdPace(settings, terms);
-        this.module = module.apply(new Inner());
+        this.nextDirector = module.apply(new Inner());
     }
 
     /** Seconds of a session, before any was seen. */
@@ -153,18 +153,18 @@
 
     @Override
     public void request(long at, Request r) {
-        begin(at);
+        beforeEvent(at);
         SessionClass cls = classes.get(r.className());
         if (cls == null) {
-            module.request(at, r); // the module's to fail
+            nextDirector.request(at, r); // the module's to fail
             return;
         }
         counts.requests++;
         String key = Visits.key(r.viewer(), r.title(), r.className());
         Visit visit = visits.come(at, key);
         Standing standing = visits.standing(at, visit);
-        boolean again = visit.tries > 1 || r.retry() || r.back();
-        watch.arrived(at, again && !r.moved());
+        boolean again = visit.tries > 1 || r.retry() || r.afterRefusal();
+        watch.arrived(at, again && !r.afterMove());
         if (!again) {
             fresh.add(at, 1);
             budget.fresh(at);
@@ -200,9 +200,9 @@
                         w.visit(),
                         Visits.key(r.viewer(), r.title(), r.className()),
                         w.standing(),
-                        w.visit().tries > 1 || r.retry() || r.back()));
+                        w.visit().tries > 1 || r.retry() || r.afterRefusal()));
         long waited = now - w.came();
-        module.request(
+        nextDirector.request(
                 now,
                 waited == 0
                         ? r
@@ -211,14 +211,14 @@
                                 r.className(),
                                 r.viewer(),
                                 r.title(),
-                                r.patience() - waited,
-                                r.length(),
-                                r.home(),
+                                r.clientDeadline() - waited,
+                                r.expectedDuration(),
+                                r.homeCell(),
                                 r.copies(),
-                                r.top(),
+                                r.highestRendition(),
                                 r.retry(),
-                                r.moved(),
-                                r.back()));
+                                r.afterMove(),
+                                r.afterRefusal()));
     }
 
     /** Refuses, at once, a request that never went out. */
@@ -249,9 +249,9 @@
 
     /** When the viewer is to come back, from now; 0 where no time may be told. */
     private long appoint(String request, Visit v, Standing standing) {
-        long longest = settings.limits().maxComeBack();
+        long longest = settings.limits().maxRetryAfter();
         longest = terms.longest() > 0 ? Math.min(terms.longest(), longest) : longest;
-        long unit = Math.max(1, out.comeBackUnit(request));
+        long unit = Math.max(1, out.retryAfterUnit(request));
         if (longest < unit) {
             v.appointed = 0;
             return 0;
@@ -335,9 +335,9 @@
     // ---- Time and peers.
 
     @Override
-    protected void begin(long at) {
+    protected void beforeEvent(long at) {
         now = Math.max(now, at);
-        double shared = out.newcomers();
+        double shared = out.newSessionShare();
         if (shared >= 0) {
             cold.part(shared); // leased: no guess by the others' notes is needed
         }
@@ -369,9 +369,9 @@
 
     @Override
     public void timer(long at, String key) {
-        begin(at);
+        beforeEvent(at);
         if (!key.equals(KEY)) {
-            module.timer(at, key);
+            nextDirector.timer(at, key);
             return;
         }
         if (at < armedFor) {
@@ -398,7 +398,7 @@
             slots = promised[i] > 0 ? i + 1 : slots;
         }
         counts.notesSent++;
-        out.tell(new Note(
+        out.broadcast(new Note(
                         watch.state(),
                         (int) (terms.slot() / 1000),
                         watch.fast(at),
@@ -411,14 +411,14 @@
     }
 
     @Override
-    public void told(long at, int from, byte[] message) {
-        begin(at);
+    public void peerMessageReceived(long at, int from, byte[] message) {
+        beforeEvent(at);
         if (!Note.mine(message)) {
-            module.told(at, from, message);
+            nextDirector.peerMessageReceived(at, from, message);
             return;
         }
         Note n = Note.read(message);
-        if (n == null || from < 0 || from >= settings.balancers() || from == settings.me()) {
+        if (n == null || from < 0 || from >= settings.brokers() || from == settings.brokerNumber()) {
             counts.notesPassedOver++;
             return;
         }
@@ -436,9 +436,9 @@
             }
         }
         // Those that are silent may be starting: their even share is left to them.
-        double spoken = known / (double) settings.balancers();
-        if (out.newcomers() < 0) {
-            cold.part(all > 0 ? spoken * own / all : 1.0 / settings.balancers());
+        double spoken = known / (double) settings.brokers();
+        if (out.newSessionShare() < 0) {
+            cold.part(all > 0 ? spoken * own / all : 1.0 / settings.brokers());
         }
     }
 
@@ -446,14 +446,14 @@
 
     @Override
     public void connected(long at) {
-        begin(at);
+        beforeEvent(at);
         watch.connected(at);
-        module.connected(at);
+        nextDirector.connected(at);
     }
 
     @Override
-    public void first(long at, String request, int attempt, String server) {
-        begin(at);
+    public void sessionStarted(long at, String request, int attempt, String server) {
+        beforeEvent(at);
         Held h = held.remove(request);
         if (h != null) {
             if (h.again && h.standing != Standing.EARLY) {
@@ -462,45 +462,45 @@
             unbook(h.visit);
             visits.over(h.key);
         }
-        module.first(at, request, attempt, server);
+        nextDirector.sessionStarted(at, request, attempt, server);
     }
 
     @Override
     public void outcome(
             long at, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
-        begin(at);
+        beforeEvent(at);
         if (outcome == Outcome.TIMEOUT && !last) {
             watch.troubled(at);
         }
         if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET && last) {
             cold.lost(at, server);
         }
-        module.outcome(at, request, attempt, server, outcome, last, report);
+        nextDirector.outcome(at, request, attempt, server, outcome, last, report);
         if (last) {
             held.remove(request);
         }
     }
 
     @Override
-    public void gone(long at, String request) {
-        begin(at);
+    public void requestCancelled(long at, String request) {
+        beforeEvent(at);
         if (waiting.remove(request) == null) {
             held.remove(request);
-            module.gone(at, request);
+            nextDirector.requestCancelled(at, request);
         }
     }
 
     @Override
-    public void members(long at, Scope scope, List<Server> servers) {
-        begin(at);
-        if (scope != Scope.ERROR) {
+    public void serversChanged(long at, ListScope scope, List<Server> servers) {
+        beforeEvent(at);
+        if (scope != ListScope.ERROR) {
             cold.members(at, scope, servers);
         }
-        module.members(at, scope, servers);
+        nextDirector.serversChanged(at, scope, servers);
     }
 
     /** What the module may do, on its way to the broker. */
-    private final class Inner extends Through {
+    private final class Inner extends ForwardingActions {
         Inner() {
             super(Damper.this.out);
         }
@@ -514,7 +514,7 @@
                 room.sent(now);
             }
             cold.sent(now, server);
-            out.send(request, server, allow);
+            delegate.send(request, server, allow);
         }
 
         @Override
@@ -524,7 +524,7 @@
             if (h != null && h.again && h.standing != Standing.EARLY) {
                 room.kept(false);
             }
-            out.refuse(request, h == null ? comeBack : appoint(request, h.visit, h.standing));
+            delegate.refuse(request, h == null ? comeBack : appoint(request, h.visit, h.standing));
         }
 
         @Override
@@ -534,12 +534,12 @@
                 unbook(h.visit);
                 visits.over(h.key); // it may have run: its viewer is told so, not to come again
             }
-            out.fail(request);
+            delegate.fail(request);
         }
 
         @Override
-        public boolean mayTryAgain() {
-            return budget.may(now) && out.mayTryAgain();
+        public boolean mayRetry() {
+            return budget.may(now) && delegate.mayRetry();
         }
 
         @Override
--- a/src/main/java/dockshed/storm/WaitingRoom.java
+++ b/src/main/java/dockshed/storm/WaitingRoom.java
@@ -52,7 +52,7 @@
 
     /** Until when a request may wait. */
     long until(Waiter w) {
-        return w.came() + Math.min(terms.hold(), (long) (PART * w.request().patience()));
+        return w.came() + Math.min(terms.hold(), (long) (PART * w.request().clientDeadline()));
     }
 
     /**
--- a/src/test/java/dockshed/Bench.java
+++ b/src/test/java/dockshed/Bench.java
@@ -1,21 +1,21 @@
 package dockshed;
 
 import dockshed.Director.Effect;
-import dockshed.Director.Field;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
 import dockshed.Director.Limits;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.Director.Prices;
+import dockshed.Director.ReportField;
 import dockshed.Director.Request;
 import dockshed.Director.Rules;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import dockshed.choice.Choice;
 import java.util.ArrayList;
 import java.util.List;
@@ -69,15 +69,15 @@
                 balancers,
                 "here",
                 classes,
-                List.of(new Kind("box", streams)),
+                List.of(new ServerKind("box", streams)),
                 ladder,
                 new Limits(attempts, false, false, 250_000, 500_000, 800_000, 3 * S),
                 rules,
                 new Prices(0.04, 0.05, 0, handshake),
-                List.of(Field.LINK));
+                List.of(ReportField.LINK));
         d = new Choice(settings, seed, this);
-        d.members(now, Scope.DISK, List.of(servers));
-        d.members(now, Scope.CHANGES, List.of());
+        d.serversChanged(now, ListScope.DISK, List.of(servers));
+        d.serversChanged(now, ListScope.CHANGES, List.of());
         return this;
     }
 
@@ -99,8 +99,8 @@
 
     /** A session that plays already at the start. */
     void open(String id, String server, int rung) {
-        d.open(now, wish(id, classes.get(0).name()), server);
-        d.note(now, id, server, Topic.RUNG, rung);
+        d.adoptSession(now, wish(id, classes.get(0).name()), server);
+        d.metricReceived(now, id, server, Metric.RENDITION, rung);
     }
 
     void request(String id) {
@@ -112,8 +112,8 @@
         request(id, cls);
         String to = sentTo(id);
         if (to != null) {
-            d.first(now, id, 0, to);
-            d.note(now, id, to, Topic.LINK, 0.5);
+            d.sessionStarted(now, id, 0, to);
+            d.metricReceived(now, id, to, Metric.LINK, 0.5);
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void rate(String request, int rung) {
+    public void setRendition(String request, int rung) {
         log.add("rate " + request + " " + rung);
     }
 
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         log.add("tell");
     }
 
--- a/src/test/java/dockshed/CapacityTest.java
+++ b/src/test/java/dockshed/CapacityTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.choice.Choice;
 import dockshed.config.Config;
@@ -67,9 +67,9 @@
             Choice[] module = {null};
             Broker broker =
                     new Broker(c.settings(), a -> module[0] = new Choice(c.settings(), 1, a), m -> {}, stage.deadlines);
-            broker.members(stage.now, "names", Scope.DISK, servers);
-            broker.members(stage.now, "names", Scope.CHANGES, List.of());
-            assertEquals(count, module[0].known());
+            broker.members(stage.now, "names", ListScope.DISK, servers);
+            broker.members(stage.now, "names", ListScope.CHANGES, List.of());
+            assertEquals(count, module[0].knownServers());
             long connection = broker.connected(stage.now, stage, h -> {});
             for (int i = 0; i < 300; i++) {
                 String name = "v" + i;
@@ -85,7 +85,7 @@
                 stage.pass(10_000);
             }
             assertEquals(300, broker.counts().served);
-            broker.members(stage.now, "names", Scope.SNAPSHOT, servers.subList(0, count / 2));
+            broker.members(stage.now, "names", ListScope.SNAPSHOT, servers.subList(0, count / 2));
             broker.lost(stage.now, stage, servers.get(0).id(), stage.now);
         }
     }
--- a/src/test/java/dockshed/ChoiceTest.java
+++ b/src/test/java/dockshed/ChoiceTest.java
@@ -6,12 +6,12 @@
 
 import dockshed.Director.Effect;
 import dockshed.Director.Ladder;
+import dockshed.Director.ListScope;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
 import dockshed.Director.SessionClass;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -29,11 +29,11 @@
     void aFullServerRefusesAtOnce() {
         Bench b = new Bench().start(Bench.server("a", 0));
         b.play("r0", "film");
-        b.d.note(b.now, "r0", "a", Topic.LINK, 1.1);
+        b.d.metricReceived(b.now, "r0", "a", Metric.LINK, 1.1);
         b.d.timer(b.now, "sweep");
         b.request("r1");
         assertEquals(1, b.count("refuse r1") + b.count("send r1"));
-        b.d.note(b.now, "r0", "a", Topic.LINK, 3);
+        b.d.metricReceived(b.now, "r0", "a", Metric.LINK, 3);
         b.request("r2");
         assertEquals(1, b.count("refuse r2"));
     }
@@ -46,7 +46,7 @@
         b.play("p0", "plain");
         b.play("p1", "plain");
         b.now += S;
-        b.d.note(b.now, "p0", "a", Topic.LINK, 0.9);
+        b.d.metricReceived(b.now, "p0", "a", Metric.LINK, 0.9);
         long before = b.count("rate p");
         b.request("h", "premium");
         assertEquals(1, b.count("send h"));
@@ -62,7 +62,7 @@
         }
         long before = b.count("rate ");
         b.now += 2 * S;
-        b.d.note(b.now, "r0", "a", Topic.LINK, 1.5);
+        b.d.metricReceived(b.now, "r0", "a", Metric.LINK, 1.5);
         assertTrue(b.count("rate ") > before);
     }
 
@@ -72,7 +72,8 @@
         Bench b = new Bench();
         b.balancers = 6;
         b.start(Bench.server("a", 0), Bench.server("b", 2), Bench.server("c", 1));
-        b.d.members(b.now, Scope.DISK, List.of(Bench.server("a", 0), Bench.server("b", 2), Bench.server("c", 1)));
+        b.d.serversChanged(
+                b.now, ListScope.DISK, List.of(Bench.server("a", 0), Bench.server("b", 2), Bench.server("c", 1)));
         b.request("r");
         assertEquals(1, b.count("send r"));
     }
@@ -88,7 +89,7 @@
         String server = b.sentTo("r0");
         b.now += 2 * S;
         int before = b.log.size();
-        b.d.note(b.now, "r0", server, Topic.DELIVERED, 0.7);
+        b.d.metricReceived(b.now, "r0", server, Metric.DELIVERED, 0.7);
         List<String> acts = b.log.subList(before, b.log.size());
         assertTrue(acts.stream().anyMatch(l -> l.startsWith("rate ")), acts.toString());
         for (String act : acts) {
@@ -104,9 +105,9 @@
             b.play("r" + i, "film");
         }
         b.now += 3 * S;
-        b.d.note(b.now, "r0", "a", Topic.LINK, 6);
+        b.d.metricReceived(b.now, "r0", "a", Metric.LINK, 6);
         b.now += 3 * S;
-        b.d.note(b.now, "r0", "a", Topic.LINK, 0.8);
+        b.d.metricReceived(b.now, "r0", "a", Metric.LINK, 0.8);
         int before = b.log.size();
         b.now += 9 * S;
         b.d.timer(b.now, "sweep");
@@ -147,13 +148,13 @@
     void oddInputIsPassedOver() {
         Bench b = new Bench().start(Bench.server("a", 0));
         b.d.timer(b.now, "long past");
-        b.d.note(b.now, "unknown", "a", Topic.DELIVERED, 0.5);
-        b.d.note(b.now, "unknown", "a", Topic.UPLINK, 0);
-        b.d.gone(b.now, "unknown");
-        b.d.told(b.now, 1, new byte[0]);
+        b.d.metricReceived(b.now, "unknown", "a", Metric.DELIVERED, 0.5);
+        b.d.metricReceived(b.now, "unknown", "a", Metric.UPLINK, 0);
+        b.d.requestCancelled(b.now, "unknown");
+        b.d.peerMessageReceived(b.now, 1, new byte[0]);
         b.d.probed(b.now, "nowhere", true, Director.LoadReport.NONE);
-        b.d.members(b.now, Scope.ERROR, List.of());
-        b.d.members(b.now, Scope.SNAPSHOT, List.of());
+        b.d.serversChanged(b.now, ListScope.ERROR, List.of());
+        b.d.serversChanged(b.now, ListScope.SNAPSHOT, List.of());
         b.request("r");
         assertEquals(1, b.count("refuse r"));
         b.request("s", "no such class");
@@ -229,7 +230,7 @@
             b.start(Bench.server("a", 0));
             b.open("r", "a", 2);
             b.now += 3 * S;
-            b.d.note(b.now, "r", "a", Topic.LINK, 1.25);
+            b.d.metricReceived(b.now, "r", "a", Metric.LINK, 1.25);
             asked += rates.get(2);
             String last = b.log.get(b.log.size() - 1);
             shed += last.startsWith("rate r ") ? rates.get(2) - rates.get(Integer.parseInt(last.substring(7))) : 0;
@@ -247,8 +248,8 @@
         b.request("r");
         assertEquals("a", b.sentTo("r"));
         long before = b.count("rate r");
-        b.d.first(b.now, "r", 0, "a");
-        b.d.note(b.now, "r", "a", Topic.LINK, 0.3);
+        b.d.sessionStarted(b.now, "r", 0, "a");
+        b.d.metricReceived(b.now, "r", "a", Metric.LINK, 0.3);
         assertEquals(before + 1, b.count("rate r"), b.log.toString());
     }
 
@@ -270,16 +271,16 @@
     void aServerThatLeftCountsForNothingAnyMore() {
         // Each one that had left stayed in the tables, and its link in the sum of all links, for the rest of the day.
         Bench b = new Bench().start(Bench.server("a", 0), Bench.server("b", 0));
-        int two = b.d.known();
-        b.d.members(
+        int two = b.d.knownServers();
+        b.d.serversChanged(
                 b.now,
-                Scope.CHANGES,
+                ListScope.CHANGES,
                 List.of(Bench.server("b", 0, State.GONE, 0), Bench.server("c", 0, State.DRAINING, 0)));
         b.d.timer(b.now, "sweep");
-        assertEquals(two, b.d.known()); // c drains, and may have sessions of others
-        b.d.members(b.now, Scope.SNAPSHOT, List.of(Bench.server("a", 0)));
+        assertEquals(two, b.d.knownServers()); // c drains, and may have sessions of others
+        b.d.serversChanged(b.now, ListScope.SNAPSHOT, List.of(Bench.server("a", 0)));
         b.d.timer(b.now, "sweep");
-        assertEquals(1, b.d.known());
+        assertEquals(1, b.d.knownServers());
     }
 
     @Test
@@ -310,15 +311,15 @@
         b.start(servers);
         b.open("o1", "s0", 0);
         b.open("o2", "s1", 0);
-        b.d.note(b.now, "o1", "s0", Topic.LINK, 0.1);
-        b.d.note(b.now, "o2", "s1", Topic.LINK, 0.1);
+        b.d.metricReceived(b.now, "o1", "s0", Metric.LINK, 0.1);
+        b.d.metricReceived(b.now, "o2", "s1", Metric.LINK, 0.1);
         for (int i = 0; i < 6; i++) {
             b.request("r" + i);
             String to = b.sentTo("r" + i);
             assertTrue(to.equals("s0") || to.equals("s1"), to);
-            b.d.gone(b.now, "r" + i);
+            b.d.requestCancelled(b.now, "r" + i);
         }
-        b.d.note(b.now, "o1", "s0", Topic.LINK, 1.2); // full: another line is worth its price
+        b.d.metricReceived(b.now, "o1", "s0", Metric.LINK, 1.2); // full: another line is worth its price
         b.request("last");
         assertTrue(!"s0".equals(b.sentTo("last")), b.log.toString());
     }
@@ -332,8 +333,8 @@
             b.uplinkKb = 1000; // a rack's, told 2,000 as all stands in one of two
             b.start(Bench.server("a", 0));
             b.request("r0");
-            b.d.first(b.now, "r0", 0, "a");
-            b.d.note(b.now, "r0", "a", Topic.LINK, 0.08);
+            b.d.sessionStarted(b.now, "r0", 0, "a");
+            b.d.metricReceived(b.now, "r0", "a", Metric.LINK, 0.08);
             assertEquals(balancers == 1 ? 1 : 0, b.count("rate r0 4"), b.log.toString());
             assertEquals(1, b.count("send r0"));
         }
@@ -368,8 +369,8 @@
                                     true)); // held by no server: refused whatever the room
                 }
             }
-            b.d.note(b.now, "o", "a", Topic.LINK, 0.5);
-            b.d.note(b.now, "p", "b", Topic.LINK, 0.5);
+            b.d.metricReceived(b.now, "o", "a", Metric.LINK, 0.5);
+            b.d.metricReceived(b.now, "p", "b", Metric.LINK, 0.5);
             b.d.timer(b.now, "sweep");
             b.log.clear();
             b.request("r");
--- a/src/test/java/dockshed/RulesTest.java
+++ b/src/test/java/dockshed/RulesTest.java
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director.Effect;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.Director.Rules;
-import dockshed.Director.Scope;
 import dockshed.Director.SessionClass;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -32,7 +32,7 @@
         b.end("r", Outcome.TIMEOUT, false);
         assertEquals(1, b.count("fail r"));
         b.end("r", Outcome.TIMEOUT, false);
-        b.d.gone(b.now, "r");
+        b.d.requestCancelled(b.now, "r");
         assertEquals(1, b.count("fail r") + b.count("refuse r"));
     }
 
@@ -40,10 +40,10 @@
     void whatIsOverIsNeverAnsweredAgain() {
         Bench b = new Bench().start(Bench.server("a", 0));
         b.request("r");
-        b.d.first(b.now, "r", 0, "a");
+        b.d.sessionStarted(b.now, "r", 0, "a");
         b.end("r", Outcome.RESET, true);
-        b.d.first(b.now, "r", 0, "a");
-        b.d.note(b.now, "r", "nowhere", Topic.LINK, 2);
+        b.d.sessionStarted(b.now, "r", 0, "a");
+        b.d.metricReceived(b.now, "r", "nowhere", Metric.LINK, 2);
         b.d.outcome(b.now, "r", 0, "nowhere", Outcome.OK, true, LoadReport.NONE);
         assertEquals(0, b.count("fail r") + b.count("refuse r"));
     }
@@ -81,10 +81,10 @@
     @Test
     void nothingGoesToAServerThatDrainsOrIsAbsentFromASnapshot() {
         Bench b = new Bench().start(Bench.server("a", 0), Bench.server("b", 1));
-        b.d.members(b.now, Scope.CHANGES, List.of(Bench.server("a", 0, State.DRAINING, 0)));
+        b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("a", 0, State.DRAINING, 0)));
         b.request("r1");
         assertEquals("b", b.sentTo("r1"));
-        b.d.members(b.now, Scope.SNAPSHOT, List.of(Bench.server("a", 0, State.DRAINING, 0)));
+        b.d.serversChanged(b.now, ListScope.SNAPSHOT, List.of(Bench.server("a", 0, State.DRAINING, 0)));
         b.request("r2");
         assertNull(b.sentTo("r2"));
         assertEquals(1, b.count("refuse r2"));
@@ -99,7 +99,7 @@
             b.balancers = 3;
             b.me = me;
             b.start(Bench.server("a", 0));
-            b.d.members(b.now, Scope.CHANGES, List.of(Bench.server("a", 0, State.UP, b.now)));
+            b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("a", 0, State.UP, b.now)));
             for (int i = 0; i < 40; i++) {
                 b.request("r" + i);
                 b.now += S / 20;
@@ -114,7 +114,7 @@
         Bench b = new Bench();
         b.balancers = 3;
         b.start(Bench.server("a", 0));
-        b.d.members(b.now, Scope.DISK, List.of(Bench.server("a", 0)));
+        b.d.serversChanged(b.now, ListScope.DISK, List.of(Bench.server("a", 0)));
         b.request("r1");
         b.request("r2");
         assertEquals(1, b.count("send "));
@@ -186,7 +186,7 @@
                 b.now += 2 * S;
             }
             long before = b.count("send ");
-            b.d.members(b.now, Scope.CHANGES, List.of(Bench.server("a", 0, State.UP, b.now - me * S / 50)));
+            b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("a", 0, State.UP, b.now - me * S / 50)));
             b.request("r");
             sent += b.count("send ") - before;
         }
@@ -215,9 +215,9 @@
             b.start(Bench.server("w0", 0), Bench.server("w1", 1), Bench.server("w2", 2), Bench.server("c", 0));
             for (int i = 0; r.full && i < 3; i++) {
                 b.open("o" + i, "w" + i, 0);
-                b.d.note(b.now, "o" + i, "w" + i, Director.Topic.LINK, 1.3);
+                b.d.metricReceived(b.now, "o" + i, "w" + i, Director.Metric.LINK, 1.3);
             }
-            b.d.members(b.now, Scope.CHANGES, List.of(Bench.server("c", 0, State.UP, begin)));
+            b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("c", 0, State.UP, begin)));
             all.add(b);
             sum += r.uneven && me % 10 == 0 ? 8 : 1; // one in ten has several times the mean
             upTo[me] = sum;
@@ -292,7 +292,7 @@
             }
             b.cells = fleet.length;
             b.start(fleet);
-            b.d.members(b.now, Scope.DISK, List.of(fleet));
+            b.d.serversChanged(b.now, ListScope.DISK, List.of(fleet));
             b.now += S;
             b.request("r");
             sent += b.count("send ");
--- a/src/test/java/dockshed/ScriptedDay.java
+++ b/src/test/java/dockshed/ScriptedDay.java
@@ -1,22 +1,22 @@
 package dockshed;
 
 import dockshed.Director.Effect;
-import dockshed.Director.Field;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
 import dockshed.Director.Limits;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.Director.Pace;
 import dockshed.Director.Prices;
+import dockshed.Director.ReportField;
 import dockshed.Director.Request;
 import dockshed.Director.Rules;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import dockshed.choice.Choice;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -128,11 +128,11 @@
         for (int i = 0; i < servers; i++) {
             list.add(server(i, State.UP, coldStart && i % 2 == 0 ? now - (i % 5) * S : 0));
         }
-        members(Scope.DISK, list);
+        members(ListScope.DISK, list);
         for (int i = 0; i < openAtStart; i++) {
             openOne(list.get(i % servers).id());
         }
-        members(Scope.CHANGES, coldStart ? list.subList(0, servers / 2) : List.of());
+        members(ListScope.CHANGES, coldStart ? list.subList(0, servers / 2) : List.of());
         for (int tick = 0; tick < seconds * (S / TICK); tick++) {
             now += TICK;
             fireTimers();
@@ -165,14 +165,14 @@
                 balancers,
                 "here",
                 classes,
-                List.of(new Kind("box", streams), new Kind("tower", 2 * streams)),
+                List.of(new ServerKind("box", streams), new ServerKind("tower", 2 * streams)),
                 ladder,
                 new Limits(3, false, false, 250_000, 500_000, SEEN_AFTER, reportsEvery),
                 new Rules(250_000, coldFrom, 12 * S, tipMultiple, fall, 2, 0.1, attemptsWindow),
                 new Prices(0.04, 0.05, 0, handshake),
                 tellsUplink
-                        ? List.of(Field.STREAMS, Field.LINK, Field.UPLINK)
-                        : List.of(Field.STREAMS, Field.LINK, Field.OTHER));
+                        ? List.of(ReportField.STREAMS, ReportField.LINK, ReportField.UPLINK)
+                        : List.of(ReportField.STREAMS, ReportField.LINK, ReportField.OTHER));
     }
 
     private Server server(int number, State state, long upSince) {
@@ -186,11 +186,11 @@
                 upSince);
     }
 
-    private void members(Scope scope, List<Server> list) {
+    private void members(ListScope scope, List<Server> list) {
         for (Server info : list) {
             boxes.computeIfAbsent(info.id(), id -> new Box()).info = info;
         }
-        director.members(now, scope, list);
+        director.serversChanged(now, scope, list);
     }
 
     private Request wish(String id) {
@@ -218,8 +218,8 @@
         call.rung = random.nextInt(5);
         call.endAt = now + length();
         calls.put(id, call);
-        director.open(now, call.request, server);
-        director.note(now, id, server, Topic.RUNG, call.rung);
+        director.adoptSession(now, call.request, server);
+        director.metricReceived(now, id, server, Metric.RENDITION, call.rung);
     }
 
     private long length() {
@@ -238,18 +238,18 @@
     private void change(int step) {
         int some = step % servers;
         switch (step % 6) {
-            case 0 -> members(Scope.CHANGES, List.of(server(some, State.DRAINING, 0)));
-            case 1 -> members(Scope.CHANGES, List.of(server(servers + step, State.UP, now - S)));
-            case 2 -> members(Scope.ERROR, List.of());
+            case 0 -> members(ListScope.CHANGES, List.of(server(some, State.DRAINING, 0)));
+            case 1 -> members(ListScope.CHANGES, List.of(server(servers + step, State.UP, now - S)));
+            case 2 -> members(ListScope.ERROR, List.of());
             case 3 -> {
                 List<Server> all = new ArrayList<>();
                 for (int i = 0; i < servers; i++) {
                     all.add(server(i, State.UP, restarts && i % 3 == 0 ? now - S / 2 : 0));
                 }
-                members(Scope.SNAPSHOT, all);
+                members(ListScope.SNAPSHOT, all);
             }
-            case 4 -> members(Scope.CHANGES, List.of(server(some, State.GONE, 0)));
-            default -> members(Scope.CHANGES, List.of(server(some, State.UP, restarts ? now : 0)));
+            case 4 -> members(ListScope.CHANGES, List.of(server(some, State.GONE, 0)));
+            default -> members(ListScope.CHANGES, List.of(server(some, State.UP, restarts ? now : 0)));
         }
     }
 
@@ -283,7 +283,7 @@
             String id = call.request.id();
             if (random.nextInt(60) == 0) {
                 calls.remove(id);
-                director.gone(now, id);
+                director.requestCancelled(now, id);
             } else if (random.nextDouble() < troubles) {
                 Outcome[] bad = Outcome.values();
                 Outcome outcome = bad[1 + random.nextInt(bad.length - 1)];
@@ -293,10 +293,10 @@
             } else {
                 call.playing = true;
                 call.endAt = now + length();
-                director.first(now, id, call.attempt, call.server);
-                director.note(now, id, call.server, Topic.LINK, asked(call.server));
+                director.sessionStarted(now, id, call.attempt, call.server);
+                director.metricReceived(now, id, call.server, Metric.LINK, asked(call.server));
                 if (tellsUplink && calls.containsKey(id)) {
-                    director.note(now, id, call.server, Topic.UPLINK, uplinkAsked(call.server));
+                    director.metricReceived(now, id, call.server, Metric.UPLINK, uplinkAsked(call.server));
                 }
             }
         }
@@ -311,7 +311,7 @@
             calls.remove(id);
             int how = random.nextInt(20);
             if (how == 0) {
-                director.gone(now, id);
+                director.requestCancelled(now, id);
             } else {
                 Outcome outcome = how == 1 ? Outcome.RESET : how == 2 ? Outcome.ERROR : Outcome.OK;
                 director.outcome(now, id, call.attempt, call.server, outcome, how != 1, report(call.server));
@@ -341,14 +341,15 @@
             String server = one.server;
             double asked = asked(server);
             double uplink = uplinkAsked(server);
-            director.note(now, id, server, Topic.LINK, asked);
+            director.metricReceived(now, id, server, Metric.LINK, asked);
             if (tellsUplink) {
-                director.note(now, id, server, Topic.UPLINK, uplink);
+                director.metricReceived(now, id, server, Metric.UPLINK, uplink);
             }
-            director.note(now, id, server, Topic.DELIVERED, Math.min(1, 1 / Math.max(1e-3, Math.max(asked, uplink))));
+            director.metricReceived(
+                    now, id, server, Metric.DELIVERED, Math.min(1, 1 / Math.max(1e-3, Math.max(asked, uplink))));
             if (random.nextInt(10) == 0) {
                 one.rung = random.nextInt(5);
-                director.note(now, id, server, Topic.RUNG, one.rung);
+                director.metricReceived(now, id, server, Metric.RENDITION, one.rung);
             }
         }
     }
@@ -409,7 +410,7 @@
     }
 
     @Override
-    public void rate(String request, int rung) {
+    public void setRendition(String request, int rung) {
         write("rate", request, rung);
         calls.get(request).rung = rung;
     }
@@ -425,7 +426,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         write("tell", Arrays.toString(message));
     }
 
@@ -436,7 +437,7 @@
     }
 
     @Override
-    public boolean mayTryAgain() {
+    public boolean mayRetry() {
         return budget || now / S % 3 != 0;
     }
 
@@ -449,12 +450,12 @@
     }
 
     @Override
-    public double newcomers() {
+    public double newSessionShare() {
         return newcomers;
     }
 
     @Override
-    public boolean shunned(String server) {
+    public boolean shouldAvoid(String server) {
         return shuns && (now / (4 * S) + server.hashCode()) % 5 == 0;
     }
 }
--- a/src/test/java/dockshed/capacity/SetupFixture.java
+++ b/src/test/java/dockshed/capacity/SetupFixture.java
@@ -2,21 +2,21 @@
 
 import dockshed.Director;
 import dockshed.Director.Effect;
-import dockshed.Director.Field;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
 import dockshed.Director.Limits;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.Director.Prices;
+import dockshed.Director.ReportField;
 import dockshed.Director.Request;
 import dockshed.Director.Rules;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import dockshed.choice.Choice;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -82,7 +82,7 @@
         }
 
         @Override
-        public void rate(String request, int rung) {}
+        public void setRendition(String request, int rung) {}
 
         @Override
         public void move(String request) {}
@@ -91,7 +91,7 @@
         public void probe(String server) {}
 
         @Override
-        public void tell(byte[] message) {}
+        public void broadcast(byte[] message) {}
 
         @Override
         public void timer(String key, long at) {
@@ -113,12 +113,12 @@
         this.size = size;
         this.cost = cost;
         director = new Choice(settings(size), SEED, recorder);
-        director.members(now, Scope.DISK, servers(size.servers()));
-        director.members(now, Scope.CHANGES, List.of());
+        director.serversChanged(now, ListScope.DISK, servers(size.servers()));
+        director.serversChanged(now, ListScope.CHANGES, List.of());
         for (int session = 0; session < size.sessions(); session++) {
             Request request = nextRequest();
             String server = serverId(session % size.servers());
-            director.open(now, request, server);
+            director.adoptSession(now, request, server);
             playing.add(new Playing(request.id(), server));
         }
     }
@@ -133,12 +133,12 @@
                 BROKERS,
                 "here",
                 List.of(new SessionClass(CLASS, Effect.SAFE, SECOND, 4 * SECOND, 1, 1, 0, RATES.size() - 1, 0)),
-                List.of(new Kind("box", STREAMS)),
+                List.of(new ServerKind("box", STREAMS)),
                 ladder,
                 new Limits(3, false, false, 250_000, 500_000, 800_000, 3 * SECOND),
                 new Rules(250_000, 0.4, 12 * SECOND, 2, 2 * SECOND, 0, 0, 0),
                 new Prices(0.04, 0.05, 0, 0),
-                size.uplinkTold() ? List.of(Field.LINK, Field.UPLINK) : List.of(Field.LINK));
+                size.uplinkTold() ? List.of(ReportField.LINK, ReportField.UPLINK) : List.of(ReportField.LINK));
     }
 
     private static List<Server> servers(int count) {
@@ -201,10 +201,10 @@
         cost.start();
         for (int i = 0; i < BATCH; i++) {
             if (sentTo[i] != null) {
-                director.first(now, wanted[i].id(), 0, sentTo[i]);
-                director.note(now, wanted[i].id(), sentTo[i], Topic.LINK, LINK_USED);
+                director.sessionStarted(now, wanted[i].id(), 0, sentTo[i]);
+                director.metricReceived(now, wanted[i].id(), sentTo[i], Metric.LINK, LINK_USED);
                 if (size.uplinkTold()) {
-                    director.note(now, wanted[i].id(), sentTo[i], Topic.UPLINK, LINK_USED);
+                    director.metricReceived(now, wanted[i].id(), sentTo[i], Metric.UPLINK, LINK_USED);
                 }
             }
         }
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director;
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.State;
 import java.util.List;
 import java.util.Map;
@@ -49,9 +49,9 @@
         assertEquals(1, c.settings().classes().get(0).floor());
         assertEquals(State.DRAINING, c.known().get(1).members().get(0).server().state());
         assertEquals(1_500_000, c.known().get(1).members().get(0).server().upSince());
-        assertEquals(Scope.DISK, Config.scope(c.known().get(0), true));
-        assertEquals(Scope.CHANGES, Config.scope(c.known().get(1), false));
-        assertEquals(Scope.SNAPSHOT, Config.scope(c.known().get(0), false));
+        assertEquals(ListScope.DISK, Config.scope(c.known().get(0), true));
+        assertEquals(ListScope.CHANGES, Config.scope(c.known().get(1), false));
+        assertEquals(ListScope.SNAPSHOT, Config.scope(c.known().get(0), false));
     }
 
     @Test
--- a/src/test/java/dockshed/core/BrokerTest.java
+++ b/src/test/java/dockshed/core/BrokerTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dockshed.Director.ListScope;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -125,7 +125,7 @@
 
     @Test
     void nothingNewGoesToABoxLongAfterItWasToldToDrain() {
-        s.list(Scope.CHANGES, State.DRAINING, "a");
+        s.list(ListScope.CHANGES, State.DRAINING, "a");
         s.log.clear();
         s.ask("v1", "safe");
         assertEquals(1, s.count("box a setUp"), "what was decided before the news may still go");
@@ -135,15 +135,15 @@
         s.ask("v2", "safe");
         assertEquals(List.of("module outcome 0 a MOOT", "box b setUp v2 left=2990"), s.log);
         assertFalse(s.broker.takes(s.now, "a"));
-        s.list(Scope.CHANGES, State.UP, "a");
+        s.list(ListScope.CHANGES, State.UP, "a");
         assertTrue(s.broker.takes(s.now, "a"));
     }
 
     @Test
     void theSameNewsAgainDoesNotLengthenTheGrace() {
-        s.list(Scope.CHANGES, State.DRAINING, "a");
+        s.list(ListScope.CHANGES, State.DRAINING, "a");
         s.pass(600 * MS);
-        s.list(Scope.CHANGES, State.GONE, "a");
+        s.list(ListScope.CHANGES, State.GONE, "a");
         s.pass(200 * MS);
         assertFalse(s.broker.takes(s.now, "a"));
     }
@@ -151,7 +151,7 @@
     @Test
     void aClassNeverPlaysUnderItsFloor() {
         s.onRequest = r -> {
-            s.actions.rate(r.id(), 0);
+            s.actions.setRendition(r.id(), 0);
             s.actions.send(r.id(), "a", 0);
         };
         s.ask("v1", "paid");
@@ -174,7 +174,7 @@
             s.actions.send(r.id(), "a", 0);
         };
         s.ask("v1", "safe");
-        s.actions.rate(id[0], 3);
+        s.actions.setRendition(id[0], 3);
         assertEquals(0, s.count("box a rate"));
         s.broker.answered(s.now, "a", "v1", "answer");
         assertEquals(1, s.count("box a rate v1 3"));
@@ -296,13 +296,13 @@
     void anOpenSessionIsHeldOnceAndHeardOf() {
         s.broker.open(s.now, s.connection, s, s, Stage.wish("v1", "safe"), "b");
         s.broker.open(s.now, s.connection, s, s, Stage.wish("v1", "safe"), "b");
-        s.broker.note(s.now, "b", "v1", Topic.RUNG, 2);
+        s.broker.note(s.now, "b", "v1", Metric.RENDITION, 2);
         s.ended("b", "v1", Outcome.OK);
         assertEquals(
                 List.of(
                         "box b hold true",
                         "module open b",
-                        "module note RUNG 2.0",
+                        "module note RENDITION 2.0",
                         "front over v1 OK",
                         "box b hold false",
                         "module outcome 0 b OK last"),
@@ -318,11 +318,11 @@
             s.actions.send(r.id(), "a", 0);
         };
         s.play("v1", "safe");
-        s.actions.rate(id[0], 3);
-        s.broker.note(s.now, "a", "v1", Topic.RUNG, 1);
-        s.actions.rate(id[0], 1);
+        s.actions.setRendition(id[0], 3);
+        s.broker.note(s.now, "a", "v1", Metric.RENDITION, 1);
+        s.actions.setRendition(id[0], 1);
         assertEquals(
-                List.of("box a rate v1 3", "module note RUNG 1.0", "box a rate v1 1"),
+                List.of("box a rate v1 3", "module note RENDITION 1.0", "box a rate v1 1"),
                 s.log.subList(s.log.size() - 3, s.log.size()));
     }
 
@@ -331,8 +331,8 @@
         // Edge servers write the link's reading at a set-up ahead of the answer. It was dropped, so newcomers never
         // took their rung by it, and a later reading was taken for it.
         s.ask("v1", "safe");
-        s.broker.note(s.now, "a", "v1", Topic.LINK, 0.5);
-        s.broker.note(s.now, "b", "v1", Topic.LINK, 0.9);
+        s.broker.note(s.now, "a", "v1", Metric.LINK, 0.5);
+        s.broker.note(s.now, "b", "v1", Metric.LINK, 0.9);
         assertEquals(0, s.count("module note"));
         s.broker.answered(s.now, "a", "v1", "answer");
         assertEquals(
@@ -343,7 +343,7 @@
     void aNoteOfAnAttemptThatCameToNothingIsForgotten() {
         s.onOutcome = id -> s.actions.send(id, "b", 0);
         s.ask("v1", "safe");
-        s.broker.note(s.now, "a", "v1", Topic.LINK, 0.5);
+        s.broker.note(s.now, "a", "v1", Metric.LINK, 0.5);
         s.ended("a", "v1", Outcome.FULL);
         s.broker.answered(s.now, "b", "v1", "answer");
         assertEquals(0, s.count("module note"));
@@ -393,10 +393,10 @@
     @Test
     void aServerOnTwoListsCountsByTheWorse() {
         s.broker.members(
-                s.now, "eureka", Scope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, State.DRAINING, 1, 0)));
+                s.now, "eureka", ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, State.DRAINING, 1, 0)));
         assertEquals(List.of("module CHANGES a DRAINING"), s.log);
         s.log.clear();
-        s.broker.members(s.now, "eureka", Scope.SNAPSHOT, List.of());
+        s.broker.members(s.now, "eureka", ListScope.SNAPSHOT, List.of());
         assertEquals(List.of("module CHANGES a UP"), s.log);
     }
 
@@ -461,9 +461,9 @@
     @Test
     void aServerThatIsGoneIsForgottenInTheEnd() {
         // On a day of many replacements every id that ever was stayed in the broker's table.
-        s.list(Scope.CHANGES, State.GONE, "b");
+        s.list(ListScope.CHANGES, State.GONE, "b");
         s.pass(100 * S);
-        s.list(Scope.CHANGES, State.UP, "c");
+        s.list(ListScope.CHANGES, State.UP, "c");
         assertFalse(s.broker.open(s.now, s.connection, s, s, Stage.wish("v1", "safe"), "b"));
         assertTrue(s.broker.open(s.now, s.connection, s, s, Stage.wish("v1", "safe"), "c"));
     }
--- a/src/test/java/dockshed/core/Stage.java
+++ b/src/test/java/dockshed/core/Stage.java
@@ -2,16 +2,16 @@
 
 import dockshed.Director;
 import dockshed.Director.Effect;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -53,7 +53,7 @@
                 List.of(
                         new SessionClass("safe", Effect.SAFE, S, 3 * S, 1, 1, 0, 4, 0),
                         new SessionClass("paid", Effect.AT_MOST_ONCE, S, 4 * S, 3, 1, 1, 4, 0)),
-                List.of(new Kind("k", 40)),
+                List.of(new ServerKind("k", 40)),
                 new Ladder(List.of(1.0, 2.0, 3.0, 4.0, 5.0), List.of(.2, .4, .6, .8, 1.0), 100, 10, 100, 1, 3, 0, 7, 1),
                 new Limits(5, false, true, 250 * MS, 2 * S, S, 3 * S),
                 rules,
@@ -67,12 +67,12 @@
                 },
                 message -> say("peers " + message.length),
                 deadlines);
-        list(Scope.DISK, State.UP, "a", "b");
+        list(ListScope.DISK, State.UP, "a", "b");
         connection = broker.connected(now, this, h -> {});
         log.clear();
     }
 
-    public void list(Scope scope, State state, String... ids) {
+    public void list(ListScope scope, State state, String... ids) {
         List<Server> servers = new ArrayList<>();
         for (String id : ids) {
             servers.add(new Server(id, "east", "k", 0, state, 1, 0));
@@ -192,12 +192,12 @@
     }
 
     @Override
-    public void open(long at, Request r, String server) {
+    public void adoptSession(long at, Request r, String server) {
         say("module open " + server);
     }
 
     @Override
-    public void first(long at, String request, int attempt, String server) {
+    public void sessionStarted(long at, String request, int attempt, String server) {
         say("module first " + attempt + " " + server);
     }
 
@@ -212,17 +212,17 @@
     }
 
     @Override
-    public void note(long at, String request, String server, Topic topic, double value) {
+    public void metricReceived(long at, String request, String server, Metric topic, double value) {
         say("module note " + topic + " " + value);
     }
 
     @Override
-    public void gone(long at, String request) {
+    public void requestCancelled(long at, String request) {
         say("module gone");
     }
 
     @Override
-    public void members(long at, Scope scope, List<Server> servers) {
+    public void serversChanged(long at, ListScope scope, List<Server> servers) {
         servers.forEach(s -> say("module " + scope + " " + s.id() + " " + s.state()));
     }
 
@@ -230,7 +230,7 @@
     public void probed(long at, String server, boolean healthy, LoadReport report) {}
 
     @Override
-    public void told(long at, int from, byte[] message) {
+    public void peerMessageReceived(long at, int from, byte[] message) {
         say("module told " + from);
     }
 
--- a/src/test/java/dockshed/edge/EdgesTest.java
+++ b/src/test/java/dockshed/edge/EdgesTest.java
@@ -98,7 +98,7 @@
             broker.members(
                     clock.now(),
                     "names",
-                    Director.Scope.DISK,
+                    Director.ListScope.DISK,
                     List.of(new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0)));
             edges.addresses(Map.of("a", new InetSocketAddress("127.0.0.1", server.getLocalPort())));
             return null;
@@ -170,7 +170,7 @@
         say("note", "v1", -1, Map.of("note", "fill", "value", "0.93"));
         assertEquals("module note DELIVERED 0.93", stage.await("module note"));
         say("note", "v1", -1, Map.of("note", "grade", "value", "2"));
-        assertEquals("module note RUNG 2.0", stage.await("module note"));
+        assertEquals("module note RENDITION 2.0", stage.await("module note"));
         say("note", "v1", -1, Map.of("note", "local", "value", "x")); // no figure: passed over
         say("note", "v1", -1, Map.of("note", "local", "value", "1.5"));
         assertEquals("module note LINK 1.5", stage.await("module note"));
@@ -317,7 +317,7 @@
         };
         play("v1");
         net.call(() -> {
-            act.rate(id[0], 3);
+            act.setRendition(id[0], 3);
             broker.leave(clock.now(), "v1");
             return null;
         });
@@ -530,7 +530,7 @@
             broker.members(
                     clock.now(),
                     "names",
-                    Director.Scope.DISK,
+                    Director.ListScope.DISK,
                     ids.stream()
                             .map(id -> new Director.Server(id, "z", "k", 0, Director.State.UP, 1, 0))
                             .toList());
@@ -563,7 +563,7 @@
             broker.members(
                     clock.now(),
                     "names",
-                    Director.Scope.CHANGES,
+                    Director.ListScope.CHANGES,
                     List.of(new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
             edges.addresses(Map.of(
                     "a",
@@ -760,7 +760,7 @@
         broker.members(
                 clock.now(),
                 "names",
-                Director.Scope.CHANGES,
+                Director.ListScope.CHANGES,
                 List.of(new Director.Server("a", "z", "k", 0, state, 1, 0)));
     }
 
--- a/src/test/java/dockshed/fleet/AdmissionFilterTest.java
+++ b/src/test/java/dockshed/fleet/AdmissionFilterTest.java
@@ -40,7 +40,7 @@
         }
 
         @Override
-        public void rate(String request, int rung) {}
+        public void setRendition(String request, int rung) {}
 
         @Override
         public void move(String request) {}
@@ -49,7 +49,7 @@
         public void probe(String server) {}
 
         @Override
-        public void tell(byte[] message) {}
+        public void broadcast(byte[] message) {}
 
         @Override
         public void timer(String key, long at) {}
@@ -174,23 +174,23 @@
         snapshot = snapshot(10 * S, 0.01, 20 * S, SheddingThreshold.MAX_PRIORITY - 1, Map.of());
         ask(10 * S + FleetSnapshot.MAX_AGE + 1, "1", "safe", "v1");
         assertEquals("send 1", book.did.get(0), "acts on the snapshot of a stalled loop");
-        assertEquals(FleetSnapshot.UNSHARED, inner.newcomers());
+        assertEquals(FleetSnapshot.UNSHARED, inner.newSessionShare());
     }
 
     @Test
     void aLeaseThatIsOverIsNotUsedHoweverFreshTheSnapshot() {
         snapshot = snapshot(10 * S, 0.6, 11 * S, 0, Map.of());
         ask(10 * S, "1", "safe", "v1");
-        assertEquals(0.6, inner.newcomers());
+        assertEquals(0.6, inner.newSessionShare());
         ask(11 * S, "2", "safe", "v1");
-        assertEquals(0.1, inner.newcomers());
+        assertEquals(0.1, inner.newSessionShare());
     }
 
     @Test
     void retriesKeepToTheShareWhateverTheOthersClaimToCarry() {
         snapshot = new FleetSnapshot(10 * S, true, List.of(0), 1, 1, 1, 20 * S, 0, 1e6, Map.of(), Map.of());
         module.onOutcome = id -> {
-            if (inner.mayTryAgain()) {
+            if (inner.mayRetry()) {
                 inner.send(id, "b", 0);
             } else {
                 inner.refuse(id, 0);
@@ -223,11 +223,11 @@
                 1, VersionedEntry.HEALTH_REPORT, server, 1, 1, 10 * S, new byte[] {HealthProbeSchedule.DOWN});
         snapshot = snapshot(10 * S, 1, 20 * S, 0, Map.of(server, List.of(down)));
         filter.connected(10 * S);
-        assertTrue(inner.shunned("a"));
+        assertTrue(inner.shouldAvoid("a"));
         filter.connected(10 * S + HealthProbeSchedule.REPORT_MAX_AGE);
-        assertFalse(inner.shunned("a"));
+        assertFalse(inner.shouldAvoid("a"));
         filter.avoid("b", true);
-        assertTrue(inner.shunned("b"));
+        assertTrue(inner.shouldAvoid("b"));
     }
 
     @Test
--- a/src/test/java/dockshed/hls/HlsPathTest.java
+++ b/src/test/java/dockshed/hls/HlsPathTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director;
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
 import dockshed.config.HlsConfig;
@@ -141,7 +141,7 @@
                     broker, origins, () -> clock.now() + ahead, deadlines, module.settings, 60_000_000, 50, 1);
             module.onRequest = r -> {
                 requests.add(r.id());
-                act.rate(r.id(), rung);
+                act.setRendition(r.id(), rung);
                 act.send(r.id(), "a", 0);
             };
             module.onOutcome = id -> {
@@ -164,7 +164,8 @@
     }
 
     private void list(State state) {
-        broker.members(clock.now(), "eureka", Scope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, state, 1, 0)));
+        broker.members(
+                clock.now(), "eureka", ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, state, 1, 0)));
     }
 
     /** What a player gets. */
@@ -222,7 +223,7 @@
         try (Socket back = waits(lesson("paid", "v"))) {
             net.call(() -> {
                 act.send(held, "a", 0);
-                act.rate(kept, 2);
+                act.setRendition(kept, 2);
                 act.send(kept, "a", 0);
                 return null;
             });
@@ -258,7 +259,7 @@
         List<String> uris = uris(get(lesson("paid", "v")));
         String id = requests.take();
         net.call(() -> {
-            act.rate(id, 1);
+            act.setRendition(id, 1);
             return null;
         });
         Headed again = get(lesson("paid", "v"));
--- a/src/test/java/dockshed/load/LoadTellerTest.java
+++ b/src/test/java/dockshed/load/LoadTellerTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director.Effect;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
 import dockshed.Director.Limits;
+import dockshed.Director.ListScope;
 import dockshed.Director.Outcome;
 import dockshed.Director.Prices;
 import dockshed.Director.Rules;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
@@ -50,13 +50,13 @@
         int refused;
         int topped;
 
-        Node(int me, int of, int boxes, Scope scope, String kind, int streams, double uplink) {
+        Node(int me, int of, int boxes, ListScope scope, String kind, int streams, double uplink) {
             s = new Settings(
                     me,
                     of,
                     "east",
                     List.of(new SessionClass("lesson", Effect.SAFE, S, 3 * S, 1, 1, 0, 1, 0)),
-                    List.of(new Kind("std", streams)),
+                    List.of(new ServerKind("std", streams)),
                     new Ladder(List.of(200.0, TOP), List.of(.2, 1.0), boxes * LINK, LINK, uplink, 1, 3, 0, 7, 500_000),
                     new Limits(3, false, true, 250 * MS, 2 * S, 500 * MS, 3 * S),
                     new Rules(S, 0.4, 12 * S, 2.5, 2 * S, 0, 0, 0),
@@ -185,7 +185,7 @@
     @Test
     void oneBrokerServesAHundredAndFiftyViewersOnFourQuietBoxes() {
         // Guards against a link that nobody reports on being held for nearly full: 4 of 150 were served.
-        Node n = new Node(0, 1, 4, Scope.SNAPSHOT, "std", 200, 4 * LINK);
+        Node n = new Node(0, 1, 4, ListScope.SNAPSHOT, "std", 200, 4 * LINK);
         come(150);
         assertEquals(150, n.served);
         assertTrue(n.topped >= 140, "at the top rung: " + n.topped);
@@ -193,7 +193,7 @@
 
     @Test
     void oneBrokerFillsAQuietBoxWithSessionsAtTheTopRungAndNoFurther() {
-        Node n = new Node(0, 1, 1, Scope.SNAPSHOT, "std", 200, LINK * 2);
+        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
         come(150);
         pass(10 * S);
         assertTrue(n.topped * TOP >= 0.85 * LINK, "top rung: " + n.topped);
@@ -203,8 +203,8 @@
 
     @Test
     void twoBrokersTogetherDoNotOverfillABox() {
-        new Node(0, 2, 1, Scope.SNAPSHOT, "std", 200, LINK * 2);
-        new Node(1, 2, 1, Scope.SNAPSHOT, "std", 200, LINK * 2);
+        new Node(0, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
+        new Node(1, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
         for (int i = 0; i < 400; i++) {
             nodes.get(i % 2).ask(i);
             pass(20 * MS);
@@ -216,7 +216,7 @@
     @Test
     void aListLastKnownBeforeARestartIsPacedUntilItsBoxesMustBeWarm() {
         // A box on such a list may have started just now (rule 4): its places come over the warm-up.
-        Node n = new Node(0, 1, 4, Scope.DISK, "std", 200, 4 * LINK);
+        Node n = new Node(0, 1, 4, ListScope.DISK, "std", 200, 4 * LINK);
         come(150);
         assertTrue(n.served >= 120, "served: " + n.served);
         pass(12 * S);
@@ -228,14 +228,14 @@
     @Test
     void aBoxOfAKindThatTheSettingsDoNotNameIsNotHeldForOneStream() {
         // Guards against a file that names no flavor: such a box took one session and no more.
-        Node n = new Node(0, 1, 1, Scope.SNAPSHOT, "", 200, LINK * 2);
+        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "", 200, LINK * 2);
         come(60);
         assertEquals(60, n.served);
     }
 
     @Test
     void whatABoxSaysCountsAndAPromiseIsNeverForgotten() {
-        Node n = new Node(0, 1, 1, Scope.SNAPSHOT, "std", 200, LINK * 2);
+        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
         n.loads.header(now, "box0", "TEXT cpu_utilization=0.1, named_metrics.link=0.95");
         come(60);
         assertTrue(n.refused > 0, "the box said that it is full");
@@ -247,7 +247,7 @@
 
     @Test
     void theAccountOfEndedSessionsIsEmpty() {
-        ReckonedLoads loads = new ReckonedLoads(new Node(0, 1, 1, Scope.SNAPSHOT, "std", 5, LINK).settings());
+        ReckonedLoads loads = new ReckonedLoads(new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 5, LINK).settings());
         loads.members(List.of(new Server("a", "east", "std", 0, State.UP, 1, 0)));
         loads.stands(now, "a", "s", "lesson", 1);
         loads.stands(now, "a", "s", "lesson", 1); // told twice: counted once
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
 import java.io.ByteArrayOutputStream;
@@ -205,7 +205,7 @@
         FleetList list = new FleetList();
         list.known(
                 3,
-                Scope.DISK,
+                ListScope.DISK,
                 List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0)));
         assertEquals(
                 List.of(),
--- a/src/test/java/dockshed/names/SurveyTest.java
+++ b/src/test/java/dockshed/names/SurveyTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.Director.Scope;
+import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
 import dockshed.names.DnsTest.Packet;
@@ -34,7 +34,7 @@
                     new Server(String.format("s-%08x", i), "east", "std", i % 7, State.UP, 4, 0),
                     new InetSocketAddress("127.0.0.1", 5000)));
         }
-        list.known(5, Scope.DISK, listings);
+        list.known(5, ListScope.DISK, listings);
     }
 
     private static Packet services(int from, int to, int serial, int draining) {
--- a/src/test/java/dockshed/queueing/MethodTwoTest.java
+++ b/src/test/java/dockshed/queueing/QuotaOptimizerTest.java
@@ -4,16 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.queueing.MethodTwo.Quotas;
+import dockshed.queueing.QuotaOptimizer.Quotas;
 import java.time.Duration;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /** Method II against values worked out by hand or known from tables. */
-class MethodTwoTest {
+class QuotaOptimizerTest {
     /** Arrivals of the class worth more and of the other, departures, their worths; two sub-rated for a newcomer. */
-    private static MethodTwo method(double high, double low, double departures, double highWorth, double lowWorth) {
-        return new MethodTwo(high, low, departures, highWorth, lowWorth, 2);
+    private static QuotaOptimizer method(
+            double high, double low, double departures, double highWorth, double lowWorth) {
+        return new QuotaOptimizer(high, low, departures, highWorth, lowWorth, 2);
     }
 
     @Test
@@ -61,7 +62,7 @@
 
     @Test
     void quotasAgreeWithThePayoffOfEachSplit() {
-        MethodTwo method = method(6, 4, 0.8, 4, 1);
+        QuotaOptimizer method = method(6, 4, 0.8, 4, 1);
         Quotas best = method.best(9);
         double most = method.payoff(best.high(), best.low(), 9 - best.high() - best.low());
         for (int h = 0; h <= 9; h++) {
@@ -88,7 +89,7 @@
     void stepsLoseNextToNothing() {
         for (int slots : new int[] {65, 100, 130}) {
             double heavy = slots * 0.9;
-            MethodTwo method = method(heavy * 0.3, heavy * 0.7, 1, 3, 1);
+            QuotaOptimizer method = method(heavy * 0.3, heavy * 0.7, 1, 3, 1);
             Quotas best = method.best(slots);
             double found = method.payoff(best.high(), best.low(), slots - best.high() - best.low());
             double most = found;
--- a/src/test/java/dockshed/rig/EndingsTest.java
+++ b/src/test/java/dockshed/rig/EndingsTest.java
@@ -185,7 +185,7 @@
             broker.members(
                     clock.now(),
                     "names",
-                    Director.Scope.DISK,
+                    Director.ListScope.DISK,
                     List.of(
                             new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0),
                             new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
--- a/src/test/java/dockshed/rig/World.java
+++ b/src/test/java/dockshed/rig/World.java
@@ -2,20 +2,20 @@
 
 import dockshed.Director;
 import dockshed.Director.Effect;
-import dockshed.Director.Field;
-import dockshed.Director.Kind;
 import dockshed.Director.Ladder;
 import dockshed.Director.Limits;
+import dockshed.Director.ListScope;
 import dockshed.Director.LoadReport;
+import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.Director.Prices;
+import dockshed.Director.ReportField;
 import dockshed.Director.Rules;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
+import dockshed.Director.ServerKind;
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.Director.Topic;
 import dockshed.choice.Choice;
 import dockshed.core.Broker;
 import dockshed.core.Deadlines;
@@ -494,7 +494,7 @@
                 if (heard.add(s)) {
                     at(now + SEE, () -> {
                         if (s.alive()) {
-                            timed(() -> s.broker.note(now, b.id, name, Topic.LINK, fill));
+                            timed(() -> s.broker.note(now, b.id, name, Metric.LINK, fill));
                         }
                     });
                 }
@@ -548,7 +548,7 @@
                     script.brokers,
                     "east",
                     classes,
-                    List.of(new Kind("std", script.streams)),
+                    List.of(new ServerKind("std", script.streams)),
                     new Ladder(
                             list(RATES),
                             list(WORTHS),
@@ -563,7 +563,7 @@
                     new Limits(5, false, true, 250 * MS, script.longest, SEE, TELL),
                     new Rules(S, 0.4, 12 * S, 2.5, 2 * S, 0, 0, 0),
                     new Prices(0, 0, 0, 0),
-                    List.of(Field.LINK));
+                    List.of(ReportField.LINK));
             long seed = random.nextLong();
             Function<Director.Actions, Director> module = a -> new Choice(s, seed, a);
             Function<Director.Actions, Director> whole = script.terms == null
@@ -600,7 +600,7 @@
             broker.members(
                     now,
                     "names",
-                    now == START ? Scope.SNAPSHOT : Scope.DISK,
+                    now == START ? ListScope.SNAPSHOT : ListScope.DISK,
                     boxes.stream().map(Box::listed).toList());
             Broker mine = broker;
             if (now > START && script.namesReachable) {
@@ -609,7 +609,7 @@
                         broker.members(
                                 now,
                                 "names",
-                                Scope.SNAPSHOT,
+                                ListScope.SNAPSHOT,
                                 boxes.stream().map(Box::listed).toList());
                     }
                 });
@@ -662,7 +662,7 @@
 
         void told(Box b) {
             if (broker != null) {
-                broker.members(now, "names", Scope.CHANGES, List.of(b.listed()));
+                broker.members(now, "names", ListScope.CHANGES, List.of(b.listed()));
             }
         }
 
@@ -790,7 +790,7 @@
                                     timed(() -> mine.answered(now, server, s.name(), "sdp\n"));
                                     if (s.name().equals(v.name) && v.plays) {
                                         b.load.put(s.name(), v);
-                                        broker.note(now, server, s.name(), Topic.LINK, b.asked() / (LINK * b.gives()));
+                                        broker.note(now, server, s.name(), Metric.LINK, b.asked() / (LINK * b.gives()));
                                     }
                                 }
                             });
@@ -841,7 +841,7 @@
                         Station s = v.at;
                         at(now + SEE, () -> {
                             if (s.alive() && now / S != (now - TICK) / S) {
-                                s.broker.note(now, b.id, name, Topic.DELIVERED, share);
+                                s.broker.note(now, b.id, name, Metric.DELIVERED, share);
                             }
                         });
                     }
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -66,13 +66,13 @@
                     r.className(),
                     r.viewer(),
                     r.title(),
-                    r.patience(),
-                    r.length(),
-                    r.home(),
+                    r.clientDeadline(),
+                    r.expectedDuration(),
+                    r.homeCell(),
                     r.copies(),
-                    r.top(),
+                    r.highestRendition(),
                     r.retry(),
-                    r.back()));
+                    r.afterRefusal()));
             s.actions.fail(r.id());
         };
         say(
--- a/src/test/java/dockshed/storm/DamperTest.java
+++ b/src/test/java/dockshed/storm/DamperTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director;
+import dockshed.Director.ListScope;
 import dockshed.Director.Outcome;
 import dockshed.Director.Request;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
@@ -60,7 +60,7 @@
     }
 
     private void list(long at, long upSince) {
-        damper.members(at, Scope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, State.UP, 1, upSince)));
+        damper.serversChanged(at, ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, State.UP, 1, upSince)));
     }
 
     @Test
@@ -130,7 +130,7 @@
         assertEquals(10, out.size() + damper.waitingNow(), "answered at once, or waiting for a turn in time");
         // Whoever leaves while it waits was never the module's.
         module.log.clear();
-        damper.gone(T0 + MS, "r1");
+        damper.requestCancelled(T0 + MS, "r1");
         assertTrue(module.log.isEmpty() || damper.waitingNow() == 0);
         damper.timer(T0 + Terms.USUAL.hold() + 300 * MS, "storm");
         assertEquals(0, damper.waitingNow());
@@ -139,10 +139,11 @@
     @Test
     void theModulesTimersAndMessagesPassThroughAndGarbageDoesNot() {
         damper.timer(T0, "sweep");
-        damper.told(T0, 1, new byte[] {1, 2, 3});
+        damper.peerMessageReceived(T0, 1, new byte[] {1, 2, 3});
         assertTrue(module.log.containsAll(List.of("module timer sweep", "module told 1")), module.log.toString());
-        damper.told(T0, 1, new byte[] {(byte) Note.MAGIC, 99});
-        damper.told(T0, 7, new Note(Watch.State.CALM, 250, 1, 1, 0, new int[0], List.of(), false).write());
+        damper.peerMessageReceived(T0, 1, new byte[] {(byte) Note.MAGIC, 99});
+        damper.peerMessageReceived(
+                T0, 7, new Note(Watch.State.CALM, 250, 1, 1, 0, new int[0], List.of(), false).write());
         assertEquals(2, damper.counts().notesPassedOver, "of another version, from nobody in the tier");
         assertEquals(1, module.count("module told"));
     }
@@ -152,7 +153,7 @@
         int[] sent = {0};
         module.onRequest = r -> inner.send(r.id(), "a", 0);
         module.onOutcome = id -> {
-            if (inner.mayTryAgain()) {
+            if (inner.mayRetry()) {
                 sent[0]++;
                 inner.send(id, "a", 0);
             } else {
--- a/src/test/java/dockshed/storm/StormPartsTest.java
+++ b/src/test/java/dockshed/storm/StormPartsTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director.Effect;
+import dockshed.Director.ListScope;
 import dockshed.Director.Request;
-import dockshed.Director.Scope;
 import dockshed.Director.Server;
 import dockshed.Director.SessionClass;
 import dockshed.Director.State;
@@ -265,7 +265,7 @@
     @Test
     void aFreshBoxIsSentNoMoreThanItsPaceInAnyWindowAlsoAfterAStall() {
         ColdPace p = new ColdPace(new Stage().settings, TERMS); // one broker, 40 places, 12 s
-        p.members(T0, Scope.SNAPSHOT, List.of(server(T0)));
+        p.members(T0, ListScope.SNAPSHOT, List.of(server(T0)));
         List<Long> sent = new ArrayList<>();
         for (long t = T0; t < T0 + 12 * S; t += t == T0 + 5 * S ? S : 5 * MS) { // a clock that stands still for 1 s
             for (int burst = 0; burst < 20 && p.may(t, "a"); burst++) {
@@ -286,7 +286,7 @@
     @Test
     void whatPeersSpentIsSpent() {
         ColdPace p = new ColdPace(new Stage().settings, TERMS);
-        p.members(T0, Scope.SNAPSHOT, List.of(server(T0)));
+        p.members(T0, ListScope.SNAPSHOT, List.of(server(T0)));
         assertTrue(p.may(T0 + S, "a"));
         p.heard(T0 + S, 1, List.of(new Spent(ColdPace.hash("a"), 50)), false);
         assertFalse(p.may(T0 + S, "a"));
@@ -297,7 +297,7 @@
     void aListFromBeforeARestartIsColdUntilNewsOrAPeerThatKnows() {
         for (boolean byPeer : List.of(true, false)) {
             ColdPace p = new ColdPace(new Stage().settings, TERMS);
-            p.members(T0, Scope.DISK, List.of(server(0)));
+            p.members(T0, ListScope.DISK, List.of(server(0)));
             assertFalse(p.knows(T0, 30));
             assertFalse(Double.isInfinite(p.takes(T0 + S, "a")));
             if (byPeer) {
@@ -305,7 +305,7 @@
                 assertFalse(Double.isInfinite(p.takes(T0 + S, "a")), "a peer that does not know tells nothing");
                 p.heard(T0 + S, 1, List.of(), true);
             } else {
-                p.members(T0 + S, Scope.CHANGES, List.of());
+                p.members(T0 + S, ListScope.CHANGES, List.of());
                 assertTrue(p.knows(T0 + S, 30));
             }
             assertTrue(Double.isInfinite(p.takes(T0 + S, "a")));
@@ -316,7 +316,7 @@
     void aBoxThatAPeerKnowsToBeColdIsColdHereAndTheWordDoesNotGoRound() {
         // The list tells of a restart up to 1.5 s late; until then such a box was sent 1.7 times what it could take.
         ColdPace p = new ColdPace(new Stage().settings, TERMS);
-        p.members(T0, Scope.SNAPSHOT, List.of(server(0)));
+        p.members(T0, ListScope.SNAPSHOT, List.of(server(0)));
         assertTrue(Double.isInfinite(p.takes(T0, "a")));
         p.heard(T0, 1, List.of(new Spent(ColdPace.hash("a"), 0)), false);
         assertTrue(Double.isInfinite(p.takes(T0, "a")), "from one that does not know, it may be want of news");
@@ -325,7 +325,7 @@
         assertEquals(List.of(), p.spent(T0 + S, 30), "hearsay is not told on");
         p.heard(T0 + 13 * S, 1, List.of(new Spent(ColdPace.hash("a"), 0)), true);
         assertTrue(Double.isInfinite(p.takes(T0 + 13 * S, "a")), "nor believed again at once");
-        p.members(T0 + 30 * S, Scope.CHANGES, List.of(server(T0 + 30 * S)));
+        p.members(T0 + 30 * S, ListScope.CHANGES, List.of(server(T0 + 30 * S)));
         assertEquals(1, p.spent(T0 + 31 * S, 30).size(), "what the list tells is");
     }
 
