--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -11,8 +11,8 @@
 import dockshed.config.RolloutConfig;
 import dockshed.config.RolloutDocument;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
-import dockshed.core.Finder;
+import dockshed.core.ProbeCoordinator;
+import dockshed.core.TimerQueue;
 import dockshed.edge.Edges;
 import dockshed.eureka.EurekaClient;
 import dockshed.fleet.AdmissionFilter;
@@ -57,7 +57,7 @@
     private final Config config;
     private final Net net;
     private final LoopClock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final UdpPeers peers;
     private final FleetHost fleet; // null: off
     private final RolloutConfig rolloutConfig; // null: off
@@ -77,7 +77,7 @@
         this.config = config;
         this.net = net;
         clock = new LoopClock(net.loop());
-        deadlines = new Deadlines(clock::wake);
+        deadlines = new TimerQueue(clock::wake);
         peers = new UdpPeers(config.peers(), config.peersAll());
         Director.Settings s = config.settings();
         fleet = operator.fleet() == null || !config.fleet()
@@ -102,7 +102,7 @@
                         },
                 fleet == null ? peers : fleet,
                 deadlines);
-        clock.onDue(broker::tick);
+        clock.onDue(broker::runDueTimers);
         edges = new Edges(
                 broker,
                 net,
@@ -116,7 +116,7 @@
                         config.reportFields(),
                         config.lines()),
                 fleet == null || !operator.fleet().healthProbes()
-                        ? Finder.ALONE
+                        ? ProbeCoordinator.STANDALONE
                         : new FleetHealthProber(s.brokerNumber(), fleet::snapshot, fleet::offer, admission[0]::avoid));
         rtsp = new RtspFront(broker, edges, clock, deadlines, config.viewers());
     }
@@ -165,7 +165,10 @@
             LOG.warn("rollout part off: it needs the fleet part");
         }
         if (config.peerListen() != null && w.fleet == null) {
-            w.peers.listen(w.net, config.peerListen(), (from, message) -> w.broker.told(w.clock.now(), from, message));
+            w.peers.listen(
+                    w.net,
+                    config.peerListen(),
+                    (from, message) -> w.broker.peerMessageReceived(w.clock.now(), from, message));
         }
         SocketAddress rtspAt = w.net.listen(config.listen(), w.rtsp::accept, w.edges::makeRoom, true)
                 .syncUninterruptibly()
@@ -289,11 +292,11 @@
         origins.addresses(addresses);
         List<Server> servers = now.values().stream().map(Listing::server).toList();
         loads.members(servers);
-        broker.members(clock.now(), "eureka", scope, servers);
+        broker.serversChanged(clock.now(), "eureka", scope, servers);
         before.forEach((id, was) -> {
             Listing is = now.get(id);
             if (is == null || is.server().upSince() > was.server().upSince()) {
-                broker.lost(
+                broker.serverLost(
                         clock.now(),
                         origins,
                         id,
@@ -304,7 +307,7 @@
 
     private void news(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses) {
         edges.addresses(addresses);
-        broker.members(clock.now(), "names", scope, servers);
+        broker.serversChanged(clock.now(), "names", scope, servers);
         for (Server s : servers) {
             Long before = upSince.put(s.id(), s.upSince());
             if (s.state() == State.GONE) {
--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -10,7 +10,7 @@
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.core.Deadlines.Deadline;
+import dockshed.core.TimerQueue.Timer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -33,38 +33,38 @@
  */
 public final class Broker implements Director.Actions {
     /** The answer to a viewer goes out this long before its time is up, so that it still arrives. */
-    static final long ANSWER_MARGIN = 10_000;
+    static final long ANSWER_MARGIN_US = 10_000;
     /** Of the grace for drains, what is kept for the way to the server. */
-    static final long DRAIN_MARGIN = 300_000;
+    static final long DRAIN_MARGIN_US = 300_000;
     /** A viewer's time may be this many times its class's deadline at most: more is no viewer's figure. */
-    private static final int PATIENCE = 2;
+    private static final int MAX_CLIENT_DEADLINE_RATIO = 2;
     /** How long an end that no connection could carry is kept for the next one. */
-    static final long TELL_WITHIN = 8_000_000;
+    static final long END_NOTICE_VALIDITY_US = 8_000_000;
     /** A connection that closes so soon after an end was written to it may not have carried it. */
-    static final long MAYBE_UNHEARD = 300_000;
+    static final long END_NOTICE_RESEND_WINDOW_US = 300_000;
 
     /** A server that is gone is forgotten after this: no attempt lasts so long. */
-    private static final long FORGET = 60_000_000;
+    private static final long GONE_SERVER_RETENTION_US = 60_000_000;
 
     /** Notes on a set-up that are kept until its answer comes. */
-    private static final int EARLY = 8;
+    private static final int MAX_EARLY_METRICS = 8;
 
     /** Lines a second on viewers that left unanswered: enough to find one request, too few to hurt in a flood. */
-    private static final int LEFT_LINES = 5;
+    private static final int MAX_CANCEL_LOG_LINES_PER_S = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(Broker.class);
 
     /** A request, then the session that it became. */
-    private static final class Call {
+    private static final class BrokerSession {
         long handle;
         String id;
-        final Wish wish;
+        final SessionRequest wish;
         final Front front;
-        final Servers via;
+        final ServerAdapter via;
         final SessionClass cls;
         final long came;
         long connection;
-        Box box; // where an attempt is out or the session stands
+        ServerEntry box; // where an attempt is out or the session stands
         int attempts;
         boolean out;
         boolean stands;
@@ -73,11 +73,12 @@
         int rung;
         int rungSent;
         long stoodSince;
-        Deadline attemptEnds;
-        Deadline patienceEnds;
+        Timer attemptEnds;
+        Timer patienceEnds;
         final List<LongConsumer> early = new ArrayList<>(1); // notes that came before the answer
 
-        Call(Wish wish, Front front, Servers via, SessionClass cls, long connection, long now) {
+        BrokerSession(
+                SessionRequest wish, Front front, ServerAdapter via, SessionClass cls, long connection, long now) {
             this.wish = wish;
             this.front = front;
             this.via = via;
@@ -89,26 +90,26 @@
     }
 
     /** A server as the broker knows it. */
-    private static final class Box {
+    private static final class ServerEntry {
         final String id;
-        final Map<Servers, Integer> standing = new HashMap<>();
+        final Map<ServerAdapter, Integer> standing = new HashMap<>();
         final Map<String, Server> listings = new LinkedHashMap<>();
         Server info;
-        long closedSince = Deadlines.NEVER; // told to drain or to be gone
+        long closedSince = TimerQueue.NEVER; // told to drain or to be gone
 
-        Box(String id) {
+        ServerEntry(String id) {
             this.id = id;
         }
     }
 
     /** An end of a session that its viewer has still to hear of. */
-    private record Owed(Front front, String name, Outcome outcome, long until) {}
+    private record EndNotice(Front front, String name, Outcome outcome, long until) {}
 
-    private record Told(Owed owed, long at) {}
+    private record SentNotice(EndNotice owed, long at) {}
 
     private static final class Connection {
         final Front front;
-        final ArrayDeque<Told> told = new ArrayDeque<>();
+        final ArrayDeque<SentNotice> told = new ArrayDeque<>();
         long askedAt = -1; // when it last brought a set-up; -1: never
         boolean proved; // it carried a session, or confirmed an end: a viewer reads it
 
@@ -120,22 +121,22 @@
     private final Settings settings;
     private final Director director;
     private final Peers peers;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final Map<String, SessionClass> classes = new HashMap<>();
-    private final SlotTable<Call> calls = new SlotTable<>();
+    private final SlotTable<BrokerSession> calls = new SlotTable<>();
     private final SlotTable<Connection> connections = new SlotTable<>();
-    private final Map<String, Call> byName = new HashMap<>();
-    private final LinkedHashMap<String, Box> boxes = new LinkedHashMap<>();
-    private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+    private final Map<String, BrokerSession> byName = new HashMap<>();
+    private final LinkedHashMap<String, ServerEntry> boxes = new LinkedHashMap<>();
+    private final ArrayDeque<EndNotice> owed = new ArrayDeque<>();
     private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
     private boolean busy;
     private boolean ending;
     private long now;
     private long leftSecond; // the second in which lines on leaving viewers are counted
     private int leftLines;
-    private int unanswered;
+    private int unansweredRequests;
     private final Counts counts = new Counts();
-    private final Trail trail = new Trail();
+    private final RequestTrace trace = new RequestTrace();
 
     /** What has happened since the start, for the log. */
     public static final class Counts {
@@ -158,7 +159,7 @@
         }
     }
 
-    public Broker(Settings settings, Function<Director.Actions, Director> module, Peers peers, Deadlines deadlines) {
+    public Broker(Settings settings, Function<Director.Actions, Director> module, Peers peers, TimerQueue deadlines) {
         this.settings = settings;
         this.peers = peers;
         this.deadlines = deadlines;
@@ -209,9 +210,9 @@
         c.proved |= proved;
         if (!owed.isEmpty()) {
             event(at, t -> {
-                List<Owed> waiting = new ArrayList<>(owed);
+                List<EndNotice> waiting = new ArrayList<>(owed);
                 owed.clear();
-                for (Owed o : waiting) {
+                for (EndNotice o : waiting) {
                     if (o.until() > t) {
                         tellEnd(o, 0);
                     }
@@ -228,8 +229,8 @@
         }
         event(at, t -> {
             calls(call -> call.connection == connection && !call.stands).forEach(this::abandon);
-            for (Told told : c.told) {
-                if (t - told.at() < MAYBE_UNHEARD) {
+            for (SentNotice told : c.told) {
+                if (t - told.at() < END_NOTICE_RESEND_WINDOW_US) {
                     tellEnd(told.owed(), 0);
                 }
             }
@@ -240,9 +241,9 @@
      * A connection brings nothing more, though what is written to it may still be read: what is unanswered on it gets its
      * answer now, and nothing further is tried for it. It carries no ends from now on.
      */
-    public void silenced(long at, long connection) {
+    public void halfClosed(long at, long connection) {
         event(at, t -> {
-            for (Call call : calls(c -> c.connection == connection && !c.answered)) {
+            for (BrokerSession call : calls(c -> c.connection == connection && !c.answered)) {
                 left(call, "half-closed");
                 boolean mayHaveRun = call.out || call.ran;
                 finish(call);
@@ -250,7 +251,7 @@
                 if (mayHaveRun && call.cls.effect() != Effect.SAFE) {
                     call.front.failed(connection, call.wish.name(), false);
                 } else {
-                    call.front.refused(connection, call.wish.name(), longestComeBack());
+                    call.front.refused(connection, call.wish.name(), maxRetryAfter());
                 }
                 director.requestCancelled(t, call.id);
             }
@@ -258,7 +259,7 @@
     }
 
     /** The viewer has confirmed that it heard of an end. */
-    public void heard(long connection, String name) {
+    public void endConfirmed(long connection, String name) {
         Connection c = connections.get(connection);
         if (c != null) {
             c.proved |= c.told.removeIf(t -> t.owed().name().equals(name));
@@ -266,56 +267,57 @@
     }
 
     /** A viewer's request; false where a session or request of that name is held already, or a figure is no good. */
-    public boolean request(long at, long connection, Front front, Servers via, Wish wish) {
+    public boolean request(long at, long connection, Front front, ServerAdapter via, SessionRequest wish) {
         SessionClass cls = classes.get(wish.className());
         if (cls == null
                 || byName.containsKey(wish.name())
                 || !inRange(wish)
-                || wish.patience() <= 0
-                || wish.patience() > PATIENCE * cls.deadline()) {
+                || wish.clientDeadline() <= 0
+                || wish.clientDeadline() > MAX_CLIENT_DEADLINE_RATIO * cls.deadline()) {
             return false;
         }
         if (ending) {
             counts.requests++;
             counts.refused++;
-            front.refused(connection, wish.name(), longestComeBack());
+            front.refused(connection, wish.name(), maxRetryAfter());
             return true;
         }
-        Call call = add(new Call(wish, front, via, cls, connection, at));
-        unanswered++;
+        BrokerSession call = add(new BrokerSession(wish, front, via, cls, connection, at));
+        unansweredRequests++;
         counts.requests++;
         asks(at, connection, false);
         event(at, t -> {
-            call.patienceEnds = deadlines.at(answerDue(call), due -> event(due, x -> patienceOver(call)));
-            director.request(t, wish.request(call.id));
+            call.patienceEnds = deadlines.schedule(answerDue(call), due -> event(due, x -> patienceOver(call)));
+            director.request(t, wish.toDirectorRequest(call.id));
         });
         return true;
     }
 
     /** Whether the figures are ones that the site has: what can't be so, a server would take all the same. */
-    private boolean inRange(Wish w) {
-        return w.home() >= 0
-                && w.home() < settings.ladder().cells()
+    private boolean inRange(SessionRequest w) {
+        return w.homeCell() >= 0
+                && w.homeCell() < settings.ladder().cells()
                 && w.copies() >= 0
                 && w.copies() <= settings.ladder().cells()
-                && w.top() >= 0
-                && w.top() < settings.ladder().rates().size();
+                && w.highestRendition() >= 0
+                && w.highestRendition() < settings.ladder().rates().size();
     }
 
     /**
      * A session that plays already, as its viewer tells; one that is held already stays as it is. False where it names
      * no server that is known, or says what cannot be.
      */
-    public boolean open(long at, long connection, Front front, Servers via, Wish wish, String server) {
+    public boolean adoptSession(
+            long at, long connection, Front front, ServerAdapter via, SessionRequest wish, String server) {
         SessionClass cls = classes.get(wish.className());
-        Box told = boxes.get(server);
+        ServerEntry told = boxes.get(server);
         if (cls == null || told == null || told.info == null || !inRange(wish)) {
             return false;
         }
         if (byName.containsKey(wish.name())) {
             return true;
         }
-        Call call = add(new Call(wish, front, via, cls, connection, at));
+        BrokerSession call = add(new BrokerSession(wish, front, via, cls, connection, at));
         asks(at, connection, true);
         call.box = told;
         call.attempts = 1;
@@ -325,15 +327,15 @@
         counts.opened++;
         event(at, t -> {
             stand(call, t);
-            director.adoptSession(t, wish.request(call.id), server);
+            director.adoptSession(t, wish.toDirectorRequest(call.id), server);
         });
         return true;
     }
 
     /** The viewer has given its request up, or has ended its session. */
-    public void leave(long at, String name) {
+    public void cancel(long at, String name) {
         event(at, t -> {
-            Call call = byName.get(name);
+            BrokerSession call = byName.get(name);
             if (call != null && call.stands) {
                 call.via.release(call.box.id, name);
                 end(call, Outcome.CANCELLED, LoadReport.NONE);
@@ -344,9 +346,9 @@
     }
 
     /** A session that stands has come to its natural end, as its front found out. */
-    public void finished(long at, String name) {
+    public void sessionCompleted(long at, String name) {
         event(at, t -> {
-            Call call = byName.get(name);
+            BrokerSession call = byName.get(name);
             if (call != null && call.stands) {
                 call.via.release(call.box.id, name);
                 end(call, Outcome.OK, LoadReport.NONE);
@@ -355,16 +357,16 @@
     }
 
     /** An answer could not be passed on whole: the session has nobody to play to. */
-    public void undelivered(long at, String name) {
-        leave(at, name);
+    public void answerUndelivered(long at, String name) {
+        cancel(at, name);
     }
 
     // ---- From the servers.
 
     /** A set-up has been answered: the session stands. */
-    public void answered(long at, String server, String name, String description) {
+    public void setUpAnswered(long at, String server, String name, String description) {
         event(at, t -> {
-            Call call = byName.get(name);
+            BrokerSession call = byName.get(name);
             if (call == null || !call.out || !call.box.id.equals(server)) {
                 return; // given up before
             }
@@ -378,8 +380,7 @@
                 own.proved = true;
             }
             stand(call, t);
-            call.front.served(
-                    call.connection, name, new Front.Granted(server, description, call.cls.floor(), call.rung));
+            call.front.served(call.connection, name, new Front.Grant(server, description, call.cls.floor(), call.rung));
             if (call.rung != call.rungSent) {
                 setRung(call); // set while the answer was on its way
             }
@@ -392,7 +393,7 @@
     /** A set-up has ended unanswered, or a session that stood is over. */
     public void ended(long at, String server, String name, Outcome outcome, LoadReport report) {
         event(at, t -> {
-            Call call = byName.get(name);
+            BrokerSession call = byName.get(name);
             if (call == null || call.box == null || !call.box.id.equals(server)) {
                 return;
             }
@@ -401,7 +402,7 @@
             } else if (call.stands) {
                 Outcome end = outcome == Outcome.OK || outcome == Outcome.CANCELLED ? outcome : Outcome.RESET;
                 if (end != Outcome.CANCELLED) {
-                    tellEnd(new Owed(call.front, name, end, t + TELL_WITHIN), call.connection);
+                    tellEnd(new EndNotice(call.front, name, end, t + END_NOTICE_VALIDITY_US), call.connection);
                 }
                 end(call, end, report);
             }
@@ -409,12 +410,12 @@
     }
 
     /** A figure about a session that stands. */
-    public void note(long at, String server, String name, Metric topic, double value) {
+    public void metricReceived(long at, String server, String name, Metric topic, double value) {
         event(at, t -> {
-            Call call = byName.get(name);
+            BrokerSession call = byName.get(name);
             if (call != null && call.out && call.box.id.equals(server)) {
-                if (call.early.size() < EARLY) { // the server's word on a set-up may come before its answer
-                    call.early.add(later -> note(later, server, name, topic, value));
+                if (call.early.size() < MAX_EARLY_METRICS) { // the server's word on a set-up may come before its answer
+                    call.early.add(later -> metricReceived(later, server, name, topic, value));
                 }
             } else if (call != null && call.stands && call.box.id.equals(server)) {
                 if (topic == Metric.RENDITION && (value < call.cls.floor() || value > call.cls.top())) {
@@ -429,15 +430,17 @@
     }
 
     /** The server's process is gone, and its sessions of this adapter that began before {@code since} with it. */
-    public void lost(long at, Servers via, String server, long since) {
+    public void serverLost(long at, ServerAdapter via, String server, long since) {
         event(at, t -> {
-            List<Call> broken = calls(
+            List<BrokerSession> broken = calls(
                     call -> call.stands && call.via == via && call.box.id.equals(server) && call.stoodSince < since);
             if (!broken.isEmpty()) {
                 LOG.warn("server lost: id={} sessions={}", server, broken.size());
             }
-            for (Call call : broken) {
-                tellEnd(new Owed(call.front, call.wish.name(), Outcome.RESET, t + TELL_WITHIN), call.connection);
+            for (BrokerSession call : broken) {
+                tellEnd(
+                        new EndNotice(call.front, call.wish.name(), Outcome.RESET, t + END_NOTICE_VALIDITY_US),
+                        call.connection);
                 end(call, Outcome.RESET, LoadReport.NONE);
             }
         });
@@ -446,12 +449,12 @@
     // ---- From the lists, the peers and the clock.
 
     /** News of the servers from one of the lists; a server on several counts by the worst that is told of it. */
-    public void members(long at, String source, ListScope scope, List<Server> servers) {
+    public void serversChanged(long at, String source, ListScope scope, List<Server> servers) {
         event(at, t -> {
             List<Server> merged = new ArrayList<>();
             if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
                 Set<String> named = servers.stream().map(Server::id).collect(Collectors.toSet());
-                for (Box b : boxes.values()) {
+                for (ServerEntry b : boxes.values()) {
                     if (b.listings.containsKey(source) && !named.contains(b.id)) {
                         b.listings.remove(source);
                         merged.add(merge(t, b));
@@ -459,7 +462,7 @@
                 }
             }
             for (Server s : servers) {
-                Box b = boxes.computeIfAbsent(s.id(), Box::new);
+                ServerEntry b = boxes.computeIfAbsent(s.id(), ServerEntry::new);
                 b.listings.put(source, s);
                 merged.add(merge(t, b));
             }
@@ -468,13 +471,13 @@
             ListScope told = scope == ListScope.SNAPSHOT && !alone ? ListScope.CHANGES : scope;
             director.serversChanged(t, told, merged);
             boxes.values()
-                    .removeIf(b -> b.closedSince < t - FORGET
+                    .removeIf(b -> b.closedSince < t - GONE_SERVER_RETENTION_US
                             && b.info.state() == State.GONE
                             && b.standing.values().stream().allMatch(n -> n == 0));
         });
     }
 
-    private Server merge(long t, Box b) {
+    private Server merge(long t, ServerEntry b) {
         Server worst = null;
         for (Server s : b.listings.values()) {
             worst = worst == null
@@ -489,51 +492,51 @@
         }
         b.info = worst;
         if (worst.state() == State.UP) {
-            b.closedSince = Deadlines.NEVER;
-        } else if (b.closedSince == Deadlines.NEVER) {
+            b.closedSince = TimerQueue.NEVER;
+        } else if (b.closedSince == TimerQueue.NEVER) {
             b.closedSince = t;
         }
         return worst;
     }
 
-    public void told(long at, int from, byte[] message) {
+    public void peerMessageReceived(long at, int from, byte[] message) {
         event(at, t -> director.peerMessageReceived(t, from, message));
     }
 
     /** Does what has come due. */
-    public void tick(long at) {
+    public void runDueTimers(long at) {
         now = Math.max(now, at);
-        deadlines.run(now);
+        deadlines.runDue(now);
     }
 
     /** Whether something new may still go to the server. */
-    public boolean takes(long at, String server) {
-        Box b = boxes.get(server);
+    public boolean acceptsSetUp(long at, String server) {
+        ServerEntry b = boxes.get(server);
         return b != null
                 && b.info != null
-                && (b.closedSince == Deadlines.NEVER
-                        || at - b.closedSince < settings.rules().drainGrace() - DRAIN_MARGIN);
+                && (b.closedSince == TimerQueue.NEVER
+                        || at - b.closedSince < settings.rules().drainGrace() - DRAIN_MARGIN_US);
     }
 
     /** The longest time that a viewer may be told to stay away; 0: none may be told. */
-    public long longestComeBack() {
+    public long maxRetryAfter() {
         return settings.limits().maxRetryAfter();
     }
 
     /** Whether a session of that name stands. */
-    public boolean stands(String name) {
-        Call call = byName.get(name);
+    public boolean isActive(String name) {
+        BrokerSession call = byName.get(name);
         return call != null && call.stands;
     }
 
     /** Requests taken that have no final answer yet. */
-    public int unanswered() {
-        return unanswered;
+    public int unansweredRequests() {
+        return unansweredRequests;
     }
 
     /** Sessions that stand. */
-    public int standing() {
-        return calls.size() - unanswered;
+    public int activeSessions() {
+        return calls.size() - unansweredRequests;
     }
 
     public Counts counts() {
@@ -541,8 +544,8 @@
     }
 
     /** Where adapters book the steps of a request. */
-    public Trail trail() {
-        return trail;
+    public RequestTrace trace() {
+        return trace;
     }
 
     /**
@@ -552,9 +555,11 @@
     public void releaseAll(long at) {
         event(at, t -> {
             ending = true;
-            for (Call call : calls(c -> c.stands)) {
+            for (BrokerSession call : calls(c -> c.stands)) {
                 call.via.release(call.box.id, call.wish.name());
-                tellEnd(new Owed(call.front, call.wish.name(), Outcome.RESET, t + TELL_WITHIN), call.connection);
+                tellEnd(
+                        new EndNotice(call.front, call.wish.name(), Outcome.RESET, t + END_NOTICE_VALIDITY_US),
+                        call.connection);
                 end(call, Outcome.RESET, LoadReport.NONE);
             }
         });
@@ -563,7 +568,7 @@
     /** At the very end: whoever still waits is told that its request has failed, rather than nothing. */
     public void failAll(long at) {
         event(at, t -> {
-            for (Call call : calls(c -> !c.answered)) {
+            for (BrokerSession call : calls(c -> !c.answered)) {
                 fail(call.id);
                 director.requestCancelled(t, call.id);
             }
@@ -574,8 +579,8 @@
 
     @Override
     public void send(String request, String server, long allow) {
-        Call call = call(request);
-        Box box = boxes.get(server);
+        BrokerSession call = call(request);
+        ServerEntry box = boxes.get(server);
         if (call == null || call.answered || call.out) {
             breach("send", request, call == null ? "unknown request" : call.out ? "attempt out" : "answered");
             return;
@@ -584,7 +589,7 @@
         int attempt = call.attempts - 1;
         String why = box == null
                 ? "unknown server"
-                : !takes(now, server)
+                : !acceptsSetUp(now, server)
                         ? "server drains or is gone"
                         : call.ran && call.cls.effect() != Effect.SAFE
                                 ? "may have run already"
@@ -603,10 +608,10 @@
         call.early.clear();
         call.box = box;
         call.rungSent = call.rung;
-        call.attemptEnds = deadlines.at(now + wait, due -> event(due, t -> attemptTimedOut(call)));
+        call.attemptEnds = deadlines.schedule(now + wait, due -> event(due, t -> attemptTimedOut(call)));
         call.via.setUp(
                 server,
-                new Servers.SetUp(
+                new ServerAdapter.SetUp(
                         call.wish.name(),
                         call.wish.className(),
                         call.wish.title(),
@@ -618,7 +623,7 @@
 
     @Override
     public void refuse(String request, long comeBack) {
-        Call call = call(request);
+        BrokerSession call = call(request);
         if (call == null || call.answered) {
             breach("refuse", request, "answered already");
             return;
@@ -635,7 +640,7 @@
 
     @Override
     public void fail(String request) {
-        Call call = call(request);
+        BrokerSession call = call(request);
         if (call == null || call.answered) {
             return; // the module also fails what has ended by itself
         }
@@ -647,11 +652,11 @@
 
     @Override
     public void setRendition(String request, int rung) {
-        Call call = call(request);
+        BrokerSession call = call(request);
         if (call == null) {
             return;
         }
-        int kept = Math.max(call.cls.floor(), Math.min(rung, Math.min(call.wish.top(), call.cls.top())));
+        int kept = Math.max(call.cls.floor(), Math.min(rung, Math.min(call.wish.highestRendition(), call.cls.top())));
         if (kept != rung) {
             breach("rate", request, "rung " + rung + " outside the class");
         }
@@ -663,7 +668,7 @@
 
     @Override
     public void move(String request) {
-        Call call = call(request);
+        BrokerSession call = call(request);
         if (call == null || !call.stands) {
             breach("move", request, "does not stand");
             return;
@@ -673,7 +678,7 @@
         if (connection != 0 || !call.front.needsConnection()) {
             call.front.moved(connection, call.wish.name());
         } else {
-            tellEnd(new Owed(call.front, call.wish.name(), Outcome.RESET, now + TELL_WITHIN), 0);
+            tellEnd(new EndNotice(call.front, call.wish.name(), Outcome.RESET, now + END_NOTICE_VALIDITY_US), 0);
         }
         call.via.release(call.box.id, call.wish.name());
         events.add(t -> end(call, Outcome.CANCELLED, LoadReport.NONE));
@@ -687,24 +692,24 @@
     @Override
     public void broadcast(byte[] message) {
         if (settings.limits().peers()) {
-            peers.tell(message);
+            peers.broadcast(message);
         }
     }
 
     @Override
     public void timer(String key, long at) {
-        deadlines.at(at, due -> event(due, t -> director.timer(t, key)));
+        deadlines.schedule(at, due -> event(due, t -> director.timer(t, key)));
     }
 
     @Override
     public long retryAfterUnit(String request) {
-        Call call = call(request);
-        return call == null ? 1000 : call.front.comeBackUnit();
+        BrokerSession call = call(request);
+        return call == null ? 1000 : call.front.retryAfterUnit();
     }
 
     // ---- Inside.
 
-    private Call add(Call call) {
+    private BrokerSession add(BrokerSession call) {
         call.handle = calls.add(call);
         call.id = Long.toHexString(call.handle);
         byName.put(call.wish.name(), call);
@@ -712,9 +717,9 @@
     }
 
     /** Those that meet a condition, copied: what is done with one may remove it. */
-    private List<Call> calls(Predicate<Call> which) {
-        List<Call> out = new ArrayList<>();
-        calls.each(call -> {
+    private List<BrokerSession> calls(Predicate<BrokerSession> which) {
+        List<BrokerSession> out = new ArrayList<>();
+        calls.forEach(call -> {
             if (which.test(call)) {
                 out.add(call);
             }
@@ -723,11 +728,11 @@
     }
 
     /** When the viewer must have its answer at the latest, so that it still arrives in its time. */
-    private static long answerDue(Call call) {
-        return call.came + Math.max(0, call.wish.patience() - ANSWER_MARGIN);
+    private static long answerDue(BrokerSession call) {
+        return call.came + Math.max(0, call.wish.clientDeadline() - ANSWER_MARGIN_US);
     }
 
-    private Call call(String id) {
+    private BrokerSession call(String id) {
         return calls.get(Long.parseUnsignedLong(id, 16));
     }
 
@@ -736,45 +741,45 @@
         LOG.warn("rule kept against the module: action={} of={} why={}", action, what, why);
     }
 
-    private void answer(Call call) {
+    private void answer(BrokerSession call) {
         call.answered = true;
-        unanswered--;
+        unansweredRequests--;
     }
 
     /** Books the final answer of a request that is not served, and forgets it. */
-    private void finish(Call call) {
+    private void finish(BrokerSession call) {
         if (call.out) {
             call.out = false;
-            call.via.giveUp(call.box.id, call.wish.name());
+            call.via.cancelSetUp(call.box.id, call.wish.name());
         }
         answer(call);
         forget(call);
     }
 
-    private void forget(Call call) {
+    private void forget(BrokerSession call) {
         deadlines.cancel(call.attemptEnds);
         deadlines.cancel(call.patienceEnds);
         calls.remove(call.handle);
         byName.remove(call.wish.name());
     }
 
-    private void stand(Call call, long t) {
+    private void stand(BrokerSession call, long t) {
         call.stands = true;
         call.stoodSince = t;
         if (call.box.standing.merge(call.via, 1, Integer::sum) == 1) {
-            call.via.hold(call.box.id, true);
+            call.via.setHasActiveSessions(call.box.id, true);
         }
     }
 
     /** A session that stood is over. */
-    private void end(Call call, Outcome outcome, LoadReport report) {
+    private void end(BrokerSession call, Outcome outcome, LoadReport report) {
         if (!call.stands) {
             return;
         }
         call.stands = false;
-        call.via.over(call.box.id, call.wish.name());
+        call.via.sessionEnded(call.box.id, call.wish.name());
         if (call.box.standing.merge(call.via, -1, Integer::sum) == 0) {
-            call.via.hold(call.box.id, false);
+            call.via.setHasActiveSessions(call.box.id, false);
         }
         forget(call);
         counts.over++;
@@ -788,48 +793,48 @@
      * The viewer left before its answer. One whose time was up before is owed it all the same: the loop was late, and read
      * of its leaving before it came to what was due.
      */
-    private void abandon(Call call) {
+    private void abandon(BrokerSession call) {
         if (call.answered) {
             return;
         }
         if (now >= answerDue(call)) {
-            trail.bad(call.wish.name(), "left unanswered when its time was up");
+            trace.logFailure(call.wish.name(), "left unanswered when its time was up");
             patienceOver(call);
             return;
         }
         left(call, "gave up or closed");
         finish(call);
         counts.gone++;
-        call.front.left(call.connection, call.wish.name());
+        call.front.requestCancelled(call.connection, call.wish.name());
         director.requestCancelled(now, call.id);
     }
 
     /** Writes down who left unanswered: a request that nobody heard the end of can be told from one that was given up. */
-    private void left(Call call, String how) {
+    private void left(BrokerSession call, String how) {
         if (now / 1_000_000 != leftSecond) {
             leftSecond = now / 1_000_000;
             leftLines = 0;
         }
-        if (leftLines++ < LEFT_LINES) {
+        if (leftLines++ < MAX_CANCEL_LOG_LINES_PER_S) {
             LOG.info(
                     "viewer left unanswered: session={} how={} ms={} of={} attempts={} out={}",
                     call.wish.name(),
                     how,
                     (now - call.came) / 1000,
-                    call.wish.patience() / 1000,
+                    call.wish.clientDeadline() / 1000,
                     call.attempts,
                     call.out);
         }
     }
 
-    private void attemptTimedOut(Call call) {
+    private void attemptTimedOut(BrokerSession call) {
         if (call.out) {
-            call.via.giveUp(call.box.id, call.wish.name());
+            call.via.cancelSetUp(call.box.id, call.wish.name());
             attemptOver(call, Outcome.TIMEOUT, LoadReport.NONE);
         }
     }
 
-    private void attemptOver(Call call, Outcome outcome, LoadReport report) {
+    private void attemptOver(BrokerSession call, Outcome outcome, LoadReport report) {
         call.out = false;
         deadlines.cancel(call.attemptEnds);
         boolean proof = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
@@ -837,7 +842,7 @@
         director.outcome(now, call.id, call.attempts - 1, call.box.id, outcome, false, report);
     }
 
-    private void patienceOver(Call call) {
+    private void patienceOver(BrokerSession call) {
         if (call.answered) {
             return;
         }
@@ -847,23 +852,23 @@
         }
         if (!call.answered) { // the module holds it still, or has no time left to try again
             if (!tried) {
-                trail.bad(call.wish.name(), "held by the module until its time was up");
+                trace.logFailure(call.wish.name(), "held by the module until its time was up");
             }
             fail(call.id);
             director.requestCancelled(now, call.id);
         }
     }
 
-    private void setRung(Call call) {
+    private void setRung(BrokerSession call) {
         call.rungSent = call.rung;
-        call.via.rate(call.box.id, call.wish.name(), call.rung);
-        call.front.rung(call.wish.name(), call.rung);
+        call.via.setRendition(call.box.id, call.wish.name(), call.rung);
+        call.front.renditionChanged(call.wish.name(), call.rung);
     }
 
     /** Tells a viewer of its session's end: on its own connection, on any other, or on the next that comes. */
-    private void tellEnd(Owed o, long own) {
+    private void tellEnd(EndNotice o, long own) {
         if (!o.front().needsConnection()) {
-            o.front().over(0, o.name(), o.outcome());
+            o.front().sessionEnded(0, o.name(), o.outcome());
             return;
         }
         long connection = anyConnection(o.front(), own);
@@ -872,11 +877,11 @@
             return;
         }
         Connection c = connections.get(connection);
-        while (!c.told.isEmpty() && now - c.told.peekFirst().at() > MAYBE_UNHEARD) {
+        while (!c.told.isEmpty() && now - c.told.peekFirst().at() > END_NOTICE_RESEND_WINDOW_US) {
             c.told.removeFirst();
         }
-        c.told.add(new Told(o, now));
-        o.front().over(connection, o.name(), o.outcome());
+        c.told.add(new SentNotice(o, now));
+        o.front().sessionEnded(connection, o.name(), o.outcome());
     }
 
     /**
@@ -889,7 +894,7 @@
         }
         long[] found = {0};
         Connection[] best = {null};
-        connections.eachHandle((handle, c) -> {
+        connections.forEachWithHandle((handle, c) -> {
             if (c.front == front
                     && c.askedAt >= 0
                     && (best[0] == null || (c.proved == best[0].proved ? c.askedAt >= best[0].askedAt : c.proved))) {
--- a/src/main/java/dockshed/core/Front.java
+++ b/src/main/java/dockshed/core/Front.java
@@ -5,7 +5,7 @@
 /** Where viewers come from. {@code connection} is the handle under which the front reported it. */
 public interface Front {
     /** The session stands. {@code floor} to {@code rung} are the rungs that this viewer may be given. */
-    void served(long connection, String name, Granted granted);
+    void served(long connection, String name, Grant granted);
 
     /** Turned away; {@code comeBack}: microseconds to stay away, 0 for no advice. */
     void refused(long connection, String name, long comeBack);
@@ -14,16 +14,16 @@
     void failed(long connection, String name, boolean late);
 
     /** A request is over without an answer, as its viewer gave it up, on whichever connection. */
-    default void left(long connection, String name) {}
+    default void requestCancelled(long connection, String name) {}
 
     /** A session that stood is over: OK, or RESET. */
-    void over(long connection, String name, Outcome outcome);
+    void sessionEnded(long connection, String name, Outcome outcome);
 
     /** A session that stood ends and is to be asked for again. */
     void moved(long connection, String name);
 
     /** The rung of a session that stands has been set. */
-    default void rung(String name, int rung) {}
+    default void renditionChanged(String name, int rung) {}
 
     /** Whether the end of a session can be told only on a connection; one that polls hears of it when it asks. */
     default boolean needsConnection() {
@@ -31,10 +31,10 @@
     }
 
     /** Microseconds, of which whole multiples can be told as the time to stay away. */
-    default long comeBackUnit() {
+    default long retryAfterUnit() {
         return 1000;
     }
 
     /** What a viewer is given. */
-    record Granted(String server, String description, int floor, int rung) {}
+    record Grant(String server, String description, int lowestRendition, int highestRendition) {}
 }
--- a/src/main/java/dockshed/core/Peers.java
+++ b/src/main/java/dockshed/core/Peers.java
@@ -2,5 +2,5 @@
 
 /** The other brokers of the tier. */
 public interface Peers {
-    void tell(byte[] message);
+    void broadcast(byte[] message);
 }
--- a/src/main/java/dockshed/core/Trail.java
+++ b/src/main/java/dockshed/core/RequestTrace.java
@@ -7,16 +7,16 @@
  * The last steps of all requests, by session name, in a ring that costs a few stores a step; what is kept of one request
  * is written to the log only where it ended badly. Times are microseconds of the broker's clock. Of one thread.
  */
-public final class Trail {
+public final class RequestTrace {
     /** Steps kept: at some tens of requests a second and eight steps each, those of the last ten seconds. */
-    static final int STEPS = 4096;
+    static final int MAX_STEPS = 4096;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Trail.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestTrace.class);
 
-    private final long[] at = new long[STEPS];
-    private final String[] names = new String[STEPS];
-    private final String[] steps = new String[STEPS];
-    private final String[] details = new String[STEPS];
+    private final long[] at = new long[MAX_STEPS];
+    private final String[] names = new String[MAX_STEPS];
+    private final String[] steps = new String[MAX_STEPS];
+    private final String[] details = new String[MAX_STEPS];
     private int next;
 
     /** Books a step; {@code detail} may be null. Nothing is built or copied: give what is there already. */
@@ -25,15 +25,15 @@
         names[next] = name;
         steps[next] = step;
         details[next] = detail;
-        next = (next + 1) % STEPS;
+        next = (next + 1) % MAX_STEPS;
     }
 
     /** What is kept of a request, the oldest first: {@code taken+0 out(s-1)+210 ...}, microseconds from the first. */
-    public String of(String name) {
+    public String stepsOf(String name) {
         StringBuilder out = new StringBuilder();
         long first = -1;
-        for (int i = 0; i < STEPS; i++) {
-            int k = (next + i) % STEPS;
+        for (int i = 0; i < MAX_STEPS; i++) {
+            int k = (next + i) % MAX_STEPS;
             if (name.equals(names[k])) {
                 first = first < 0 ? at[k] : first;
                 out.append(out.length() == 0 ? "" : " ").append(steps[k]);
@@ -47,7 +47,7 @@
     }
 
     /** Writes down how a request came to a bad end. */
-    public void bad(String name, String why) {
-        LOG.warn("request ended badly: session={} why={} steps={}", name, why, of(name));
+    public void logFailure(String name, String why) {
+        LOG.warn("request ended badly: session={} why={} steps={}", name, why, stepsOf(name));
     }
 }
--- a/src/main/java/dockshed/core/SlotTable.java
+++ b/src/main/java/dockshed/core/SlotTable.java
@@ -58,13 +58,13 @@
     }
 
     /** Visits every item in slot order; the visitor may remove items but not add them. */
-    public void each(Consumer<? super T> visitor) {
-        eachHandle((handle, item) -> visitor.accept(item));
+    public void forEach(Consumer<? super T> visitor) {
+        forEachWithHandle((handle, item) -> visitor.accept(item));
     }
 
     /** The same, with the handles. */
     @SuppressWarnings("unchecked")
-    public void eachHandle(BiConsumer<Long, ? super T> visitor) {
+    public void forEachWithHandle(BiConsumer<Long, ? super T> visitor) {
         for (int slot = 0; slot < top; slot++) {
             if (items[slot] != null) {
                 visitor.accept((long) generations[slot] << 32 | slot, (T) items[slot]);
--- a/src/main/java/dockshed/core/Deadlines.java
+++ b/src/main/java/dockshed/core/TimerQueue.java
@@ -6,40 +6,40 @@
 import org.slf4j.LoggerFactory;
 
 /** Everything that is to happen at a time, in the order of those times; equal times keep the order of asking. */
-public final class Deadlines {
+public final class TimerQueue {
     public static final long NEVER = Long.MAX_VALUE;
 
     /** One thing to be done; good for cancelling it. */
-    public static final class Deadline implements Comparable<Deadline> {
+    public static final class Timer implements Comparable<Timer> {
         private final long at;
         private final long serial;
         private final LongConsumer what;
 
-        private Deadline(long at, long serial, LongConsumer what) {
+        private Timer(long at, long serial, LongConsumer what) {
             this.at = at;
             this.serial = serial;
             this.what = what;
         }
 
         @Override
-        public int compareTo(Deadline o) {
+        public int compareTo(Timer o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(serial, o.serial);
         }
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Deadlines.class);
+    private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
 
-    private final TreeSet<Deadline> ordered = new TreeSet<>();
+    private final TreeSet<Timer> ordered = new TreeSet<>();
     private final LongConsumer wake;
     private long serials;
 
     /** {@code wake} is told the earliest time whenever that has come nearer. */
-    public Deadlines(LongConsumer wake) {
+    public TimerQueue(LongConsumer wake) {
         this.wake = wake;
     }
 
-    public Deadline at(long when, LongConsumer what) {
-        Deadline d = new Deadline(when, serials++, what);
+    public Timer schedule(long when, LongConsumer what) {
+        Timer d = new Timer(when, serials++, what);
         ordered.add(d);
         if (ordered.first() == d) {
             wake.accept(when);
@@ -47,18 +47,18 @@
         return d;
     }
 
-    public void cancel(Deadline d) {
+    public void cancel(Timer d) {
         if (d != null) {
             ordered.remove(d);
         }
     }
 
-    public long next() {
+    public long nextDue() {
         return ordered.isEmpty() ? NEVER : ordered.first().at;
     }
 
     /** Does what is due; what is asked for meanwhile waits for the next run, so no run is endless. */
-    public void run(long now) {
+    public void runDue(long now) {
         long before = serials;
         while (!ordered.isEmpty() && ordered.first().at <= now && ordered.first().serial < before) {
             try {
--- a/src/main/java/dockshed/edge/Edges.java
+++ b/src/main/java/dockshed/edge/Edges.java
@@ -4,9 +4,9 @@
 import dockshed.Director.Metric;
 import dockshed.Director.Outcome;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
-import dockshed.core.Finder;
-import dockshed.core.Servers;
+import dockshed.core.ProbeCoordinator;
+import dockshed.core.ServerAdapter;
+import dockshed.core.TimerQueue;
 import dockshed.net.ByteHandler;
 import dockshed.net.Clock;
 import dockshed.net.Net;
@@ -34,7 +34,7 @@
  * any. The adapter finds out that a server's process is gone: new connections are refused again and again, or do not
  * come up. A line that breaks proves nothing: connections are reset under living processes too.
  */
-public final class Edges implements Servers {
+public final class Edges implements ServerAdapter {
     static final int LINE_LIMIT = 16 * 1024;
     /** A connection is not used for a set-up so shortly before the server may close it as idle, a quarter of that at most. */
     private static final long IDLE_MARGIN = 3_000_000;
@@ -97,31 +97,31 @@
     private final Broker broker;
     private final Net net;
     private final Clock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final Terms terms;
-    private final Finder finder;
+    private final ProbeCoordinator finder;
     private final Map<String, Box> boxes = new HashMap<>();
     private final Set<Line> toWrite = new LinkedHashSet<>(); // at the end of this turn of the loop
     private int mostLines = 1;
     private int all; // lines to all servers, those not up yet too
     private boolean oddReport; // told once
     private long notedAt; // when a server last wrote a note
-    private long unreachedAt = -Deadlines.NEVER / 2; // when a server with sessions last did not come up
-    private long testedAt = -Deadlines.NEVER / 2; // when one was last tried in the silence of all
+    private long unreachedAt = -TimerQueue.NEVER / 2; // when a server with sessions last did not come up
+    private long testedAt = -TimerQueue.NEVER / 2; // when one was last tried in the silence of all
 
-    public Edges(Broker broker, Net net, Clock clock, Deadlines deadlines, Terms terms) {
-        this(broker, net, clock, deadlines, terms, Finder.ALONE);
+    public Edges(Broker broker, Net net, Clock clock, TimerQueue deadlines, Terms terms) {
+        this(broker, net, clock, deadlines, terms, ProbeCoordinator.STANDALONE);
     }
 
     /** {@code finder}: says which broker finds out about a server that may be gone. */
-    public Edges(Broker broker, Net net, Clock clock, Deadlines deadlines, Terms terms, Finder finder) {
+    public Edges(Broker broker, Net net, Clock clock, TimerQueue deadlines, Terms terms, ProbeCoordinator finder) {
         this.finder = finder;
         this.broker = broker;
         this.net = net;
         this.clock = clock;
         this.deadlines = deadlines;
         this.terms = terms;
-        deadlines.at(clock.now() + LOOK, this::lookAround);
+        deadlines.schedule(clock.now() + LOOK, this::lookAround);
     }
 
     /** Where the servers listen, as far as they are listed; the others are forgotten once nothing is left there. */
@@ -152,7 +152,7 @@
             drop(b);
             cleared(b);
         }
-        broker.lost(clock.now(), this, server, clock.now());
+        broker.serverLost(clock.now(), this, server, clock.now());
     }
 
     /** The list tells that the process was started anew: older sessions are over, older lines lead nowhere. */
@@ -166,7 +166,7 @@
                 }
             }
         }
-        broker.lost(clock.now(), this, server, since);
+        broker.serverLost(clock.now(), this, server, since);
         if (b != null && b.hold) {
             connect(b);
         }
@@ -184,8 +184,8 @@
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("class", s.className());
         fields.put("key", s.title());
-        fields.put("left", Long.toString(Math.max(1, s.left() / 1000)));
-        fields.put("rung", Integer.toString(s.rung()));
+        fields.put("left", Long.toString(Math.max(1, s.answerTimeout() / 1000)));
+        fields.put("rung", Integer.toString(s.highestRendition()));
         byte[] text = new Message("setup", s.name(), fields, -1, s.description())
                 .write()
                 .getBytes(StandardCharsets.UTF_8);
@@ -196,7 +196,7 @@
         }
         b.givenUp.values().removeIf(at -> clock.now() - at > GIVEN_UP);
         if (b.givenUp.containsKey(s.name())) {
-            broker.trail().add(clock.now(), s.name(), "held-back", server);
+            broker.trace().add(clock.now(), s.name(), "held-back", server);
             LOG.info("set-up held back: server={} why=given up there just now: session={}", server, s.name());
             moot(server, s.name());
             return;
@@ -208,14 +208,18 @@
             return;
         }
         if (line.open.size() >= BACKLOG || line.up && Net.unwritten(line.channel)) {
-            broker.trail().add(clock.now(), s.name(), "held-back", server);
+            broker.trace().add(clock.now(), s.name(), "held-back", server);
             LOG.warn("set-up held back: server={} open={} why=server does not read", server, line.open.size());
             moot(server, s.name());
             return;
         }
         LOG.debug(
-                "set-up out: session={} server={} left={} line={}", s.name(), server, s.left(), line.up ? "up" : "new");
-        broker.trail().add(clock.now(), s.name(), line.up ? "out" : "out-on-new-line", server);
+                "set-up out: session={} server={} left={} line={}",
+                s.name(),
+                server,
+                s.answerTimeout(),
+                line.up ? "up" : "new");
+        broker.trace().add(clock.now(), s.name(), line.up ? "out" : "out-on-new-line", server);
         Pending p = new Pending(text);
         line.open.put(s.name(), p);
         if (line.up) {
@@ -244,7 +248,7 @@
     }
 
     @Override
-    public void giveUp(String server, String name) {
+    public void cancelSetUp(String server, String name) {
         LOG.debug("set-up given up: session={} server={}", name, server);
         Box b = boxes.get(server);
         if (b == null) {
@@ -253,7 +257,7 @@
         for (Line l : List.copyOf(b.lines)) {
             Pending p = l.open.remove(name);
             if (p != null) {
-                broker.trail().add(clock.now(), name, "given-up", server);
+                broker.trace().add(clock.now(), name, "given-up", server);
             }
             if (p == null || !l.up || !p.handed) {
                 continue;
@@ -298,7 +302,7 @@
     }
 
     @Override
-    public void rate(String server, String name, int rung) {
+    public void setRendition(String server, String name, int rung) {
         Box b = boxes.get(server);
         if (b == null) {
             return;
@@ -307,7 +311,7 @@
     }
 
     @Override
-    public void hold(String server, boolean sessions) {
+    public void setHasActiveSessions(String server, boolean sessions) {
         Box b = boxes.computeIfAbsent(server, Box::new);
         b.hold = sessions;
         if (sessions) {
@@ -419,14 +423,14 @@
     private void suspect(Box b) {
         if (b.suspect < 0) {
             b.suspect = clock.now();
-            finder.suspected(b.id, true);
+            finder.suspicionChanged(b.id, true);
         }
     }
 
     private void cleared(Box b) {
         if (b.suspect >= 0) {
             b.suspect = -1;
-            finder.suspected(b.id, false);
+            finder.suspicionChanged(b.id, false);
         }
     }
 
@@ -435,7 +439,8 @@
         if (b.suspect < 0) {
             return true;
         }
-        switch (finder.ask(clock.now(), b.id, new Finder.Suspicion(b.suspect, b.heardAt, b.triedAt, b.failures))) {
+        switch (finder.decide(
+                clock.now(), b.id, new ProbeCoordinator.Suspicion(b.suspect, b.heardAt, b.triedAt, b.failures))) {
             case DOWN -> {
                 LOG.info("edge server down as others found, too: id={} ms={}", b.id, (clock.now() - b.suspect) / 1000);
                 lost(b);
@@ -455,7 +460,7 @@
         b.failures = 0;
         drop(b);
         cleared(b);
-        broker.lost(clock.now(), this, b.id, clock.now());
+        broker.serverLost(clock.now(), this, b.id, clock.now());
     }
 
     /** One line is kept up where sessions stand; a server that ends each at once is not tried all the time. */
@@ -470,7 +475,7 @@
     }
 
     private void again(Box b) {
-        deadlines.at(clock.now() + RETRY, t -> {
+        deadlines.schedule(clock.now() + RETRY, t -> {
             if (b.hold
                     && boxes.get(b.id) == b
                     && b.at != null
@@ -498,7 +503,7 @@
     /** Every half second: lines that the server would soon close as idle are ended or renewed, those stuck dropped. */
     private void lookAround(long due) {
         long now = clock.now();
-        deadlines.at(now + LOOK, this::lookAround);
+        deadlines.schedule(now + LOOK, this::lookAround);
         for (Box b : List.copyOf(boxes.values())) {
             for (Line l : List.copyOf(b.lines)) {
                 if (l.nearIdleClose(now) || l.retired && l.open.isEmpty() && now - l.usedAt > STUCK) {
@@ -621,7 +626,7 @@
             up = true;
             box.failures = 0;
             if (box.suspect >= 0) {
-                finder.found(box.id, true);
+                finder.probeFinished(box.id, true);
                 cleared(box);
             }
             usedAt = clock.now();
@@ -644,9 +649,9 @@
                 if (p.handed || open.get(e.getKey()) != p) {
                     continue;
                 }
-                if (!broker.takes(clock.now(), box.id)) {
+                if (!broker.acceptsSetUp(clock.now(), box.id)) {
                     open.remove(e.getKey());
-                    broker.trail().add(clock.now(), e.getKey(), "held-back", "drain");
+                    broker.trace().add(clock.now(), e.getKey(), "held-back", "drain");
                     moot(box.id, e.getKey());
                 } else if (Net.unwritten(channel)) {
                     return; // goes on once that is written
@@ -670,7 +675,7 @@
             LOG.info("edge server not reached: id={} refused={} waiting={}", box.id, refused, open.size());
             box.lines.remove(this);
             end(Outcome.CONNECT_FAILED);
-            finder.found(box.id, false);
+            finder.probeFinished(box.id, false);
             if (!box.hold || !box.lines.stream().allMatch(l -> l.doubted)) {
                 return; // another line is up or on its way, and tells more
             }
@@ -695,7 +700,7 @@
             open.clear();
             left.forEach((name, p) -> {
                 Outcome end = p.written ? Outcome.RESET : unwritten == Outcome.RESET ? Outcome.MOOT : unwritten;
-                broker.trail().add(clock.now(), name, end.name(), box.id);
+                broker.trace().add(clock.now(), name, end.name(), box.id);
                 broker.ended(clock.now(), box.id, name, end, LoadReport.NONE);
             });
         }
@@ -772,7 +777,7 @@
         long now = clock.now();
         String server = line.box.id;
         if (!m.type().equals("note")) {
-            broker.trail().add(now, m.id(), m.type(), server);
+            broker.trace().add(now, m.id(), m.type(), server);
             LOG.debug("from server: id={} session={} type={} cause={}", server, m.id(), m.type(), m.cause());
         }
         switch (m.type()) {
@@ -782,7 +787,7 @@
                         throw new Message.Malformed("answer without a description");
                     }
                     line.open.remove(m.id());
-                    broker.answered(now, server, m.id(), m.sdp());
+                    broker.setUpAnswered(now, server, m.id(), m.sdp());
                 }
             }
             case "release" -> {
@@ -832,7 +837,7 @@
         try {
             double value = Double.parseDouble(m.fields().getOrDefault("value", ""));
             if (topic != null && value >= 0 && value <= MOST) {
-                broker.note(now, server, m.id(), topic, value);
+                broker.metricReceived(now, server, m.id(), topic, value);
             }
         } catch (NumberFormatException e) {
             LOG.warn("edge server's note without a figure: id={}", server);
--- a/src/main/java/dockshed/eureka/EurekaClient.java
+++ b/src/main/java/dockshed/eureka/EurekaClient.java
@@ -1,7 +1,7 @@
 package dockshed.eureka;
 
 import dockshed.config.HlsConfig;
-import dockshed.core.Deadlines;
+import dockshed.core.TimerQueue;
 import dockshed.names.Listing;
 import dockshed.net.Clock;
 import dockshed.net.Headed;
@@ -23,7 +23,7 @@
     private final HlsConfig.Eureka config;
     private final Net net;
     private final Clock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final Consumer<List<Listing>> listener;
     private final Registry registry = new Registry();
     private boolean whole;
@@ -31,7 +31,7 @@
 
     /** {@code listener} hears the whole list whenever it may have changed. */
     public EurekaClient(
-            HlsConfig.Eureka config, Net net, Clock clock, Deadlines deadlines, Consumer<List<Listing>> listener) {
+            HlsConfig.Eureka config, Net net, Clock clock, TimerQueue deadlines, Consumer<List<Listing>> listener) {
         this.config = config;
         this.net = net;
         this.clock = clock;
@@ -45,7 +45,7 @@
 
     private void ask(long due) {
         boolean delta = whole;
-        Deadlines.Deadline[] late = {null};
+        TimerQueue.Timer[] late = {null};
         HttpFetch f = HttpFetch.get(
                 net,
                 config.at(),
@@ -66,7 +66,7 @@
                         missed(why);
                     }
                 });
-        late[0] = deadlines.at(clock.now() + PATIENCE, t -> {
+        late[0] = deadlines.schedule(clock.now() + PATIENCE, t -> {
             f.cancel();
             missed("no answer in time");
         });
@@ -110,6 +110,6 @@
     }
 
     private void later() {
-        deadlines.at(clock.now() + config.poll(), this::ask);
+        deadlines.schedule(clock.now() + config.poll(), this::ask);
     }
 }
--- a/src/main/java/dockshed/fleet/FleetHealthProber.java
+++ b/src/main/java/dockshed/fleet/FleetHealthProber.java
@@ -1,13 +1,13 @@
 package dockshed.fleet;
 
-import dockshed.core.Finder;
+import dockshed.core.ProbeCoordinator;
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
 /** Health probing in turns by {@link HealthProbeSchedule}; without a fresh, steady snapshot this broker probes by itself. */
-public final class FleetHealthProber implements Finder {
+public final class FleetHealthProber implements ProbeCoordinator {
     private final int me;
     private final Supplier<FleetSnapshot> snapshots;
     private final Predicate<LocalEvent> events;
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public Verdict ask(long now, String server, Suspicion suspicion) {
+    public Verdict decide(long now, String server, Suspicion suspicion) {
         FleetSnapshot fleet = snapshots.get();
         if (!fleet.isFresh(now) || !fleet.steady()) {
             return Verdict.TRY;
@@ -40,12 +40,12 @@
     }
 
     @Override
-    public void found(String server, boolean up) {
+    public void probeFinished(String server, boolean up) {
         events.test(new LocalEvent.HealthReport(StableHash.of(server), up));
     }
 
     @Override
-    public void suspected(String server, boolean is) {
+    public void suspicionChanged(String server, boolean is) {
         avoid.accept(server, is);
     }
 }
--- a/src/main/java/dockshed/fleet/FleetHost.java
+++ b/src/main/java/dockshed/fleet/FleetHost.java
@@ -101,7 +101,7 @@
 
     /** Replicates the retry-storm part's message as an entry, so that all messages share one form and one budget. */
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         offer(new LocalEvent.StormNote(message.clone()));
     }
 
--- a/src/main/java/dockshed/fleet/HealthProbeSchedule.java
+++ b/src/main/java/dockshed/fleet/HealthProbeSchedule.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import dockshed.core.Finder.Suspicion;
-import dockshed.core.Finder.Verdict;
+import dockshed.core.ProbeCoordinator.Suspicion;
+import dockshed.core.ProbeCoordinator.Verdict;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -49,12 +49,12 @@
      */
     static Verdict verdict(
             long now, int me, List<Integer> brokers, int server, List<VersionedEntry> reports, Suspicion suspicion) {
-        int down = Math.min(1, suspicion.failures());
+        int down = Math.min(1, suspicion.consecutiveFailures());
         for (VersionedEntry report : reports) {
             if (report.owner() == me || !counts(now, report, suspicion)) {
                 continue;
             }
-            if (report.value()[0] == UP && now - suspicion.since() < MAX_WAIT) {
+            if (report.value()[0] == UP && now - suspicion.suspectedSince() < MAX_WAIT) {
                 return Verdict.UP;
             }
             down += report.value()[0] == DOWN ? 1 : 0;
@@ -68,13 +68,13 @@
     private static boolean counts(long now, VersionedEntry report, Suspicion suspicion) {
         return report.value().length > 0
                 && now - report.writtenAt() <= REPORT_MAX_AGE
-                && report.writtenAt() >= suspicion.signOf();
+                && report.writtenAt() >= suspicion.lastSignOfLife();
     }
 
     private static boolean probeDue(long now, int me, List<Integer> brokers, int server, Suspicion suspicion) {
         int turn = order(brokers, server).indexOf(me);
         long wait = Math.min(MAX_WAIT, Math.max(0, turn) * TURN);
-        boolean firstOrRepeat = suspicion.failures() == 0 || now - suspicion.triedAt() >= MAX_WAIT;
-        return now - suspicion.since() >= wait && firstOrRepeat;
+        boolean firstOrRepeat = suspicion.consecutiveFailures() == 0 || now - suspicion.lastProbedAt() >= MAX_WAIT;
+        return now - suspicion.suspectedSince() >= wait && firstOrRepeat;
     }
 }
--- a/src/main/java/dockshed/hls/HlsFront.java
+++ b/src/main/java/dockshed/hls/HlsFront.java
@@ -5,9 +5,9 @@
 import dockshed.Director.SessionClass;
 import dockshed.Director.Settings;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
 import dockshed.core.Front;
-import dockshed.core.Wish;
+import dockshed.core.SessionRequest;
+import dockshed.core.TimerQueue;
 import dockshed.hls.Playlists.Multivariant;
 import dockshed.hls.Playlists.Unfit;
 import dockshed.net.ByteHandler;
@@ -54,7 +54,7 @@
     private final Broker broker;
     private final Origins origins;
     private final Clock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final Map<String, SessionClass> classes = new HashMap<>();
     private final int cells;
     private final long idle;
@@ -70,7 +70,7 @@
             Broker broker,
             Origins origins,
             Clock clock,
-            Deadlines deadlines,
+            TimerQueue deadlines,
             Settings settings,
             long idle,
             int mostConnections,
@@ -186,7 +186,7 @@
         }
 
         private void lookIdle() {
-            deadlines.at(usedAt + IDLE_CONNECTION, t -> {
+            deadlines.schedule(usedAt + IDLE_CONNECTION, t -> {
                 if (!closing && !answering && clock.now() - usedAt >= IDLE_CONNECTION) {
                     channel.close();
                 } else if (!closing) {
@@ -244,7 +244,7 @@
                     && s.waiting.isEmpty()
                     && cls(s).effect() == Effect.SAFE) {
                 forget(s);
-                broker.leave(clock.now(), s.name);
+                broker.cancel(clock.now(), s.name);
             }
         }
     }
@@ -304,7 +304,7 @@
         s.waiting.add(x);
         sessions.put(name, s);
         byViewer.put(key, s);
-        Wish wish = new Wish(
+        SessionRequest wish = new SessionRequest(
                 name,
                 cls.name(),
                 viewer,
@@ -359,7 +359,7 @@
         if (s == null || s.list == null) {
             x.error(ended.containsKey(parts[0]) ? 410 : 404, ended.containsKey(parts[0]) ? "Gone" : "Not Found");
         } else if (delete) {
-            broker.leave(clock.now(), s.name);
+            broker.cancel(clock.now(), s.name);
             end(s);
             x.answer(204, "No Content", "text/plain", "", Map.of());
         } else if (parts.length == 2 && parts[1].equals("master.m3u8")) {
@@ -393,14 +393,14 @@
             x.error(404, "Not Found");
             return;
         }
-        if (!broker.takes(clock.now(), s.server)) {
+        if (!broker.acceptsSetUp(clock.now(), s.server)) {
             String text = s.held.get(number);
             if (text != null) {
                 live(s, Playlists.playtime(text));
                 x.playlist(text);
             } else {
                 LOG.info("fetch for a draining box ended: session={} server={}", s.name, s.server);
-                broker.leave(clock.now(), s.name);
+                broker.cancel(clock.now(), s.name);
                 end(s);
                 x.error(410, "Gone");
             }
@@ -422,7 +422,7 @@
     }
 
     private void fetch(Exchange x, Session s, int number, URI uri, String path) {
-        Deadlines.Deadline[] late = {null};
+        TimerQueue.Timer[] late = {null};
         HttpFetch f = origins.media(s.server, path, new HttpFetch.Listener() {
             @Override
             public void answered(Headed answer) {
@@ -449,7 +449,7 @@
             }
         });
         long patience = cls(s).deadline();
-        late[0] = deadlines.at(clock.now() + patience, t -> {
+        late[0] = deadlines.schedule(clock.now() + patience, t -> {
             f.cancel();
             x.error(504, "Gateway Timeout");
         });
@@ -464,19 +464,19 @@
 
     /** Retry-After counts whole seconds (RFC 9110, 10.2.3). */
     @Override
-    public long comeBackUnit() {
+    public long retryAfterUnit() {
         return 1_000_000;
     }
 
     @Override
-    public void served(long connection, String name, Granted granted) {
+    public void served(long connection, String name, Grant granted) {
         Session s = sessions.get(name);
         if (s == null) {
             return;
         }
         s.server = granted.server();
-        s.floor = granted.floor();
-        s.rung = granted.rung();
+        s.floor = granted.lowestRendition();
+        s.rung = granted.highestRendition();
         s.base = origins.base(granted.server(), s.path.toString());
         try {
             if (s.base == null) {
@@ -486,7 +486,7 @@
         } catch (Unfit e) {
             LOG.warn("session cannot be given: session={} why={}", name, e.getMessage());
             forget(s);
-            broker.leave(clock.now(), name);
+            broker.cancel(clock.now(), name);
             take(s).forEach(x -> x.error(502, "Bad Gateway"));
             return;
         }
@@ -508,7 +508,7 @@
     }
 
     @Override
-    public void over(long connection, String name, Outcome outcome) {
+    public void sessionEnded(long connection, String name, Outcome outcome) {
         Session s = sessions.get(name);
         if (s != null) {
             end(s);
@@ -518,11 +518,11 @@
     /** The player finds its session gone at the next fetch, and asks for the lesson anew. */
     @Override
     public void moved(long connection, String name) {
-        over(connection, name, Outcome.CANCELLED);
+        sessionEnded(connection, name, Outcome.CANCELLED);
     }
 
     @Override
-    public void rung(String name, int rung) {
+    public void renditionChanged(String name, int rung) {
         Session s = sessions.get(name);
         if (s != null) {
             s.rung = rung;
@@ -552,7 +552,7 @@
 
     /** Ends the session once nobody has fetched for as long as what was fetched can play, and a while more. */
     private void watch(Session s) {
-        deadlines.at(s.lively, t -> {
+        deadlines.schedule(s.lively, t -> {
             if (sessions.get(s.name) != s) {
                 return;
             }
@@ -561,7 +561,7 @@
                 return;
             }
             LOG.info("session idle, ended: session={}", s.name);
-            broker.finished(clock.now(), s.name);
+            broker.sessionCompleted(clock.now(), s.name);
             end(s);
         });
     }
--- a/src/main/java/dockshed/hls/Origins.java
+++ b/src/main/java/dockshed/hls/Origins.java
@@ -3,7 +3,7 @@
 import dockshed.Director.LoadReport;
 import dockshed.Director.Outcome;
 import dockshed.core.Broker;
-import dockshed.core.Servers;
+import dockshed.core.ServerAdapter;
 import dockshed.load.LoadTeller;
 import dockshed.load.OrcaReport;
 import dockshed.net.Clock;
@@ -23,7 +23,7 @@
  * The lesson boxes as HLS servers. An attempt is the fetch of a title's multivariant playlist; whatever is no usable
  * playlist may have been a set-up all the same, and only a connection that never came up proves that nothing ran.
  */
-public final class Origins implements Servers {
+public final class Origins implements ServerAdapter {
     static final int PLAYLIST_LIMIT = 1 << 20;
     private static final Logger LOG = LoggerFactory.getLogger(Origins.class);
 
@@ -64,8 +64,8 @@
             broker.ended(clock.now(), server, s.name(), Outcome.MOOT, LoadReport.NONE);
             return;
         }
-        Map<String, String> headers =
-                Map.of("Priority-Class", s.className(), "Session", s.name(), "Rung", Integer.toString(s.rung()));
+        Map<String, String> headers = Map.of(
+                "Priority-Class", s.className(), "Session", s.name(), "Rung", Integer.toString(s.highestRendition()));
         out.put(
                 s.name(),
                 HttpFetch.get(
@@ -78,14 +78,15 @@
                                         throw new Playlists.Unfit("status " + answer.status());
                                     }
                                     Playlists.Multivariant list = Playlists.Multivariant.read(answer.text());
-                                    if (!list.has(s.floor(), s.rung())) {
-                                        throw new Playlists.Unfit(
-                                                "no variant from rung " + s.floor() + " to " + s.rung());
+                                    if (!list.has(s.lowestRendition(), s.highestRendition())) {
+                                        throw new Playlists.Unfit("no variant from rung " + s.lowestRendition() + " to "
+                                                + s.highestRendition());
                                     }
                                     loads.header(clock.now(), server, answer.header(OrcaReport.HEADER));
-                                    broker.answered(clock.now(), server, s.name(), answer.text());
-                                    if (broker.stands(s.name())) { // its front may have ended it at once
-                                        loads.stands(clock.now(), server, s.name(), s.className(), s.rung());
+                                    broker.setUpAnswered(clock.now(), server, s.name(), answer.text());
+                                    if (broker.isActive(s.name())) { // its front may have ended it at once
+                                        loads.stands(
+                                                clock.now(), server, s.name(), s.className(), s.highestRendition());
                                     }
                                 } catch (Playlists.Unfit e) {
                                     LOG.warn(
@@ -112,7 +113,7 @@
     }
 
     @Override
-    public void giveUp(String server, String name) {
+    public void cancelSetUp(String server, String name) {
         HttpFetch f = out.remove(name);
         if (f != null) {
             f.cancel();
@@ -125,18 +126,18 @@
 
     /** The rung takes hold in the front, with the session's next fetch. */
     @Override
-    public void rate(String server, String name, int rung) {
+    public void setRendition(String server, String name, int rung) {
         loads.rate(clock.now(), name, rung);
     }
 
     @Override
-    public void over(String server, String name) {
+    public void sessionEnded(String server, String name) {
         loads.over(clock.now(), name);
     }
 
     /** There is no connection to keep: each fetch has its own. */
     @Override
-    public void hold(String server, boolean sessions) {}
+    public void setHasActiveSessions(String server, boolean sessions) {}
 
     /** Fetches a media playlist for a session that stands. */
     HttpFetch media(String server, String path, HttpFetch.Listener listener) {
--- a/src/main/java/dockshed/load/LoadTeller.java
+++ b/src/main/java/dockshed/load/LoadTeller.java
@@ -4,7 +4,7 @@
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
+import dockshed.core.TimerQueue;
 import java.util.List;
 import java.util.OptionalDouble;
 
@@ -14,13 +14,13 @@
     static final long USUAL = 1_000_000;
 
     private final Broker broker;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final ReckonedLoads loads;
     private final long every;
     private final long late;
     private boolean waiting;
 
-    public LoadTeller(Broker broker, Deadlines deadlines, Settings settings) {
+    public LoadTeller(Broker broker, TimerQueue deadlines, Settings settings) {
         this.broker = broker;
         this.deadlines = deadlines;
         loads = new ReckonedLoads(settings);
@@ -35,10 +35,10 @@
     /** A session stands; its own reading is of now, as the module takes the first of each session. */
     public void stands(long now, String server, String name, String className, int rung) {
         loads.stands(now, server, name, className, rung);
-        broker.note(now, server, name, Metric.LINK, loads.share(now, server, now));
+        broker.metricReceived(now, server, name, Metric.LINK, loads.share(now, server, now));
         if (!waiting) {
             waiting = true;
-            deadlines.at(now + every, this::tell);
+            deadlines.schedule(now + every, this::tell);
         }
     }
 
@@ -62,10 +62,10 @@
     private void tell(long now) {
         loads.heldBy()
                 .forEach((server, name) ->
-                        broker.note(now, server, name, Metric.LINK, loads.share(now, server, now - late)));
+                        broker.metricReceived(now, server, name, Metric.LINK, loads.share(now, server, now - late)));
         waiting = !loads.heldBy().isEmpty();
         if (waiting) {
-            deadlines.at(now + every, this::tell);
+            deadlines.schedule(now + every, this::tell);
         }
     }
 }
--- a/src/main/java/dockshed/names/Names.java
+++ b/src/main/java/dockshed/names/Names.java
@@ -2,7 +2,7 @@
 
 import dockshed.Director.ListScope;
 import dockshed.Director.Server;
-import dockshed.core.Deadlines;
+import dockshed.core.TimerQueue;
 import dockshed.names.Dns.Answer;
 import dockshed.net.Clock;
 import dockshed.net.Net;
@@ -43,7 +43,7 @@
     private final Survey survey = new Survey(list, SERVICE);
     private final Listener listener;
     private final Clock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private InetSocketAddress server;
     private final Random random;
     private final Map<Integer, Asked> asked = new HashMap<>(); // by query number
@@ -52,7 +52,7 @@
     private boolean reached = true;
     private long answeredAt;
 
-    public Names(Listener listener, Clock clock, Deadlines deadlines, InetSocketAddress server, long seed) {
+    public Names(Listener listener, Clock clock, TimerQueue deadlines, InetSocketAddress server, long seed) {
         this.listener = listener;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -113,7 +113,7 @@
 
     private void ask(long due) {
         long now = clock.now();
-        deadlines.at(now + PERIOD, this::ask);
+        deadlines.schedule(now + PERIOD, this::ask);
         asked.values().removeIf(q -> now - q.at() > 10 * PATIENCE);
         boolean was = reached;
         reached = now - answeredAt < 2 * PATIENCE;
--- a/src/main/java/dockshed/net/Signals.java
+++ b/src/main/java/dockshed/net/Signals.java
@@ -1,7 +1,7 @@
 package dockshed.net;
 
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
+import dockshed.core.TimerQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
@@ -19,13 +19,13 @@
 
     private final Net net;
     private final Clock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final Broker broker;
     private final long longest;
     private PlannedEnd end;
 
     /** {@code longest}: the longest time that a viewer waits. */
-    public Signals(Net net, Clock clock, Deadlines deadlines, Broker broker, long longest) {
+    public Signals(Net net, Clock clock, TimerQueue deadlines, Broker broker, long longest) {
         this.net = net;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -83,26 +83,26 @@
 
     private void begin(long told) {
         end = new PlannedEnd(told, longest);
-        LOG.info("planned end begun: unanswered={} standing={}", broker.unanswered(), broker.standing());
+        LOG.info("planned end begun: unanswered={} standing={}", broker.unansweredRequests(), broker.activeSessions());
         look(told);
     }
 
     private void look(long due) {
         long now = clock.now();
         boolean unwritten = net.unwritten();
-        switch (end.step(now, broker.unanswered(), unwritten)) {
+        switch (end.step(now, broker.unansweredRequests(), unwritten)) {
             case WAIT -> {}
             case TELL -> {
                 LOG.info(
                         "planned end: ms={} unanswered={} standing={} {}",
                         (now - end.told()) / 1000,
-                        broker.unanswered(),
-                        broker.standing(),
+                        broker.unansweredRequests(),
+                        broker.activeSessions(),
                         broker.counts());
                 broker.releaseAll(now);
             }
             case FAIL -> {
-                LOG.warn("planned end: failed for want of time: requests={}", broker.unanswered());
+                LOG.warn("planned end: failed for want of time: requests={}", broker.unansweredRequests());
                 broker.failAll(now);
             }
             case TELL_AGAIN -> broker.releaseAll(now);
@@ -113,6 +113,6 @@
                 Runtime.getRuntime().halt(0);
             }
         }
-        deadlines.at(now + LOOK, this::look);
+        deadlines.schedule(now + LOOK, this::look);
     }
 }
--- a/src/main/java/dockshed/peers/UdpPeers.java
+++ b/src/main/java/dockshed/peers/UdpPeers.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void tell(byte[] message) {
+    public void broadcast(byte[] message) {
         if (channel == null || message.length > LIMIT) {
             LOG.warn("datagram not sent: bytes={}", message.length);
             return;
--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -2,10 +2,10 @@
 
 import dockshed.Director.Outcome;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
 import dockshed.core.Front;
-import dockshed.core.Servers;
-import dockshed.core.Wish;
+import dockshed.core.ServerAdapter;
+import dockshed.core.SessionRequest;
+import dockshed.core.TimerQueue;
 import dockshed.net.ByteHandler;
 import dockshed.net.Clock;
 import dockshed.net.Headed;
@@ -53,9 +53,9 @@
     private static final byte[] NOTHING = new byte[0];
 
     private final Broker broker;
-    private final Servers servers;
+    private final ServerAdapter servers;
     private final Clock clock;
-    private final Deadlines deadlines;
+    private final TimerQueue deadlines;
     private final int mostConnections;
     private final Map<Long, Connection> channels = new HashMap<>();
     private final Set<Connection> open = new LinkedHashSet<>(); // those that are ending, too
@@ -63,13 +63,13 @@
     private boolean full;
 
     /** Viewers keep to a third of the descriptors; {@code mostConnections} leaves room for what is no viewer's. */
-    public RtspFront(Broker broker, Servers servers, Clock clock, Deadlines deadlines, int mostConnections) {
+    public RtspFront(Broker broker, ServerAdapter servers, Clock clock, TimerQueue deadlines, int mostConnections) {
         this.mostConnections = mostConnections;
         this.broker = broker;
         this.servers = servers;
         this.clock = clock;
         this.deadlines = deadlines;
-        deadlines.at(clock.now() + LOOK, this::look);
+        deadlines.schedule(clock.now() + LOOK, this::look);
     }
 
     /** The handler of a new connection. */
@@ -80,7 +80,7 @@
     /** Ends what has been silent, stuck in a message, or closing for too long. */
     private void look(long due) {
         long now = clock.now();
-        deadlines.at(now + LOOK, this::look);
+        deadlines.schedule(now + LOOK, this::look);
         for (Connection c : List.copyOf(open)) {
             if (c.ending) {
                 if (c.shut && now - c.since > LINGER) {
@@ -123,7 +123,7 @@
             // A set-up may have come that is not read yet: it is closed only once all that had come has been.
             chosen.doomed = true;
             long unused = chosen.usedAt;
-            deadlines.at(now + LAST_READ, t -> {
+            deadlines.schedule(now + LAST_READ, t -> {
                 chosen.doomed = false;
                 if (chosen.usedAt == unused && chosen.setUps.isEmpty() && !chosen.decoder.midway() && !chosen.ending) {
                     chosen.quiet("room is needed");
@@ -136,7 +136,7 @@
     }
 
     /** A set-up as it came. */
-    private record Asked(Wish wish, Headed message) {}
+    private record Asked(SessionRequest wish, Headed message) {}
 
     private final class Connection extends ByteHandler {
         private final HeadedDecoder decoder = new HeadedDecoder(MESSAGE_LIMIT);
@@ -240,7 +240,7 @@
 
         /** The viewer has ended its output behind them: they are answered, as it may still read, and not tried. */
         private void drop() {
-            fresh.keySet().forEach(name -> refused(handle, name, broker.longestComeBack()));
+            fresh.keySet().forEach(name -> refused(handle, name, broker.maxRetryAfter()));
             fresh.clear();
         }
 
@@ -251,7 +251,7 @@
         @Override
         protected void inputEnded(ChannelHandlerContext ctx) {
             LOG.debug("viewer says no more: remote={} open={}", channel.remoteAddress(), setUps);
-            broker.silenced(clock.now(), handle);
+            broker.halfClosed(clock.now(), handle);
             leave();
             shut = true;
             open.add(this); // until what is written has been read, or for as long as it may linger
@@ -377,7 +377,7 @@
         Channel ch = c.channel;
         if (m.first().startsWith("RTSP/")) {
             if ("2".equals(m.header("cseq"))) {
-                broker.heard(c.handle, m.header("session", ""));
+                broker.endConfirmed(c.handle, m.header("session", ""));
             }
             return;
         }
@@ -389,9 +389,9 @@
             case "TEARDOWN" -> {
                 LOG.debug("torn down by its viewer: session={} reason={}", m.header("session"), m.header("reason"));
                 String name = m.header("session", "");
-                broker.trail().add(clock.now(), name, "torn-down", m.header("reason"));
+                broker.trace().add(clock.now(), name, "torn-down", m.header("reason"));
                 if (c.fresh.remove(name) == null) {
-                    broker.leave(clock.now(), name);
+                    broker.cancel(clock.now(), name);
                 }
                 reply(ch, 200, "OK", m);
             }
@@ -409,14 +409,14 @@
             c.fault(e.getMessage(), m);
             return;
         }
-        Wish wish = f.wish();
+        SessionRequest wish = f.wish();
         boolean untaken = c.fresh.remove(wish.name()) != null;
         if (untaken || c.setUps.contains(wish.name())) { // no telling any more which of the two an answer would be for
             LOG.warn(
                     "viewer's message malformed: remote={} why=two set-ups under one session",
                     c.channel.remoteAddress());
             if (!untaken) {
-                broker.leave(clock.now(), wish.name());
+                broker.cancel(clock.now(), wish.name());
             }
             answer(c, wish.name(), 400, "Bad Request", NOTHING, Map.of());
             c.end();
@@ -428,7 +428,7 @@
         }
         c.viewer = true;
         if (f.at() != null) {
-            if (!broker.open(clock.now(), c.handle, this, servers, wish, f.at())) {
+            if (!broker.adoptSession(clock.now(), c.handle, this, servers, wish, f.at())) {
                 c.fault("plays nowhere that is known", m);
             }
             return;
@@ -437,9 +437,9 @@
     }
 
     private void request(Connection c, Asked asked) {
-        Wish wish = asked.wish();
+        SessionRequest wish = asked.wish();
         c.setUps.add(wish.name());
-        broker.trail().add(clock.now(), wish.name(), "taken", wish.className());
+        broker.trace().add(clock.now(), wish.name(), "taken", wish.className());
         LOG.debug("set-up taken: session={} remote={}", wish.name(), c.channel.remoteAddress());
         if (!broker.request(clock.now(), c.handle, this, servers, wish)) {
             c.setUps.remove(wish.name());
@@ -450,7 +450,7 @@
     // ---- From the broker.
 
     @Override
-    public void served(long connection, String name, Granted granted) {
+    public void served(long connection, String name, Grant granted) {
         answer(connection, name, 200, "OK", granted.description().getBytes(StandardCharsets.UTF_8), Map.of());
     }
 
@@ -463,7 +463,7 @@
         // Players that know nothing of P-Back-Off know these two (RFC 2326, 11.3.14 and 12.31).
         Map<String, String> when = new LinkedHashMap<>();
         when.put("P-Back-Off", Long.toString(comeBack / 1000));
-        long seconds = wholeSeconds(comeBack, broker.longestComeBack(), random);
+        long seconds = wholeSeconds(comeBack, broker.maxRetryAfter(), random);
         if (seconds > 0) {
             when.put("Retry-After", Long.toString(seconds));
         }
@@ -489,7 +489,7 @@
 
     /** A connection that only waited for this answer to end has none to wait for. */
     @Override
-    public void left(long connection, String name) {
+    public void requestCancelled(long connection, String name) {
         Connection c = channels.get(connection);
         if (c != null) {
             c.setUps.remove(name);
@@ -498,7 +498,7 @@
     }
 
     @Override
-    public void over(long connection, String name, Outcome outcome) {
+    public void sessionEnded(long connection, String name, Outcome outcome) {
         request(connection, "TEARDOWN", name, "cause=" + (outcome == Outcome.OK ? 16 : 41));
     }
 
@@ -513,14 +513,14 @@
         if (c != null) {
             answer(c, name, code, phrase, body, more);
         } else if (code == 200) {
-            broker.undelivered(clock.now(), name);
+            broker.answerUndelivered(clock.now(), name);
         }
     }
 
     private void answer(Connection c, String name, int code, String phrase, byte[] body, Map<String, String> more) {
         c.setUps.remove(name);
         c.usedAt = clock.now();
-        broker.trail().add(c.usedAt, name, "answered", phrase);
+        broker.trace().add(c.usedAt, name, "answered", phrase);
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "1");
         headers.put("Session", name);
@@ -529,9 +529,9 @@
                 .writeAndFlush(Net.buf(Headed.encode("RTSP/1.0 " + code + " " + phrase, headers, body)))
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        broker.trail().bad(name, "answer not written");
+                        broker.trace().logFailure(name, "answer not written");
                         if (code == 200) {
-                            broker.undelivered(clock.now(), name);
+                            broker.answerUndelivered(clock.now(), name);
                         }
                     }
                 });
--- a/src/main/java/dockshed/rtsp/SetUpFields.java
+++ b/src/main/java/dockshed/rtsp/SetUpFields.java
@@ -1,6 +1,6 @@
 package dockshed.rtsp;
 
-import dockshed.core.Wish;
+import dockshed.core.SessionRequest;
 import dockshed.net.Headed;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -10,7 +10,7 @@
 import java.util.regex.Pattern;
 
 /** What a viewer's SETUP says. {@code at}: the server where the session plays already, or null. */
-record SetUpFields(Wish wish, String at) {
+record SetUpFields(SessionRequest wish, String at) {
     private static final String ADDRESS = "rtsp://media/";
     private static final Pattern TITLE = Pattern.compile("[!-~]{1,256}");
     private static final Pattern WHOLE = Pattern.compile("[0-9]{1,6}");
@@ -30,7 +30,7 @@
             throw new IllegalArgumentException("title is no word");
         }
         Map<String, String> info = pairs(m.header("p-trunk-info", ""));
-        Wish wish = new Wish(
+        SessionRequest wish = new SessionRequest(
                 session,
                 m.header("priority-class", ""),
                 info.getOrDefault("viewer", ""),
@@ -45,7 +45,7 @@
                 "1".equals(info.get("again")),
                 description(m));
         String at = info.get("at");
-        if (at == null && wish.patience() <= 0) {
+        if (at == null && wish.clientDeadline() <= 0) {
             throw new IllegalArgumentException("Expires-Ms is missing");
         }
         return new SetUpFields(wish, at);
--- a/src/test/java/dockshed/CapacityTest.java
+++ b/src/test/java/dockshed/CapacityTest.java
@@ -9,9 +9,9 @@
 import dockshed.config.Config;
 import dockshed.config.ConfigTest;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
-import dockshed.core.Stage;
-import dockshed.core.Wish;
+import dockshed.core.BrokerHarness;
+import dockshed.core.SessionRequest;
+import dockshed.core.TimerQueue;
 import dockshed.edge.Edges;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
@@ -63,12 +63,12 @@
                     c.known().get(0).members().stream().map(l -> l.server()).toList();
             assertEquals(count, servers.size());
             assertEquals(count, c.peers().size());
-            Stage stage = new Stage();
+            BrokerHarness stage = new BrokerHarness();
             Choice[] module = {null};
             Broker broker =
-                    new Broker(c.settings(), a -> module[0] = new Choice(c.settings(), 1, a), m -> {}, stage.deadlines);
-            broker.members(stage.now, "names", ListScope.DISK, servers);
-            broker.members(stage.now, "names", ListScope.CHANGES, List.of());
+                    new Broker(c.settings(), a -> module[0] = new Choice(c.settings(), 1, a), m -> {}, stage.timers);
+            broker.serversChanged(stage.now, "names", ListScope.DISK, servers);
+            broker.serversChanged(stage.now, "names", ListScope.CHANGES, List.of());
             assertEquals(count, module[0].knownServers());
             long connection = broker.connected(stage.now, stage, h -> {});
             for (int i = 0; i < 300; i++) {
@@ -78,15 +78,16 @@
                         connection,
                         stage,
                         stage,
-                        new Wish(name, "paid", "viewer" + i, "t", 3_000_000, 0, 0, 3, 1, false, false, false, "sdp"));
+                        new SessionRequest(
+                                name, "paid", "viewer" + i, "t", 3_000_000, 0, 0, 3, 1, false, false, false, "sdp"));
                 String sent = stage.log.get(stage.log.size() - 1);
                 assertTrue(sent.contains(" setUp " + name + " "), sent);
-                broker.answered(stage.now, sent.split(" ")[1], name, "answer");
-                stage.pass(10_000);
+                broker.setUpAnswered(stage.now, sent.split(" ")[1], name, "answer");
+                stage.advance(10_000);
             }
             assertEquals(300, broker.counts().served);
-            broker.members(stage.now, "names", ListScope.SNAPSHOT, servers.subList(0, count / 2));
-            broker.lost(stage.now, stage, servers.get(0).id(), stage.now);
+            broker.serversChanged(stage.now, "names", ListScope.SNAPSHOT, servers.subList(0, count / 2));
+            broker.serverLost(stage.now, stage, servers.get(0).id(), stage.now);
         }
     }
 
@@ -95,11 +96,11 @@
         // One line a server, whatever the descriptors: beyond their limit no viewer could be accepted.
         Net net = new Net();
         try (ServerSocket all = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Stage stage = new Stage();
+            BrokerHarness stage = new BrokerHarness();
             Edges edges = net.call(() -> {
                 LoopClock clock = new LoopClock(net.loop());
-                Deadlines deadlines = new Deadlines(clock::wake);
-                clock.onDue(deadlines::run);
+                TimerQueue deadlines = new TimerQueue(clock::wake);
+                clock.onDue(deadlines::runDue);
                 Edges made = new Edges(
                         stage.broker, net, clock, deadlines, new Edges.Terms(250_000, 30_000_000, 0, 0, List.of(), 8));
                 Map<String, InetSocketAddress> at = new TreeMap<>();
@@ -112,7 +113,7 @@
             for (int i = 0; i < 1025; i++) {
                 String id = "s-" + i;
                 assertTrue((int) net.call(() -> {
-                            edges.hold(id, true);
+                            edges.setHasActiveSessions(id, true);
                             return edges.lines();
                         })
                         <= 8);
--- a/src/test/java/dockshed/core/Stage.java
+++ b/src/test/java/dockshed/core/BrokerHarness.java
@@ -23,39 +23,39 @@
  * A broker on a virtual clock, between a front and servers that only write down what they are told and a module that
  * does what the test says. Lines of {@link #log} are such as "front served v1 1..3", "box a setUp v1 left=990".
  */
-public final class Stage implements Front, Servers, Director {
-    public static final long MS = 1000;
-    public static final long S = 1_000_000;
+public final class BrokerHarness implements Front, ServerAdapter, Director {
+    public static final long MILLISECOND_US = 1000;
+    public static final long SECOND_US = 1_000_000;
 
     public final List<String> log = new ArrayList<>();
     /** The connections on which ends of sessions were told. */
-    public final List<Long> overOn = new ArrayList<>();
+    public final List<Long> endNoticeConnections = new ArrayList<>();
 
     private final BlockingQueue<String> live = new LinkedBlockingQueue<>();
     /** What the module does when a request comes, when an attempt ends unanswered, and when its timer comes. */
     public Consumer<Request> onRequest = r -> this.actions.send(r.id(), "a", 0);
 
     public Consumer<String> onOutcome = id -> this.actions.fail(id);
-    public boolean polls;
-    public long now = 1_000 * S;
-    public final Deadlines deadlines = new Deadlines(at -> {});
+    public boolean frontPolls;
+    public long now = 1_000 * SECOND_US;
+    public final TimerQueue timers = new TimerQueue(at -> {});
     public Director.Actions actions;
     public final Settings settings;
     public final Broker broker;
     public long connection;
 
-    public Stage() {
-        Rules rules = new Rules(1 * S, 0.4, 12 * S, 2.5, 2 * S, 0, 0, 0);
+    public BrokerHarness() {
+        Rules rules = new Rules(1 * SECOND_US, 0.4, 12 * SECOND_US, 2.5, 2 * SECOND_US, 0, 0, 0);
         settings = new Settings(
                 0,
                 1,
                 "east",
                 List.of(
-                        new SessionClass("safe", Effect.SAFE, S, 3 * S, 1, 1, 0, 4, 0),
-                        new SessionClass("paid", Effect.AT_MOST_ONCE, S, 4 * S, 3, 1, 1, 4, 0)),
+                        new SessionClass("safe", Effect.SAFE, SECOND_US, 3 * SECOND_US, 1, 1, 0, 4, 0),
+                        new SessionClass("paid", Effect.AT_MOST_ONCE, SECOND_US, 4 * SECOND_US, 3, 1, 1, 4, 0)),
                 List.of(new ServerKind("k", 40)),
                 new Ladder(List.of(1.0, 2.0, 3.0, 4.0, 5.0), List.of(.2, .4, .6, .8, 1.0), 100, 10, 100, 1, 3, 0, 7, 1),
-                new Limits(5, false, true, 250 * MS, 2 * S, S, 3 * S),
+                new Limits(5, false, true, 250 * MILLISECOND_US, 2 * SECOND_US, SECOND_US, 3 * SECOND_US),
                 rules,
                 new Prices(0, 0, 0, 0),
                 List.of());
@@ -66,42 +66,42 @@
                     return this;
                 },
                 message -> say("peers " + message.length),
-                deadlines);
-        list(ListScope.DISK, State.UP, "a", "b");
+                timers);
+        updateServers(ListScope.DISK, State.UP, "a", "b");
         connection = broker.connected(now, this, h -> {});
         log.clear();
     }
 
-    public void list(ListScope scope, State state, String... ids) {
+    public void updateServers(ListScope scope, State state, String... ids) {
         List<Server> servers = new ArrayList<>();
         for (String id : ids) {
             servers.add(new Server(id, "east", "k", 0, state, 1, 0));
         }
-        broker.members(now, "names", scope, servers);
+        broker.serversChanged(now, "names", scope, servers);
     }
 
-    public static Wish wish(String name, String cls) {
-        return new Wish(name, cls, "viewer", "title", 3 * S, 0, 0, 3, 4, false, false, false, "sdp");
+    public static SessionRequest sessionRequest(String name, String cls) {
+        return new SessionRequest(name, cls, "viewer", "title", 3 * SECOND_US, 0, 0, 3, 4, false, false, false, "sdp");
     }
 
-    public void ask(String name, String cls) {
-        broker.request(now, connection, this, this, wish(name, cls));
+    public void sendRequest(String name, String cls) {
+        broker.request(now, connection, this, this, sessionRequest(name, cls));
     }
 
     /** A session that stands at server a. */
-    public void play(String name, String cls) {
-        ask(name, cls);
-        broker.answered(now, "a", name, "answer");
+    public void startSession(String name, String cls) {
+        sendRequest(name, cls);
+        broker.setUpAnswered(now, "a", name, "answer");
     }
 
-    public void pass(long micros) {
+    public void advance(long micros) {
         long end = now + micros;
-        while (deadlines.next() <= end) {
-            now = Math.max(now, deadlines.next());
-            broker.tick(now);
+        while (timers.nextDue() <= end) {
+            now = Math.max(now, timers.nextDue());
+            broker.runDueTimers(now);
         }
         now = end;
-        broker.tick(now);
+        broker.runDueTimers(now);
     }
 
     public void ended(String server, String name, Outcome outcome) {
@@ -129,13 +129,13 @@
 
     // ---- Front.
     @Override
-    public void served(long on, String name, Granted g) {
-        say("front served " + name + " " + g.floor() + ".." + g.rung());
+    public void served(long on, String name, Grant g) {
+        say("front served " + name + " " + g.lowestRendition() + ".." + g.highestRendition());
     }
 
     @Override
     public void refused(long on, String name, long comeBack) {
-        say("front refused " + name + " " + comeBack / MS);
+        say("front refused " + name + " " + comeBack / MILLISECOND_US);
     }
 
     @Override
@@ -144,8 +144,8 @@
     }
 
     @Override
-    public void over(long on, String name, Outcome outcome) {
-        overOn.add(on);
+    public void sessionEnded(long on, String name, Outcome outcome) {
+        endNoticeConnections.add(on);
         say("front over " + name + " " + outcome);
     }
 
@@ -156,17 +156,17 @@
 
     @Override
     public boolean needsConnection() {
-        return !polls;
+        return !frontPolls;
     }
 
     // ---- Servers.
     @Override
     public void setUp(String server, SetUp s) {
-        say("box " + server + " setUp " + s.name() + " left=" + s.left() / MS);
+        say("box " + server + " setUp " + s.name() + " left=" + s.answerTimeout() / MILLISECOND_US);
     }
 
     @Override
-    public void giveUp(String server, String name) {
+    public void cancelSetUp(String server, String name) {
         say("box " + server + " giveUp " + name);
     }
 
@@ -176,12 +176,12 @@
     }
 
     @Override
-    public void rate(String server, String name, int rung) {
+    public void setRendition(String server, String name, int rung) {
         say("box " + server + " rate " + name + " " + rung);
     }
 
     @Override
-    public void hold(String server, boolean sessions) {
+    public void setHasActiveSessions(String server, boolean sessions) {
         say("box " + server + " hold " + sessions);
     }
 
--- a/src/test/java/dockshed/core/TablesTest.java
+++ b/src/test/java/dockshed/core/TablesTest.java
@@ -32,7 +32,7 @@
             assertEquals(model.size(), table.size());
             given.forEach(h -> assertEquals(model.get(h), table.get(h)));
             Map<Long, String> seen = new HashMap<>();
-            table.eachHandle(seen::put);
+            table.forEachWithHandle(seen::put);
             assertEquals(model, seen);
         }
         assertNull(table.get(0));
@@ -43,30 +43,30 @@
     void deadlinesComeInOrderUnlessCancelled() {
         List<Long> woken = new ArrayList<>();
         List<String> done = new ArrayList<>();
-        Deadlines d = new Deadlines(woken::add);
-        d.at(30, t -> done.add("c"));
-        Deadlines.Deadline gone = d.at(10, t -> done.add("x"));
-        d.at(20, t -> done.add("a"));
-        d.at(20, t -> done.add("b"));
+        TimerQueue d = new TimerQueue(woken::add);
+        d.schedule(30, t -> done.add("c"));
+        TimerQueue.Timer gone = d.schedule(10, t -> done.add("x"));
+        d.schedule(20, t -> done.add("a"));
+        d.schedule(20, t -> done.add("b"));
         d.cancel(gone);
         assertEquals(List.of(30L, 10L), woken);
-        d.run(20);
+        d.runDue(20);
         assertEquals(List.of("a", "b"), done);
-        assertEquals(30, d.next());
+        assertEquals(30, d.nextDue());
     }
 
     @Test
     void aDeadlineThatAsksForAnotherAtOnceDoesNotKeepTheClock() {
         List<String> done = new ArrayList<>();
-        Deadlines d = new Deadlines(at -> {});
-        d.at(1, t -> {
+        TimerQueue d = new TimerQueue(at -> {});
+        d.schedule(1, t -> {
             done.add("first");
-            d.at(0, u -> done.add("second"));
+            d.schedule(0, u -> done.add("second"));
             throw new IllegalStateException("as a test: the others go on");
         });
-        d.run(5);
+        d.runDue(5);
         assertEquals(List.of("first"), done);
-        d.run(5);
+        d.runDue(5);
         assertEquals(List.of("first", "second"), done);
     }
 }
--- a/src/test/java/dockshed/edge/EdgesTest.java
+++ b/src/test/java/dockshed/edge/EdgesTest.java
@@ -5,11 +5,11 @@
 
 import dockshed.Director;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
-import dockshed.core.Finder;
-import dockshed.core.Finder.Verdict;
-import dockshed.core.Stage;
-import dockshed.core.Wish;
+import dockshed.core.BrokerHarness;
+import dockshed.core.ProbeCoordinator;
+import dockshed.core.ProbeCoordinator.Verdict;
+import dockshed.core.SessionRequest;
+import dockshed.core.TimerQueue;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import java.io.BufferedReader;
@@ -33,27 +33,27 @@
 /** The lines to edge servers on loopback sockets; the test itself is the edge server, and scripts the module. */
 class EdgesTest {
     private final Net net = new Net();
-    private final Stage stage = new Stage();
+    private final BrokerHarness stage = new BrokerHarness();
     private Director.Actions act;
     private LoopClock clock;
     private Broker broker;
     private Edges edges;
     private final BlockingQueue<String> finding = new LinkedBlockingQueue<>();
     private volatile Verdict verdict = Verdict.TRY;
-    private final Finder finder = new Finder() {
+    private final ProbeCoordinator finder = new ProbeCoordinator() {
         @Override
-        public Verdict ask(long now, String id, Suspicion s) {
+        public Verdict decide(long now, String id, Suspicion s) {
             finding.add("asked " + id);
             return verdict;
         }
 
         @Override
-        public void found(String id, boolean up) {
+        public void probeFinished(String id, boolean up) {
             finding.add("found " + id + " " + up);
         }
 
         @Override
-        public void suspected(String id, boolean is) {
+        public void suspicionChanged(String id, boolean is) {
             finding.add("suspected " + id + " " + is);
         }
     };
@@ -75,7 +75,7 @@
     private void begin(long idleClose, long tell, int lines) {
         net.call(() -> {
             clock = new LoopClock(net.loop());
-            Deadlines deadlines = new Deadlines(clock::wake);
+            TimerQueue deadlines = new TimerQueue(clock::wake);
             broker = new Broker(
                     stage.settings,
                     a -> {
@@ -84,7 +84,7 @@
                     },
                     m -> {},
                     deadlines);
-            clock.onDue(broker::tick);
+            clock.onDue(broker::runDueTimers);
             edges = new Edges(
                     broker,
                     net,
@@ -95,7 +95,7 @@
             stage.onRequest = r -> act.send(r.id(), "a", 0);
             stage.onOutcome = id -> act.fail(id);
             stage.connection = broker.connected(clock.now(), stage, h -> {});
-            broker.members(
+            broker.serversChanged(
                     clock.now(),
                     "names",
                     Director.ListScope.DISK,
@@ -115,7 +115,8 @@
     }
 
     private void ask(String name, String cls) {
-        net.call(() -> broker.request(clock.now(), stage.connection, stage, edges, Stage.wish(name, cls)));
+        net.call(() ->
+                broker.request(clock.now(), stage.connection, stage, edges, BrokerHarness.sessionRequest(name, cls)));
     }
 
     private void accept() throws IOException {
@@ -318,7 +319,7 @@
         play("v1");
         net.call(() -> {
             act.setRendition(id[0], 3);
-            broker.leave(clock.now(), "v1");
+            broker.cancel(clock.now(), "v1");
             return null;
         });
         Message rate = read();
@@ -407,7 +408,7 @@
         verdict = Verdict.UP;
         accept(); // somebody else found it up: news of the session needs a line
         awaitFinding("suspected a false");
-        assertEquals(1, net.call(broker::standing));
+        assertEquals(1, net.call(broker::activeSessions));
     }
 
     @Test
@@ -439,7 +440,7 @@
         int port = server.getLocalPort();
         server.close();
         line.close();
-        assertEquals(1, net.call(() -> broker.standing()));
+        assertEquals(1, net.call(() -> broker.activeSessions()));
         server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(20_000);
         accept();
@@ -527,7 +528,7 @@
         begin(30_000_000, 2_000_000); // long enough that none is silent before all play
         List<String> ids = List.of("a", "b", "c", "d");
         net.call(() -> {
-            broker.members(
+            broker.serversChanged(
                     clock.now(),
                     "names",
                     Director.ListScope.DISK,
@@ -560,7 +561,7 @@
         ServerSocket b = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         b.setSoTimeout(20_000);
         net.call(() -> {
-            broker.members(
+            broker.serversChanged(
                     clock.now(),
                     "names",
                     Director.ListScope.CHANGES,
@@ -644,8 +645,8 @@
         accept();
         assertEquals("setup", read().type());
         net.call(() -> {
-            broker.leave(clock.now(), "v1");
-            return take(Stage.wish("v1", "safe"));
+            broker.cancel(clock.now(), "v1");
+            return take(BrokerHarness.sessionRequest("v1", "safe"));
         });
         assertEquals("release", read().type());
         say(new Message("answer", "v1", Map.of(), -1, "v=0").write());
@@ -657,21 +658,21 @@
 
     // ---- What waits for a line, or on one, when its viewer goes or its server drains.
 
-    private static Wish large(String name) {
-        return new Wish(
+    private static SessionRequest large(String name) {
+        return new SessionRequest(
                 name, "safe", "viewer", "title", 3_000_000, 0, 0, 3, 4, false, false, false, "x".repeat(15_000) + "\n");
     }
 
-    private boolean take(Wish wish) {
+    private boolean take(SessionRequest wish) {
         return broker.request(clock.now(), stage.connection, stage, edges, wish);
     }
 
     @Test
     void whatItsViewerLeavesWhileTheLineComesUpNeverGoesOut() throws Exception {
         net.call(() -> {
-            take(Stage.wish("v1", "paid"));
-            broker.leave(clock.now(), "v1");
-            return take(Stage.wish("v2", "safe"));
+            take(BrokerHarness.sessionRequest("v1", "paid"));
+            broker.cancel(clock.now(), "v1");
+            return take(BrokerHarness.sessionRequest("v2", "safe"));
         });
         accept();
         assertEquals("v2", read().id());
@@ -682,10 +683,10 @@
     void whatItsViewerLeavesInTheTurnThatBroughtItNeverGoesOut() throws Exception {
         play("v1");
         net.call(() -> {
-            take(Stage.wish("v2", "paid"));
+            take(BrokerHarness.sessionRequest("v2", "paid"));
             broker.disconnected(clock.now(), stage.connection);
             stage.connection = broker.connected(clock.now(), stage, h -> {});
-            return take(Stage.wish("v3", "safe"));
+            return take(BrokerHarness.sessionRequest("v3", "safe"));
         });
         assertEquals("v3", read().id());
     }
@@ -713,7 +714,7 @@
         Director.Settings s = stage.settings;
         Director.Rules none = new Director.Rules(300_000, 0.4, 12_000_000, 2.5, 2_000_000, 0, 0, 0);
         net.call(() -> {
-            Deadlines deadlines = new Deadlines(clock::wake);
+            TimerQueue deadlines = new TimerQueue(clock::wake);
             broker = new Broker(
                     new Director.Settings(
                             0,
@@ -742,7 +743,7 @@
             stage.connection = broker.connected(clock.now(), stage, h -> {});
             list(Director.State.UP);
             edges.addresses(Map.of("a", new InetSocketAddress("127.0.0.1", server.getLocalPort())));
-            take(Stage.wish("v1", "paid"));
+            take(BrokerHarness.sessionRequest("v1", "paid"));
             list(Director.State.DRAINING); // its grace is as long as what is kept of it: none is left
             return null;
         });
@@ -751,13 +752,13 @@
         stage.await("front failed v1");
         net.call(() -> {
             list(Director.State.UP);
-            return take(Stage.wish("v2", "safe"));
+            return take(BrokerHarness.sessionRequest("v2", "safe"));
         });
         assertEquals("v2", read().id());
     }
 
     private void list(Director.State state) {
-        broker.members(
+        broker.serversChanged(
                 clock.now(),
                 "names",
                 Director.ListScope.CHANGES,
@@ -778,7 +779,7 @@
                 == 0); // one that was held back: the server does not read
         String waits = "v" + (last - 1);
         net.call(() -> {
-            broker.leave(clock.now(), waits);
+            broker.cancel(clock.now(), waits);
             return null;
         });
         accept();
--- a/src/test/java/dockshed/fleet/AdmissionFilterTest.java
+++ b/src/test/java/dockshed/fleet/AdmissionFilterTest.java
@@ -8,9 +8,9 @@
 import dockshed.Director.Actions;
 import dockshed.Director.Outcome;
 import dockshed.Director.Request;
-import dockshed.core.Finder.Suspicion;
-import dockshed.core.Finder.Verdict;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
+import dockshed.core.ProbeCoordinator.Suspicion;
+import dockshed.core.ProbeCoordinator.Verdict;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -56,7 +56,7 @@
     }
 
     private final Book book = new Book();
-    private final Stage module = new Stage();
+    private final BrokerHarness module = new BrokerHarness();
     private final List<LocalEvent> events = new ArrayList<>();
     private FleetSnapshot snapshot = FleetSnapshot.ALONE;
     private Actions inner;
--- a/src/test/java/dockshed/fleet/FleetCosts.java
+++ b/src/test/java/dockshed/fleet/FleetCosts.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import dockshed.core.Finder.Suspicion;
-import dockshed.core.Finder.Verdict;
+import dockshed.core.ProbeCoordinator.Suspicion;
+import dockshed.core.ProbeCoordinator.Verdict;
 import java.util.Arrays;
 import java.util.List;
 
--- a/src/test/java/dockshed/hls/HlsPathTest.java
+++ b/src/test/java/dockshed/hls/HlsPathTest.java
@@ -11,8 +11,8 @@
 import dockshed.Director.State;
 import dockshed.config.HlsConfig;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
+import dockshed.core.TimerQueue;
 import dockshed.eureka.EurekaClient;
 import dockshed.load.LoadTeller;
 import dockshed.net.Headed;
@@ -107,10 +107,10 @@
     }
 
     private final Net net = new Net();
-    private final Stage module = new Stage(); // stands in for the decisions, which the tests script
+    private final BrokerHarness module = new BrokerHarness(); // stands in for the decisions, which the tests script
     private Director.Actions act;
     private LoopClock clock;
-    private Deadlines deadlines;
+    private TimerQueue deadlines;
     private Broker broker;
     private Origins origins;
     private HlsFront front;
@@ -126,7 +126,7 @@
         box = new StandIn(path -> ok(path.endsWith("master.m3u8") ? MASTER : MEDIA));
         net.call(() -> {
             clock = new LoopClock(net.loop());
-            deadlines = new Deadlines(clock::wake);
+            deadlines = new TimerQueue(clock::wake);
             broker = new Broker(
                     module.settings,
                     a -> {
@@ -135,7 +135,7 @@
                     },
                     m -> {},
                     deadlines);
-            clock.onDue(broker::tick);
+            clock.onDue(broker::runDueTimers);
             origins = new Origins(broker, net, clock, 250, new LoadTeller(broker, deadlines, module.settings));
             front = new HlsFront(
                     broker, origins, () -> clock.now() + ahead, deadlines, module.settings, 60_000_000, 50, 1);
@@ -164,7 +164,7 @@
     }
 
     private void list(State state) {
-        broker.members(
+        broker.serversChanged(
                 clock.now(), "eureka", ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, state, 1, 0)));
     }
 
@@ -219,7 +219,7 @@
         again.close();
         module.await("module gone");
         paid.close();
-        assertEquals(1, net.call(broker::unanswered));
+        assertEquals(1, net.call(broker::unansweredRequests));
         try (Socket back = waits(lesson("paid", "v"))) {
             net.call(() -> {
                 act.send(held, "a", 0);
@@ -310,7 +310,7 @@
         String uri = uris(get(lesson("paid", "v"))).get(0);
         assertEquals(204, fetch("DELETE", uri.replaceAll("/[0-9]+\\.m3u8$", "")).status());
         assertEquals(410, get(uri).status());
-        assertEquals(0, (int) net.call(broker::standing));
+        assertEquals(0, (int) net.call(broker::activeSessions));
     }
 
     @Test
@@ -421,23 +421,23 @@
             return ok(MASTER);
         };
         assertEquals(502, get(lesson("paid", "v")).status());
-        assertEquals(0, (int) net.call(broker::standing));
+        assertEquals(0, (int) net.call(broker::activeSessions));
     }
 
     @Test
     void anIdleConnectionIsClosed() throws Exception {
         // Players on phones vanish without a word; their connections must not use up the descriptors.
         long[] at = {0};
-        Deadlines own = new Deadlines(t -> {});
+        TimerQueue own = new TimerQueue(t -> {});
         HlsFront f = new HlsFront(broker, origins, () -> at[0], own, module.settings, 60_000_000, 50, 1);
         EmbeddedChannel ch = new EmbeddedChannel(f.accept());
         at[0] = 20_000_000;
         ch.writeInbound(Net.buf("GET /other HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
         at[0] = 31_000_000;
-        own.run(at[0]);
+        own.runDue(at[0]);
         assertTrue(ch.isOpen(), "used eleven seconds ago");
         at[0] = 50_000_000;
-        own.run(at[0]);
+        own.runDue(at[0]);
         assertFalse(ch.isOpen());
     }
 
@@ -445,7 +445,7 @@
     void aLostBoxEndsItsSessions() throws Exception {
         String uri = uris(get(lesson("paid", "v"))).get(0);
         net.call(() -> {
-            broker.lost(clock.now(), origins, "a", clock.now() + 1);
+            broker.serverLost(clock.now(), origins, "a", clock.now() + 1);
             return null;
         });
         assertEquals(410, get(uri).status());
--- a/src/test/java/dockshed/load/LoadTellerTest.java
+++ b/src/test/java/dockshed/load/LoadTellerTest.java
@@ -17,10 +17,10 @@
 import dockshed.Director.State;
 import dockshed.choice.Choice;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
 import dockshed.core.Front;
-import dockshed.core.Servers;
-import dockshed.core.Wish;
+import dockshed.core.ServerAdapter;
+import dockshed.core.SessionRequest;
+import dockshed.core.TimerQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -39,8 +39,8 @@
     private long now = 1_000 * S;
 
     /** One broker: its front only counts, its boxes answer at once. */
-    private final class Node implements Front, Servers {
-        final Deadlines deadlines = new Deadlines(at -> {});
+    private final class Node implements Front, ServerAdapter {
+        final TimerQueue deadlines = new TimerQueue(at -> {});
         final Map<String, Integer> rungs = new HashMap<>();
         final Map<String, String> at = new HashMap<>();
         final Settings s;
@@ -69,7 +69,7 @@
                 list.add(new Server("box" + i, "east", kind, i % 3, State.UP, 1, 0));
             }
             loads.members(list);
-            broker.members(now, "eureka", scope, list);
+            broker.serversChanged(now, "eureka", scope, list);
             nodes.add(this);
         }
 
@@ -83,7 +83,7 @@
                     0,
                     this,
                     this,
-                    new Wish(
+                    new SessionRequest(
                             i + "@" + nodes.indexOf(this),
                             "lesson",
                             "v" + i,
@@ -107,28 +107,28 @@
 
         @Override
         public void setUp(String server, SetUp s) {
-            deadlines.at(now + 5 * MS, t -> {
-                broker.answered(t, server, s.name(), "");
+            deadlines.schedule(now + 5 * MS, t -> {
+                broker.setUpAnswered(t, server, s.name(), "");
                 at.put(s.name(), server);
-                put(s.name(), server, s.rung());
-                loads.stands(t, server, s.name(), s.className(), s.rung());
+                put(s.name(), server, s.highestRendition());
+                loads.stands(t, server, s.name(), s.className(), s.highestRendition());
             });
         }
 
         @Override
-        public void rate(String server, String name, int rung) {
+        public void setRendition(String server, String name, int rung) {
             loads.rate(now, name, rung);
             put(name, server, rung);
         }
 
         @Override
-        public void over(String server, String name) {
+        public void sessionEnded(String server, String name) {
             loads.over(now, name);
             asked.merge(server, rungs.remove(name) > 0 ? -TOP : -200, Double::sum);
         }
 
         @Override
-        public void served(long connection, String name, Granted granted) {
+        public void served(long connection, String name, Grant granted) {
             served++;
         }
 
@@ -138,19 +138,19 @@
         }
 
         @Override
-        public void giveUp(String server, String name) {}
+        public void cancelSetUp(String server, String name) {}
 
         @Override
         public void release(String server, String name) {}
 
         @Override
-        public void hold(String server, boolean sessions) {}
+        public void setHasActiveSessions(String server, boolean sessions) {}
 
         @Override
         public void failed(long connection, String name, boolean late) {}
 
         @Override
-        public void over(long connection, String name, Outcome outcome) {}
+        public void sessionEnded(long connection, String name, Outcome outcome) {}
 
         @Override
         public void moved(long connection, String name) {}
@@ -165,13 +165,13 @@
         long end = now + micros;
         for (long next = next(); next <= end; next = next()) {
             now = Math.max(now, next);
-            nodes.forEach(n -> n.broker.tick(now));
+            nodes.forEach(n -> n.broker.runDueTimers(now));
         }
         now = end;
     }
 
     private long next() {
-        return nodes.stream().mapToLong(n -> n.deadlines.next()).min().orElse(Deadlines.NEVER);
+        return nodes.stream().mapToLong(n -> n.deadlines.nextDue()).min().orElse(TimerQueue.NEVER);
     }
 
     /** Viewers 50 ms apart, in turn at each broker. */
--- a/src/test/java/dockshed/names/NamesTest.java
+++ b/src/test/java/dockshed/names/NamesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dockshed.core.Deadlines;
+import dockshed.core.TimerQueue;
 import dockshed.names.DnsTest.Packet;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
@@ -31,8 +31,8 @@
         server.setSoTimeout(20_000);
         net.call(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            Deadlines deadlines = new Deadlines(clock::wake);
-            clock.onDue(deadlines::run);
+            TimerQueue deadlines = new TimerQueue(clock::wake);
+            clock.onDue(deadlines::runDue);
             names = new Names(
                     (scope, servers, addresses) -> news.add(scope + " "
                             + servers.stream()
--- a/src/test/java/dockshed/peers/UdpPeersTest.java
+++ b/src/test/java/dockshed/peers/UdpPeersTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
 import dockshed.net.Net;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -17,7 +17,7 @@
 /** Datagrams between brokers; the test itself is one of them. */
 class UdpPeersTest {
     private final Net net = new Net();
-    private final Stage stage = new Stage();
+    private final BrokerHarness stage = new BrokerHarness();
 
     @AfterEach
     void stop() {
@@ -39,11 +39,11 @@
             InetSocketAddress other = new InetSocketAddress("127.0.0.1", peer.getLocalPort());
             free.close();
             UdpPeers peers = new UdpPeers(List.of(own, other), null);
-            peers.listen(net, own, (from, message) -> stage.broker.told(stage.now, from, message));
+            peers.listen(net, own, (from, message) -> stage.broker.peerMessageReceived(stage.now, from, message));
 
             net.call(() -> {
-                peers.tell(new byte[257]); // would void the run
-                peers.tell(new byte[] {1, 2});
+                peers.broadcast(new byte[257]); // would void the run
+                peers.broadcast(new byte[] {1, 2});
                 return null;
             });
             DatagramPacket got = new DatagramPacket(new byte[512], 512);
--- a/src/test/java/dockshed/rig/EndingsTest.java
+++ b/src/test/java/dockshed/rig/EndingsTest.java
@@ -5,8 +5,8 @@
 
 import dockshed.Director;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
+import dockshed.core.TimerQueue;
 import dockshed.edge.Edges;
 import dockshed.net.Headed;
 import dockshed.net.HeadedDecoder;
@@ -150,7 +150,7 @@
     }
 
     private final Net net = new Net();
-    private final Stage module = new Stage();
+    private final BrokerHarness module = new BrokerHarness();
     private Director.Actions act;
     private Broker broker;
     private InetSocketAddress at;
@@ -164,7 +164,7 @@
         b = new Box();
         RtspFront front = net.call(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            Deadlines deadlines = new Deadlines(clock::wake);
+            TimerQueue deadlines = new TimerQueue(clock::wake);
             broker = new Broker(
                     module.settings,
                     actions -> {
@@ -173,7 +173,7 @@
                     },
                     m -> {},
                     deadlines);
-            clock.onDue(broker::tick);
+            clock.onDue(broker::runDueTimers);
             Edges edges = new Edges(
                     broker,
                     net,
@@ -182,7 +182,7 @@
                     new Edges.Terms(250_000, 30_000_000, 0, 0, List.of("busy_reqs", "x0"), 256));
             module.onRequest = r -> act.send(r.id(), "a", 0);
             module.onOutcome = id -> act.send(id, "b", 0);
-            broker.members(
+            broker.serversChanged(
                     clock.now(),
                     "names",
                     Director.ListScope.DISK,
@@ -210,7 +210,7 @@
     }
 
     private void empty() {
-        assertEquals(0, net.call(() -> broker.unanswered() + broker.standing()));
+        assertEquals(0, net.call(() -> broker.unansweredRequests() + broker.activeSessions()));
     }
 
     private void out(String id, String cls) throws Exception {
--- a/src/test/java/dockshed/rig/World.java
+++ b/src/test/java/dockshed/rig/World.java
@@ -18,10 +18,10 @@
 import dockshed.Director.State;
 import dockshed.choice.Choice;
 import dockshed.core.Broker;
-import dockshed.core.Deadlines;
 import dockshed.core.Front;
-import dockshed.core.Servers;
-import dockshed.core.Wish;
+import dockshed.core.ServerAdapter;
+import dockshed.core.SessionRequest;
+import dockshed.core.TimerQueue;
 import dockshed.fleet.AdmissionFilter;
 import dockshed.fleet.ByzantinePeer;
 import dockshed.fleet.FleetSettings;
@@ -226,7 +226,7 @@
             }
             if (due != null) {
                 Broker broker = due.broker;
-                timed(() -> broker.tick(now));
+                timed(() -> broker.runDueTimers(now));
             } else {
                 events.poll().what.run();
             }
@@ -331,7 +331,7 @@
             at(now + patience(), () -> {
                 if (!answered && asked.equals(name)) {
                     if (at.alive()) {
-                        at.broker.leave(now, asked);
+                        at.broker.cancel(now, asked);
                     }
                     ended();
                     if (cls.effect() == Effect.SAFE) {
@@ -494,7 +494,7 @@
                 if (heard.add(s)) {
                     at(now + SEE, () -> {
                         if (s.alive()) {
-                            timed(() -> s.broker.note(now, b.id, name, Metric.LINK, fill));
+                            timed(() -> s.broker.metricReceived(now, b.id, name, Metric.LINK, fill));
                         }
                     });
                 }
@@ -504,7 +504,7 @@
 
     // ---- Brokers.
 
-    final class Station implements Front, Servers {
+    final class Station implements Front, ServerAdapter {
         final int me;
         Broker broker;
         Damper damper;
@@ -513,7 +513,7 @@
         FleetSnapshot snapshot = FleetSnapshot.ALONE;
         final Map<String, Integer> attempts = new HashMap<>();
         String state = "NONE";
-        Deadlines deadlines;
+        TimerQueue deadlines;
         long since;
         long diedAt = Long.MIN_VALUE;
         long noticed;
@@ -533,7 +533,7 @@
         }
 
         long ready() {
-            long next = deadlines.next();
+            long next = deadlines.nextDue();
             long stall = START + script.stallAt;
             return me == 0 && script.stallAt >= 0 && next >= stall && next < stall + script.stallFor
                     ? stall + script.stallFor
@@ -542,7 +542,7 @@
 
         void start() {
             since = now;
-            deadlines = new Deadlines(t -> {});
+            deadlines = new TimerQueue(t -> {});
             Settings s = new Settings(
                     me,
                     script.brokers,
@@ -597,7 +597,7 @@
             } else {
                 broker = new Broker(s, whole, this::datagram, deadlines);
             }
-            broker.members(
+            broker.serversChanged(
                     now,
                     "names",
                     now == START ? ListScope.SNAPSHOT : ListScope.DISK,
@@ -606,7 +606,7 @@
             if (now > START && script.namesReachable) {
                 at(now + 300 * MS + random.nextLong(500 * MS), () -> {
                     if (broker == mine) {
-                        broker.members(
+                        broker.serversChanged(
                                 now,
                                 "names",
                                 ListScope.SNAPSHOT,
@@ -662,7 +662,7 @@
 
         void told(Box b) {
             if (broker != null) {
-                broker.members(now, "names", ListScope.CHANGES, List.of(b.listed()));
+                broker.serversChanged(now, "names", ListScope.CHANGES, List.of(b.listed()));
             }
         }
 
@@ -674,7 +674,7 @@
                     connection,
                     this,
                     this,
-                    new Wish(
+                    new SessionRequest(
                             v.name,
                             v.cls.name(),
                             v.id,
@@ -700,7 +700,7 @@
                 if (s != this && random.nextDouble() >= script.datagramLoss) {
                     at(now + 1_100 + random.nextLong(34 * MS), () -> {
                         if (s.broker != null) {
-                            s.broker.told(now, me, bytes);
+                            s.broker.peerMessageReceived(now, me, bytes);
                         }
                     });
                 }
@@ -709,10 +709,10 @@
 
         // Front.
         @Override
-        public void served(long connection, String name, Granted g) {
+        public void served(long connection, String name, Grant g) {
             Viewer v = asking.get(name);
             if (v == null || !name.equals(v.name)) {
-                broker.undelivered(now, name);
+                broker.answerUndelivered(now, name);
                 return;
             }
             v.answered = true;
@@ -746,7 +746,7 @@
         }
 
         @Override
-        public void over(long connection, String name, Outcome outcome) {
+        public void sessionEnded(long connection, String name, Outcome outcome) {
             Viewer v = asking.remove(name);
             if (v != null && name.equals(v.name) && outcome != Outcome.OK) {
                 v.cut();
@@ -757,7 +757,7 @@
 
         @Override
         public void moved(long connection, String name) {
-            over(connection, name, Outcome.RESET);
+            sessionEnded(connection, name, Outcome.RESET);
         }
 
         @Override
@@ -771,7 +771,7 @@
             Box b = boxes.get(Integer.parseInt(server.substring(3)));
             Viewer v = asking.get(s.name());
             Broker mine = broker;
-            belowFloor += s.rung() < s.floor() ? 1 : 0;
+            belowFloor += s.highestRendition() < s.lowestRendition() ? 1 : 0;
             furtherAttempts += attempts.merge(s.name(), 1, Integer::sum) > 1 ? 1 : 0;
             boolean noAnswer = script.lostReplies > 0 && random.nextDouble() < script.lostReplies;
             at(now + 3 * MS, () -> {
@@ -786,11 +786,12 @@
                                     + (b.slow() ? 300 * MS + random.nextLong(900 * MS) : 0),
                             () -> {
                                 if (broker == mine && !b.fallen && v.name != null && v.name.equals(s.name())) {
-                                    v.rung = s.rung();
-                                    timed(() -> mine.answered(now, server, s.name(), "sdp\n"));
+                                    v.rung = s.highestRendition();
+                                    timed(() -> mine.setUpAnswered(now, server, s.name(), "sdp\n"));
                                     if (s.name().equals(v.name) && v.plays) {
                                         b.load.put(s.name(), v);
-                                        broker.note(now, server, s.name(), Metric.LINK, b.asked() / (LINK * b.gives()));
+                                        broker.metricReceived(
+                                                now, server, s.name(), Metric.LINK, b.asked() / (LINK * b.gives()));
                                     }
                                 }
                             });
@@ -801,7 +802,7 @@
         }
 
         @Override
-        public void rate(String server, String name, int rung) {
+        public void setRendition(String server, String name, int rung) {
             Viewer v = asking.get(name);
             if (v != null && name.equals(v.name)) {
                 belowFloor += rung < v.cls.floor() ? 1 : 0;
@@ -815,10 +816,10 @@
         }
 
         @Override
-        public void giveUp(String server, String name) {}
+        public void cancelSetUp(String server, String name) {}
 
         @Override
-        public void hold(String server, boolean sessions) {}
+        public void setHasActiveSessions(String server, boolean sessions) {}
     }
 
     // ---- Measures.
@@ -841,7 +842,7 @@
                         Station s = v.at;
                         at(now + SEE, () -> {
                             if (s.alive() && now / S != (now - TICK) / S) {
-                                s.broker.note(now, b.id, name, Metric.DELIVERED, share);
+                                s.broker.metricReceived(now, b.id, name, Metric.DELIVERED, share);
                             }
                         });
                     }
--- a/src/test/java/dockshed/rtsp/ConnectionModelTest.java
+++ b/src/test/java/dockshed/rtsp/ConnectionModelTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director.Outcome;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -39,8 +39,8 @@
         }
     }
 
-    private final Stage s = new Stage();
-    private final RtspFront front = new RtspFront(s.broker, s, () -> s.now, s.deadlines, 100);
+    private final BrokerHarness s = new BrokerHarness();
+    private final RtspFront front = new RtspFront(s.broker, s, () -> s.now, s.timers, 100);
     private final List<EmbeddedChannel> channels = new ArrayList<>();
     private final Set<Integer> asked = new HashSet<>(); // connections that brought a set-up
     private final Map<String, Viewer> viewers = new LinkedHashMap<>();
@@ -76,11 +76,11 @@
             viewers.put(fresh, new Viewer(c));
             RtspFrontTest.say(channels.get(c), RtspFrontTest.setUp(fresh, ""));
             asked.add(c);
-            owed.values().removeIf(since -> s.now - since >= 8 * Stage.S);
+            owed.values().removeIf(since -> s.now - since >= 8 * BrokerHarness.SECOND_US);
             due.put(c, new ArrayList<>(owed.keySet()));
             owed.clear();
         } else if (kind == 4 && v != null) {
-            s.broker.answered(s.now, "a", name, "");
+            s.broker.setUpAnswered(s.now, "a", name, "");
             if (v.at == At.ASKED) {
                 v.at = At.STANDS;
                 due.put(v.connection, List.of("200 " + name));
@@ -94,7 +94,7 @@
             }
             v.at = At.OVER;
         } else if (kind == 6 && v != null) {
-            s.broker.leave(s.now, name);
+            s.broker.cancel(s.now, name);
             v.at = At.OVER;
         } else if (kind == 7 && v != null) {
             s.ended("a", name, Outcome.CANCELLED);
@@ -108,7 +108,9 @@
             anywhere.clear();
         }
         check(due, anywhere, v);
-        s.pass(400 * Stage.MS); // so that no end may be taken for unheard; a request lives for eight steps
+        s.advance(400
+                * BrokerHarness
+                        .MILLISECOND_US); // so that no end may be taken for unheard; a request lives for eight steps
         Map<Integer, List<String>> late = new LinkedHashMap<>();
         viewers.forEach((id, x) -> {
             if (++x.steps == 8 && x.at == At.ASKED) {
--- a/src/test/java/dockshed/rtsp/GoneTest.java
+++ b/src/test/java/dockshed/rtsp/GoneTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.core.Deadlines;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
+import dockshed.core.TimerQueue;
 import dockshed.net.HeldLoop;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
@@ -22,15 +22,15 @@
 /** Viewers that leave, on loopback sockets; the loop is held until both their set-up and their leaving have come. */
 class GoneTest {
     private final Net net = new Net();
-    private final Stage stage = new Stage();
+    private final BrokerHarness stage = new BrokerHarness();
     private InetSocketAddress at;
 
     @BeforeEach
     void start() throws Exception {
         RtspFront front = net.call(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            Deadlines deadlines = new Deadlines(clock::wake);
-            clock.onDue(deadlines::run);
+            TimerQueue deadlines = new TimerQueue(clock::wake);
+            clock.onDue(deadlines::runDue);
             return new RtspFront(stage.broker, stage, clock, deadlines, 10);
         });
         at = (InetSocketAddress)
@@ -77,7 +77,7 @@
     /** What is left of all requests and connections; the last test's own connection may still be on its way out. */
     private int unanswered() {
         assertTrue(net.call(net::connections) <= 1, "connections left open");
-        return net.call(stage.broker::unanswered);
+        return net.call(stage.broker::unansweredRequests);
     }
 
     @Test
--- a/src/test/java/dockshed/rtsp/LingerTest.java
+++ b/src/test/java/dockshed/rtsp/LingerTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.core.Deadlines;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
+import dockshed.core.TimerQueue;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import java.io.InputStream;
@@ -21,11 +21,11 @@
     void theLastAnswerReachesASenderThatGoesOnSending() throws Exception {
         // Closing at once resets the connection, and what the sender had not read by then was lost with it.
         Net net = new Net();
-        Stage stage = new Stage();
+        BrokerHarness stage = new BrokerHarness();
         RtspFront front = net.call(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            Deadlines deadlines = new Deadlines(clock::wake);
-            clock.onDue(deadlines::run);
+            TimerQueue deadlines = new TimerQueue(clock::wake);
+            clock.onDue(deadlines::runDue);
             return new RtspFront(stage.broker, stage, clock, deadlines, 10);
         });
         InetSocketAddress at = (InetSocketAddress)
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -1,13 +1,13 @@
 package dockshed.rtsp;
 
-import static dockshed.core.Stage.MS;
-import static dockshed.core.Stage.S;
+import static dockshed.core.BrokerHarness.MILLISECOND_US;
+import static dockshed.core.BrokerHarness.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.Director.Outcome;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -18,8 +18,8 @@
 
 /** Viewers' RTSP on channels without sockets. */
 class RtspFrontTest {
-    private final Stage s = new Stage();
-    private final RtspFront front = new RtspFront(s.broker, s, () -> s.now, s.deadlines, 3);
+    private final BrokerHarness s = new BrokerHarness();
+    private final RtspFront front = new RtspFront(s.broker, s, () -> s.now, s.timers, 3);
     private final EmbeddedChannel ch = new EmbeddedChannel(front.accept());
 
     static String setUp(String session, String more) {
@@ -48,7 +48,7 @@
     void aSessionFromSetUpToItsEnd() {
         say(ch, setUp(id(1), ""));
         assertEquals(List.of("box a setUp " + id(1) + " left=2990"), s.log);
-        s.broker.answered(s.now, "a", id(1), "x\r\né");
+        s.broker.setUpAnswered(s.now, "a", id(1), "x\r\né");
         s.ended("a", id(1), Outcome.OK);
         assertEquals(
                 List.of(
@@ -82,13 +82,14 @@
                         "P-Repeat: 1\r\nExpected-Ms: 8200.5\r\n"
                                 + "P-Trunk-Info: home:2;copies:3;top:2;viewer:00000000b4d65521;again:1\r\n"));
         assertEquals(
-                List.of("safe", "00000000b4d65521", "7f3a9c21e0b4d655", 3 * S, 8_200_500L, 2, 3, 2, true, true), seen);
+                List.of("safe", "00000000b4d65521", "7f3a9c21e0b4d655", 3 * SECOND_US, 8_200_500L, 2, 3, 2, true, true),
+                seen);
         assertTrue(heard(ch).get(0).startsWith("RTSP/1.0 500 "));
     }
 
     @Test
     void aRefusalTellsHowLongToStayAway() {
-        s.onRequest = r -> s.actions.refuse(r.id(), 700 * MS);
+        s.onRequest = r -> s.actions.refuse(r.id(), 700 * MILLISECOND_US);
         say(ch, setUp(id(1), ""));
         String answer = heard(ch).get(0);
         assertTrue(
@@ -101,7 +102,7 @@
     @Test
     void aRequestOutOfTimeIsAnsweredWithATimeOut() {
         say(ch, setUp(id(1), ""));
-        s.pass(3 * S);
+        s.advance(3 * SECOND_US);
         assertTrue(heard(ch).get(0).startsWith("RTSP/1.0 504 "));
     }
 
@@ -138,7 +139,7 @@
             assertTrue(answers.get(0).startsWith("RTSP/1.0 400 "), bad);
         }
         assertTrue(ch.isOpen());
-        assertEquals(0, s.broker.unanswered());
+        assertEquals(0, s.broker.unansweredRequests());
     }
 
     /** Each thing that ends a connection from our side; what comes before it is owed its answer all the same. */
@@ -159,9 +160,9 @@
     void whateverEndsAConnectionWhatIsOpenOnItIsAnsweredFirst() {
         // A half message after a whole one ended the connection, and the first set-up, paid and taken, had no answer.
         for (String spoiler : spoilers()) {
-            Stage stage = new Stage();
-            EmbeddedChannel c = new EmbeddedChannel(
-                    new RtspFront(stage.broker, stage, () -> stage.now, stage.deadlines, 3).accept());
+            BrokerHarness stage = new BrokerHarness();
+            EmbeddedChannel c =
+                    new EmbeddedChannel(new RtspFront(stage.broker, stage, () -> stage.now, stage.timers, 3).accept());
             say(c, setUp(id(1), ""));
             say(c, spoiler);
             List<String> answers = heard(c);
@@ -169,7 +170,7 @@
             assertTrue(c.isOpen(), spoiler);
             say(c, setUp(id(3), ""));
             assertEquals(0, stage.count("box a setUp " + id(3)), "taken after the end: " + spoiler);
-            stage.broker.answered(stage.now, "a", id(1), "x");
+            stage.broker.setUpAnswered(stage.now, "a", id(1), "x");
             c.runPendingTasks();
             assertEquals(
                     1,
@@ -179,7 +180,7 @@
                             .count(),
                     spoiler);
             assertFalse(c.isOpen(), spoiler);
-            assertEquals(1, stage.broker.standing());
+            assertEquals(1, stage.broker.activeSessions());
         }
     }
 
@@ -187,21 +188,21 @@
     void aHalfMessageDoesNotCostThePaidSetUpBeforeItItsAnswer() {
         say(ch, setUp(id(1), "").replace("safe", "paid"));
         say(ch, setUp(id(2), "").substring(0, 60));
-        s.pass(RtspFront.SILENT + S / 2);
+        s.advance(RtspFront.SILENT + SECOND_US / 2);
         List<String> half = heard(ch);
         assertEquals(1, half.size());
         assertTrue(half.get(0).startsWith("RTSP/1.0 400 ") && !half.get(0).contains("Session"), half.get(0));
-        s.pass(S); // the box stays silent, until the viewer's time is up
+        s.advance(SECOND_US); // the box stays silent, until the viewer's time is up
         assertTrue(heard(ch).get(0).startsWith("RTSP/1.0 504 Gateway Time-out\r\nCSeq: 1\r\nSession: " + id(1)));
         assertFalse(ch.isOpen());
-        assertEquals(0, s.broker.unanswered());
+        assertEquals(0, s.broker.unansweredRequests());
     }
 
     @Test
     void anErrorOfOurOwnCostsNoOtherSetUpItsAnswer() {
         say(ch, setUp(id(1), ""));
         ch.pipeline().fireExceptionCaught(new IllegalStateException("as a test"));
-        s.broker.answered(s.now, "a", id(1), "x");
+        s.broker.setUpAnswered(s.now, "a", id(1), "x");
         assertTrue(heard(ch).get(0).startsWith("RTSP/1.0 200 "));
         assertFalse(ch.isOpen());
     }
@@ -222,15 +223,15 @@
                 },
                 front.accept());
         say(slow, setUp(id(1), ""));
-        s.broker.answered(s.now, "a", id(1), "x");
+        s.broker.setUpAnswered(s.now, "a", id(1), "x");
         slow.unsafe().outboundBuffer().addFlush();
         new EmbeddedChannel(front.accept());
         new EmbeddedChannel(front.accept());
-        s.pass(S);
+        s.advance(SECOND_US);
         new EmbeddedChannel(front.accept());
-        s.pass(RtspFront.LAST_READ);
+        s.advance(RtspFront.LAST_READ);
         assertTrue(slow.isOpen());
-        s.pass(RtspFront.LINGER + S);
+        s.advance(RtspFront.LINGER + SECOND_US);
         assertEquals(
                 3,
                 java.util.stream.Stream.generate(() -> new EmbeddedChannel(front.accept()))
@@ -244,7 +245,7 @@
     void aMessageOverTheLimitIsRefused() {
         say(ch, setUp(id(1), "X: " + "y".repeat(16 * 1024) + "\r\n"));
         assertFalse(ch.isOpen());
-        assertEquals(0, s.broker.unanswered());
+        assertEquals(0, s.broker.unansweredRequests());
     }
 
     @Test
@@ -258,9 +259,9 @@
         assertEquals(
                 List.of("200", "200"),
                 heard(ch).stream().map(a -> a.split(" ")[1]).toList());
-        assertEquals(0, s.broker.unanswered());
+        assertEquals(0, s.broker.unansweredRequests());
         say(ch, setUp(id(1), ""));
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         say(ch, bye + "Reason: cause=31\r\n\r\n");
         assertEquals(1, s.count("box a release"));
         assertEquals(
@@ -281,7 +282,7 @@
     @Test
     void theEndOfASessionComesOnAnotherConnectionIfItsOwnIsGone() {
         say(ch, setUp(id(1), ""));
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         EmbeddedChannel other = new EmbeddedChannel(front.accept());
         say(other, setUp(id(2), ""));
         ch.close();
@@ -301,9 +302,9 @@
                 p.setFailure(new java.io.IOException("as a test"));
             }
         });
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         assertEquals(1, s.count("box a release " + id(1)));
-        assertEquals(0, s.broker.standing());
+        assertEquals(0, s.broker.activeSessions());
     }
 
     @Test
@@ -324,39 +325,39 @@
         EmbeddedChannel tested = new EmbeddedChannel(front.accept());
         say(tested, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
         EmbeddedChannel silent = new EmbeddedChannel(front.accept());
-        s.pass(S);
+        s.advance(SECOND_US);
         EmbeddedChannel fourth = new EmbeddedChannel(front.accept());
         assertEquals(List.of(true, true, false, true), open(ch, tested, silent, fourth));
         say(fourth, setUp(id(2), ""));
         EmbeddedChannel fifth = new EmbeddedChannel(front.accept());
         assertTrue(tested.isOpen(), "what had come before is read first");
-        s.pass(RtspFront.LAST_READ);
+        s.advance(RtspFront.LAST_READ);
         assertEquals(List.of(true, false, true, true), open(ch, tested, fourth, fifth));
         say(fifth, setUp(id(3), ""));
         assertFalse(new EmbeddedChannel(front.accept()).isOpen(), "each of the others has a set-up open");
-        s.broker.answered(s.now, "a", id(2), "");
-        s.pass(S);
+        s.broker.setUpAnswered(s.now, "a", id(2), "");
+        s.advance(SECOND_US);
         assertTrue(new EmbeddedChannel(front.accept()).isOpen());
-        s.pass(RtspFront.LAST_READ);
+        s.advance(RtspFront.LAST_READ);
         assertEquals(List.of(true, false, true), open(ch, fourth, fifth));
-        assertEquals(1, s.broker.standing(), "a session belongs to no connection");
+        assertEquals(1, s.broker.activeSessions(), "a session belongs to no connection");
     }
 
     @Test
     void aSetUpThatWaitedUnreadKeepsItsConnection() {
         // In a rush the loop lagged: a connection was closed for a new one while a set-up on it had yet to be read.
         say(ch, setUp(id(1), ""));
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         EmbeddedChannel second = new EmbeddedChannel(front.accept());
         say(second, setUp(id(2), ""));
         EmbeddedChannel third = new EmbeddedChannel(front.accept());
         say(third, setUp(id(3), ""));
-        s.pass(S);
+        s.advance(SECOND_US);
         new EmbeddedChannel(front.accept());
         say(ch, setUp(id(4), ""));
-        s.pass(S / 4);
+        s.advance(SECOND_US / 4);
         assertTrue(ch.isOpen());
-        s.broker.answered(s.now, "a", id(4), "x");
+        s.broker.setUpAnswered(s.now, "a", id(4), "x");
         assertEquals(
                 List.of("200", "200"),
                 heard(ch).stream().map(a -> a.split(" ")[1]).toList());
@@ -373,13 +374,13 @@
         say(half, setUp(id(1), "").substring(0, 60));
         EmbeddedChannel asked = new EmbeddedChannel(front.accept());
         say(asked, setUp(id(2), ""));
-        s.broker.answered(s.now, "a", id(2), "");
-        s.pass(RtspFront.SILENT + S / 2);
+        s.broker.setUpAnswered(s.now, "a", id(2), "");
+        s.advance(RtspFront.SILENT + SECOND_US / 2);
         assertEquals(List.of(false, false, true), open(ch, half, asked));
         assertTrue(heard(half).get(0).startsWith("RTSP/1.0 400 "));
         heard(asked);
         say(asked, "SETUP rtsp");
-        s.pass(RtspFront.SILENT + S / 2);
+        s.advance(RtspFront.SILENT + SECOND_US / 2);
         assertTrue(heard(asked).get(0).startsWith("RTSP/1.0 400 "));
     }
 
@@ -390,7 +391,7 @@
         say(ch, setUp(id(1), ""));
         assertTrue(heard(ch).get(0).startsWith("RTSP/1.0 400 "));
         assertEquals(1, s.count("box a giveUp"));
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         assertEquals(0, s.broker.counts().served);
     }
 
@@ -416,7 +417,7 @@
         assertTrue(answers.get(0).startsWith("RTSP/1.0 400 "));
         assertEquals(1, s.count("box a setUp"), "the other connection's own");
         assertEquals(0, s.count("box a giveUp"));
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         assertTrue(heard(other).get(0).startsWith("RTSP/1.0 200 "));
     }
 
@@ -427,7 +428,7 @@
         say(other, setUp(id(1), "").replace("abc", "xyz"));
         assertTrue(heard(other).get(0).startsWith("RTSP/1.0 400 "));
         other.close();
-        s.broker.answered(s.now, "a", id(1), "");
+        s.broker.setUpAnswered(s.now, "a", id(1), "");
         assertTrue(heard(ch).get(0).startsWith("RTSP/1.0 200 "));
     }
 
--- a/src/test/java/dockshed/storm/DamperTest.java
+++ b/src/test/java/dockshed/storm/DamperTest.java
@@ -10,7 +10,7 @@
 import dockshed.Director.Server;
 import dockshed.Director.Settings;
 import dockshed.Director.State;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,7 +22,7 @@
     private static final long S = 1_000_000;
     private static final long T0 = 1_000_000 * S;
 
-    private final Stage module = new Stage(); // only the module's side of it is used
+    private final BrokerHarness module = new BrokerHarness(); // only the module's side of it is used
     private final List<String> out = new ArrayList<>();
     private final List<Long> told = new ArrayList<>();
     private long unit = 1000;
--- a/src/test/java/dockshed/storm/StormPartsTest.java
+++ b/src/test/java/dockshed/storm/StormPartsTest.java
@@ -12,7 +12,7 @@
 import dockshed.Director.Server;
 import dockshed.Director.SessionClass;
 import dockshed.Director.State;
-import dockshed.core.Stage;
+import dockshed.core.BrokerHarness;
 import dockshed.storm.ColdPace.Spent;
 import dockshed.storm.Visits.Standing;
 import dockshed.storm.Visits.Visit;
@@ -264,7 +264,7 @@
 
     @Test
     void aFreshBoxIsSentNoMoreThanItsPaceInAnyWindowAlsoAfterAStall() {
-        ColdPace p = new ColdPace(new Stage().settings, TERMS); // one broker, 40 places, 12 s
+        ColdPace p = new ColdPace(new BrokerHarness().settings, TERMS); // one broker, 40 places, 12 s
         p.members(T0, ListScope.SNAPSHOT, List.of(server(T0)));
         List<Long> sent = new ArrayList<>();
         for (long t = T0; t < T0 + 12 * S; t += t == T0 + 5 * S ? S : 5 * MS) { // a clock that stands still for 1 s
@@ -285,7 +285,7 @@
 
     @Test
     void whatPeersSpentIsSpent() {
-        ColdPace p = new ColdPace(new Stage().settings, TERMS);
+        ColdPace p = new ColdPace(new BrokerHarness().settings, TERMS);
         p.members(T0, ListScope.SNAPSHOT, List.of(server(T0)));
         assertTrue(p.may(T0 + S, "a"));
         p.heard(T0 + S, 1, List.of(new Spent(ColdPace.hash("a"), 50)), false);
@@ -296,7 +296,7 @@
     @Test
     void aListFromBeforeARestartIsColdUntilNewsOrAPeerThatKnows() {
         for (boolean byPeer : List.of(true, false)) {
-            ColdPace p = new ColdPace(new Stage().settings, TERMS);
+            ColdPace p = new ColdPace(new BrokerHarness().settings, TERMS);
             p.members(T0, ListScope.DISK, List.of(server(0)));
             assertFalse(p.knows(T0, 30));
             assertFalse(Double.isInfinite(p.takes(T0 + S, "a")));
@@ -315,7 +315,7 @@
     @Test
     void aBoxThatAPeerKnowsToBeColdIsColdHereAndTheWordDoesNotGoRound() {
         // The list tells of a restart up to 1.5 s late; until then such a box was sent 1.7 times what it could take.
-        ColdPace p = new ColdPace(new Stage().settings, TERMS);
+        ColdPace p = new ColdPace(new BrokerHarness().settings, TERMS);
         p.members(T0, ListScope.SNAPSHOT, List.of(server(0)));
         assertTrue(Double.isInfinite(p.takes(T0, "a")));
         p.heard(T0, 1, List.of(new Spent(ColdPace.hash("a"), 0)), false);
