--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -19,8 +19,8 @@
 import dockshed.fleet.FleetHealthProber;
 import dockshed.fleet.FleetHost;
 import dockshed.fleet.LocalEvent;
+import dockshed.hls.HlsEdgeServers;
 import dockshed.hls.HlsFront;
-import dockshed.hls.Origins;
 import dockshed.load.LoadTeller;
 import dockshed.names.Listing;
 import dockshed.names.Names;
@@ -68,7 +68,7 @@
     private final Map<String, Long> upSince = new HashMap<>();
     private Names names;
     private LoadTeller loads;
-    private Origins origins;
+    private HlsEdgeServers origins;
     private HlsFront hlsFront;
     private Map<String, Listing> boxes = Map.of();
     private ListScope last;
@@ -265,8 +265,8 @@
         Director.Settings s = config.settings();
         hls.doubts(s).forEach(doubt -> LOG.warn("doubtful setting, taken as it is: {}", doubt));
         loads = new LoadTeller(broker, deadlines, s);
-        origins =
-                new Origins(broker, net, clock, Math.max(100, (int) (s.limits().connectTimeout() / 1000)), loads);
+        origins = new HlsEdgeServers(
+                broker, net, clock, Math.max(100, (int) (s.limits().connectTimeout() / 1000)), loads);
         hlsFront = new HlsFront(
                 broker, origins, clock, deadlines, s, hls.idle(), config.sockets() / 6, config.seed() ^ 0x5eed);
         if (!hls.servers().isEmpty()) {
@@ -289,7 +289,7 @@
         boxes = now;
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         now.forEach((id, l) -> addresses.put(id, l.at()));
-        origins.addresses(addresses);
+        origins.setAddresses(addresses);
         List<Server> servers = now.values().stream().map(Listing::server).toList();
         loads.members(servers);
         broker.serversChanged(clock.now(), "eureka", scope, servers);
--- a/src/main/java/dockshed/hls/Origins.java
+++ b/src/main/java/dockshed/hls/HlsEdgeServers.java
@@ -23,64 +23,71 @@
  * The lesson boxes as HLS servers. An attempt is the fetch of a title's multivariant playlist; whatever is no usable
  * playlist may have been a set-up all the same, and only a connection that never came up proves that nothing ran.
  */
-public final class Origins implements ServerAdapter {
-    static final int PLAYLIST_LIMIT = 1 << 20;
-    private static final Logger LOG = LoggerFactory.getLogger(Origins.class);
+public final class HlsEdgeServers implements ServerAdapter {
+    static final int MAX_PLAYLIST_BYTES = 1 << 20;
+    private static final Logger LOG = LoggerFactory.getLogger(HlsEdgeServers.class);
 
     private final Broker broker;
     private final Net net;
     private final Clock clock;
-    private final int connectMillis;
+    private final int connectTimeoutMs;
     private final LoadTeller loads;
-    private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<String, HttpFetch> out = new HashMap<>();
+    private final Map<String, InetSocketAddress> setAddresses = new HashMap<>();
+    private final Map<String, HttpFetch> setUpFetches = new HashMap<>();
 
-    public Origins(Broker broker, Net net, Clock clock, int connectMillis, LoadTeller loads) {
+    public HlsEdgeServers(Broker broker, Net net, Clock clock, int connectMillis, LoadTeller loads) {
         this.loads = loads;
         this.broker = broker;
         this.net = net;
         this.clock = clock;
-        this.connectMillis = connectMillis;
+        this.connectTimeoutMs = connectMillis;
     }
 
-    public void addresses(Map<String, InetSocketAddress> listed) {
-        addresses.clear();
-        addresses.putAll(listed);
+    public void setAddresses(Map<String, InetSocketAddress> listed) {
+        setAddresses.clear();
+        setAddresses.putAll(listed);
     }
 
-    static String path(String title) {
+    static String multivariantPlaylistPath(String title) {
         return "/lessons/" + URLEncoder.encode(title, StandardCharsets.UTF_8).replace("+", "%20") + "/master.m3u8";
     }
 
-    URI base(String server, String path) {
-        InetSocketAddress at = addresses.get(server);
+    URI serverUri(String server, String path) {
+        InetSocketAddress at = setAddresses.get(server);
         return at == null ? null : URI.create("http://" + at.getHostString() + ":" + at.getPort() + path);
     }
 
     @Override
     public void setUp(String server, SetUp s) {
-        InetSocketAddress at = addresses.get(server);
+        InetSocketAddress at = setAddresses.get(server);
         if (at == null) {
             broker.ended(clock.now(), server, s.name(), Outcome.MOOT, LoadReport.NONE);
             return;
         }
         Map<String, String> headers = Map.of(
                 "Priority-Class", s.className(), "Session", s.name(), "Rung", Integer.toString(s.highestRendition()));
-        out.put(
+        setUpFetches.put(
                 s.name(),
                 HttpFetch.get(
-                        net, at, path(s.title()), headers, connectMillis, PLAYLIST_LIMIT, new HttpFetch.Listener() {
+                        net,
+                        at,
+                        multivariantPlaylistPath(s.title()),
+                        headers,
+                        connectTimeoutMs,
+                        MAX_PLAYLIST_BYTES,
+                        new HttpFetch.Listener() {
                             @Override
                             public void answered(Headed answer) {
-                                out.remove(s.name());
+                                setUpFetches.remove(s.name());
                                 try {
                                     if (answer.status() != 200) {
-                                        throw new Playlists.Unfit("status " + answer.status());
+                                        throw new Playlists.UnusablePlaylistException("status " + answer.status());
                                     }
-                                    Playlists.Multivariant list = Playlists.Multivariant.read(answer.text());
-                                    if (!list.has(s.lowestRendition(), s.highestRendition())) {
-                                        throw new Playlists.Unfit("no variant from rung " + s.lowestRendition() + " to "
-                                                + s.highestRendition());
+                                    Playlists.MultivariantPlaylist list =
+                                            Playlists.MultivariantPlaylist.parse(answer.text());
+                                    if (!list.hasVariant(s.lowestRendition(), s.highestRendition())) {
+                                        throw new Playlists.UnusablePlaylistException("no variant from rung "
+                                                + s.lowestRendition() + " to " + s.highestRendition());
                                     }
                                     loads.header(clock.now(), server, answer.header(OrcaReport.HEADER));
                                     broker.setUpAnswered(clock.now(), server, s.name(), answer.text());
@@ -88,7 +95,7 @@
                                         loads.stands(
                                                 clock.now(), server, s.name(), s.className(), s.highestRendition());
                                     }
-                                } catch (Playlists.Unfit e) {
+                                } catch (Playlists.UnusablePlaylistException e) {
                                     LOG.warn(
                                             "playlist of no use: server={} title={} why={}",
                                             server,
@@ -100,7 +107,7 @@
 
                             @Override
                             public void broken(boolean ran, String why) {
-                                out.remove(s.name());
+                                setUpFetches.remove(s.name());
                                 LOG.info("playlist not fetched: server={} title={} why={}", server, s.title(), why);
                                 broker.ended(
                                         clock.now(),
@@ -114,7 +121,7 @@
 
     @Override
     public void cancelSetUp(String server, String name) {
-        HttpFetch f = out.remove(name);
+        HttpFetch f = setUpFetches.remove(name);
         if (f != null) {
             f.cancel();
         }
@@ -140,7 +147,7 @@
     public void setHasActiveSessions(String server, boolean sessions) {}
 
     /** Fetches a media playlist for a session that stands. */
-    HttpFetch media(String server, String path, HttpFetch.Listener listener) {
+    HttpFetch fetchMediaPlaylist(String server, String path, HttpFetch.Listener listener) {
         HttpFetch.Listener heard = new HttpFetch.Listener() {
             @Override
             public void answered(Headed answer) {
@@ -153,6 +160,7 @@
                 listener.broken(ran, why);
             }
         };
-        return HttpFetch.get(net, addresses.get(server), path, Map.of(), connectMillis, PLAYLIST_LIMIT, heard);
+        return HttpFetch.get(
+                net, setAddresses.get(server), path, Map.of(), connectTimeoutMs, MAX_PLAYLIST_BYTES, heard);
     }
 }
--- a/src/main/java/dockshed/hls/HlsFront.java
+++ b/src/main/java/dockshed/hls/HlsFront.java
@@ -8,8 +8,8 @@
 import dockshed.core.Front;
 import dockshed.core.SessionRequest;
 import dockshed.core.TimerQueue;
-import dockshed.hls.Playlists.Multivariant;
-import dockshed.hls.Playlists.Unfit;
+import dockshed.hls.Playlists.MultivariantPlaylist;
+import dockshed.hls.Playlists.UnusablePlaylistException;
 import dockshed.net.ByteHandler;
 import dockshed.net.Clock;
 import dockshed.net.Headed;
@@ -38,37 +38,37 @@
  * Admission, attempts and drains are the broker's; what is kept here is the text a session has been given.
  */
 public final class HlsFront implements Front {
-    static final int REQUEST_LIMIT = 16 * 1024;
+    static final int MAX_REQUEST_BYTES = 16 * 1024;
     /** A connection with nothing in hand is closed after this. */
-    static final long IDLE_CONNECTION = 30_000_000;
+    static final long IDLE_CONNECTION_TIMEOUT_US = 30_000_000;
     /** Requests of one connection that may wait for the one in hand. */
-    private static final int PIPELINE = 32;
+    private static final int MAX_PIPELINED_REQUESTS = 32;
 
-    private static final int REMEMBERED = 1000;
-    private static final String LESSONS = "/lessons/";
-    private static final String SESSIONS = "/sessions/";
-    private static final String MASTER = "/master.m3u8";
-    private static final String PLAYLIST = "application/vnd.apple.mpegurl";
+    private static final int MAX_ENDED_SESSIONS = 1000;
+    private static final String LESSONS_PATH = "/lessons/";
+    private static final String SESSIONS_PATH = "/sessions/";
+    private static final String MASTER_PLAYLIST_SUFFIX = "/master.m3u8";
+    private static final String PLAYLIST_CONTENT_TYPE = "application/vnd.apple.mpegurl";
     private static final Logger LOG = LoggerFactory.getLogger(HlsFront.class);
 
     private final Broker broker;
-    private final Origins origins;
+    private final HlsEdgeServers origins;
     private final Clock clock;
     private final TimerQueue deadlines;
     private final Map<String, SessionClass> classes = new HashMap<>();
     private final int cells;
-    private final long idle;
-    private final int mostConnections;
+    private final long idleTimeoutUs;
+    private final int maxConnections;
     private final Random random;
     private final Map<String, Session> sessions = new HashMap<>();
-    private final Map<String, Session> byViewer = new HashMap<>();
-    private final LinkedHashMap<String, Boolean> ended = new LinkedHashMap<>(); // the latest, to say 410
+    private final Map<String, Session> sessionsByViewer = new HashMap<>();
+    private final LinkedHashMap<String, Boolean> endedSessions = new LinkedHashMap<>(); // the latest, to say 410
     private int connections;
 
     /** {@code idle}: microseconds after the playing time of what was fetched, without a fetch, that end a session. */
     public HlsFront(
             Broker broker,
-            Origins origins,
+            HlsEdgeServers origins,
             Clock clock,
             TimerQueue deadlines,
             Settings settings,
@@ -79,8 +79,8 @@
         this.origins = origins;
         this.clock = clock;
         this.deadlines = deadlines;
-        this.idle = idle;
-        this.mostConnections = mostConnections;
+        this.idleTimeoutUs = idle;
+        this.maxConnections = mostConnections;
         settings.classes().forEach(c -> classes.put(c.name(), c));
         cells = settings.ladder().cells();
         random = new Random(seed);
@@ -90,20 +90,20 @@
     private static final class Session {
         final String name;
         final String viewerKey;
-        final URI path;
-        final List<Exchange> waiting = new ArrayList<>();
-        final Map<Integer, String> held = new HashMap<>(); // media playlists as last given
+        final URI playlistPath;
+        final List<Exchange> pendingExchanges = new ArrayList<>();
+        final Map<Integer, String> cachedMediaPlaylists = new HashMap<>(); // media playlists as last given
         String server;
-        Multivariant list; // null: not answered yet
-        URI base;
-        int floor;
-        int rung;
-        long lively; // until when it is not idle
+        MultivariantPlaylist multivariant; // null: not answered yet
+        URI baseUri;
+        int lowestRendition;
+        int grantedRendition;
+        long activeUntilUs; // until when it is not idle
 
         Session(String name, String viewerKey, URI path) {
             this.name = name;
             this.viewerKey = viewerKey;
-            this.path = path;
+            this.playlistPath = path;
         }
     }
 
@@ -116,11 +116,11 @@
     /** One request and the connection that owes its answer. */
     private final class Exchange {
         private final Connection connection;
-        private final boolean last;
+        private final boolean closeAfter;
 
         Exchange(Connection connection, boolean last) {
             this.connection = connection;
-            this.last = last;
+            this.closeAfter = last;
         }
 
         void answer(int code, String phrase, String type, String body, Map<String, String> more) {
@@ -128,37 +128,37 @@
             headers.put("Content-Type", type);
             headers.put("Cache-Control", "no-store");
             headers.putAll(more);
-            if (last) {
+            if (closeAfter) {
                 headers.put("Connection", "close");
             }
             connection.write(
                     Headed.encode("HTTP/1.1 " + code + " " + phrase, headers, body.getBytes(StandardCharsets.UTF_8)),
-                    last);
+                    closeAfter);
         }
 
-        void playlist(String text) {
-            answer(200, "OK", PLAYLIST, text, Map.of());
+        void answerPlaylist(String text) {
+            answer(200, "OK", PLAYLIST_CONTENT_TYPE, text, Map.of());
         }
 
-        void error(int code, String phrase) {
+        void answerError(int code, String phrase) {
             answer(code, phrase, "text/plain", phrase + "\n", Map.of());
         }
     }
 
     private final class Connection extends ByteHandler {
-        private final HeadedDecoder decoder = new HeadedDecoder(REQUEST_LIMIT);
-        private final ArrayDeque<Headed> queue = new ArrayDeque<>();
+        private final HeadedDecoder decoder = new HeadedDecoder(MAX_REQUEST_BYTES);
+        private final ArrayDeque<Headed> requestQueue = new ArrayDeque<>();
         private Channel channel;
         private boolean answering;
         private boolean closing;
-        private long usedAt;
+        private long lastUsedUs;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            usedAt = clock.now();
-            lookIdle();
-            if (++connections > mostConnections) {
+            lastUsedUs = clock.now();
+            scheduleIdleCheck();
+            if (++connections > maxConnections) {
                 LOG.warn("HLS connection turned away: open={}", connections);
                 ctx.close();
             }
@@ -172,62 +172,62 @@
             decoder.add(bytes, 0, bytes.length);
             try {
                 for (Headed m = decoder.next(); m != null; m = decoder.next()) {
-                    queue.add(m);
-                    if (queue.size() > PIPELINE) {
+                    requestQueue.add(m);
+                    if (requestQueue.size() > MAX_PIPELINED_REQUESTS) {
                         throw new Headed.Malformed("too many requests at once");
                     }
                 }
             } catch (Headed.Malformed e) {
                 LOG.warn("HLS request malformed: remote={} why={}", channel.remoteAddress(), e.getMessage());
                 closing = true;
-                queue.add(new Headed("", Map.of(), new byte[0])); // answered in its turn
+                requestQueue.add(new Headed("", Map.of(), new byte[0])); // answered in its turn
             }
-            next();
+            processNext();
         }
 
-        private void lookIdle() {
-            deadlines.schedule(usedAt + IDLE_CONNECTION, t -> {
-                if (!closing && !answering && clock.now() - usedAt >= IDLE_CONNECTION) {
+        private void scheduleIdleCheck() {
+            deadlines.schedule(lastUsedUs + IDLE_CONNECTION_TIMEOUT_US, t -> {
+                if (!closing && !answering && clock.now() - lastUsedUs >= IDLE_CONNECTION_TIMEOUT_US) {
                     channel.close();
                 } else if (!closing) {
-                    usedAt = answering ? clock.now() : usedAt;
-                    lookIdle();
+                    lastUsedUs = answering ? clock.now() : lastUsedUs;
+                    scheduleIdleCheck();
                 }
             });
         }
 
-        private void next() {
-            Headed m = answering ? null : queue.poll();
+        private void processNext() {
+            Headed m = answering ? null : requestQueue.poll();
             if (m == null) {
                 return;
             }
             answering = true;
-            usedAt = clock.now();
+            lastUsedUs = clock.now();
             boolean last = "close".equalsIgnoreCase(m.header("connection"))
                     || m.word(2).equals("HTTP/1.0")
-                    || closing && queue.isEmpty();
-            request(new Exchange(this, last), m);
+                    || closing && requestQueue.isEmpty();
+            handleRequest(new Exchange(this, last), m);
         }
 
         private void write(byte[] bytes, boolean last) {
             answering = false;
-            usedAt = clock.now();
+            lastUsedUs = clock.now();
             var done = channel.writeAndFlush(Net.buf(bytes));
             if (last) {
                 done.addListener(ChannelFutureListener.CLOSE);
                 closing = true;
-                queue.clear();
+                requestQueue.clear();
             } else {
-                channel.eventLoop().execute(this::next);
+                channel.eventLoop().execute(this::processNext);
             }
         }
 
         @Override
         protected void closed(ChannelHandlerContext ctx, boolean reset) {
             connections--;
-            queue.clear();
+            requestQueue.clear();
             closing = true;
-            abandoned(this);
+            cancelAbandoned(this);
         }
     }
 
@@ -237,19 +237,19 @@
      * Sessions that nobody waits for any more, as this connection has closed, are not asked for any further. A paid one goes
      * on: a player that comes back finds it, instead of paying again.
      */
-    private void abandoned(Connection gone) {
+    private void cancelAbandoned(Connection gone) {
         for (Session s : List.copyOf(sessions.values())) {
-            if (s.list == null
-                    && s.waiting.removeIf(x -> x.connection == gone)
-                    && s.waiting.isEmpty()
-                    && cls(s).effect() == Effect.SAFE) {
+            if (s.multivariant == null
+                    && s.pendingExchanges.removeIf(x -> x.connection == gone)
+                    && s.pendingExchanges.isEmpty()
+                    && classOf(s).effect() == Effect.SAFE) {
                 forget(s);
                 broker.cancel(clock.now(), s.name);
             }
         }
     }
 
-    private void request(Exchange x, Headed m) {
+    private void handleRequest(Exchange x, Headed m) {
         try {
             URI target = new URI(m.word(1));
             String path = target.getRawPath();
@@ -258,41 +258,44 @@
             }
             if (!m.word(0).equals("GET") && !m.word(0).equals("DELETE")) {
                 x.answer(405, "Method Not Allowed", "text/plain", "", Map.of("Allow", "GET, DELETE"));
-            } else if (path.startsWith(LESSONS)
-                    && path.endsWith(MASTER)
+            } else if (path.startsWith(LESSONS_PATH)
+                    && path.endsWith(MASTER_PLAYLIST_SUFFIX)
                     && m.word(0).equals("GET")) {
-                lesson(x, target, path.substring(LESSONS.length(), path.length() - MASTER.length()));
-            } else if (path.startsWith(SESSIONS)) {
-                session(x, m.word(0).equals("DELETE"), path.substring(SESSIONS.length()));
+                handleLessonRequest(
+                        x,
+                        target,
+                        path.substring(LESSONS_PATH.length(), path.length() - MASTER_PLAYLIST_SUFFIX.length()));
+            } else if (path.startsWith(SESSIONS_PATH)) {
+                handleSessionRequest(x, m.word(0).equals("DELETE"), path.substring(SESSIONS_PATH.length()));
             } else {
-                x.error(404, "Not Found");
+                x.answerError(404, "Not Found");
             }
         } catch (java.net.URISyntaxException | IllegalArgumentException e) {
             LOG.info("HLS request refused: why={}", e.getMessage());
-            x.error(400, "Bad Request");
+            x.answerError(400, "Bad Request");
         }
     }
 
     /** A viewer wants a lesson; one who has it, or waits for it, is given the same session again. */
-    private void lesson(Exchange x, URI target, String rawTitle) {
+    private void handleLessonRequest(Exchange x, URI target, String rawTitle) {
         String title = URLDecoder.decode(rawTitle.replace("+", "%2B"), StandardCharsets.UTF_8);
-        Map<String, String> query = query(target.getRawQuery());
+        Map<String, String> query = parseQuery(target.getRawQuery());
         String viewer = query.getOrDefault("viewer", "");
         SessionClass cls = classes.get(query.getOrDefault("class", ""));
         if (title.isEmpty() || viewer.isEmpty() || cls == null) {
             throw new IllegalArgumentException("title, viewer or class is missing or unknown");
         }
         String key = cls.name() + '\n' + title + '\n' + viewer;
-        Session held = byViewer.get(key);
-        if (held != null && held.list != null) {
-            master(x, held);
+        Session held = sessionsByViewer.get(key);
+        if (held != null && held.multivariant != null) {
+            answerMultivariantPlaylist(x, held);
             return;
         }
         if (held != null) {
-            held.waiting.add(x);
+            held.pendingExchanges.add(x);
             return;
         }
-        long patience = Math.min(cls.deadline(), micros(query, "expires_ms", cls.deadline()));
+        long patience = Math.min(cls.deadline(), microsFromMillis(query, "expires_ms", cls.deadline()));
         if (patience <= 0) {
             throw new IllegalArgumentException("expires_ms is not above 0");
         }
@@ -300,31 +303,31 @@
         do {
             name = String.format("%016x", random.nextLong());
         } while (sessions.containsKey(name));
-        Session s = new Session(name, key, URI.create(Origins.path(title)));
-        s.waiting.add(x);
+        Session s = new Session(name, key, URI.create(HlsEdgeServers.multivariantPlaylistPath(title)));
+        s.pendingExchanges.add(x);
         sessions.put(name, s);
-        byViewer.put(key, s);
+        sessionsByViewer.put(key, s);
         SessionRequest wish = new SessionRequest(
                 name,
                 cls.name(),
                 viewer,
                 title,
                 patience,
-                micros(query, "expected_ms", 0),
-                (int) whole(query, "home", 0),
-                (int) whole(query, "copies", cells),
-                (int) whole(query, "top", cls.top()),
+                microsFromMillis(query, "expected_ms", 0),
+                (int) wholeNumber(query, "home", 0),
+                (int) wholeNumber(query, "copies", cells),
+                (int) wholeNumber(query, "top", cls.top()),
                 "1".equals(query.get("repeat")),
                 false,
                 "1".equals(query.get("again")),
                 "");
         if (!broker.request(clock.now(), 0, this, origins, wish)) {
             forget(s);
-            x.error(400, "Bad Request");
+            x.answerError(400, "Bad Request");
         }
     }
 
-    private static Map<String, String> query(String raw) {
+    private static Map<String, String> parseQuery(String raw) {
         Map<String, String> out = new HashMap<>();
         for (String pair : raw == null ? new String[0] : raw.split("&")) {
             int equals = pair.indexOf('=');
@@ -337,7 +340,7 @@
         return out;
     }
 
-    private static long whole(Map<String, String> query, String key, long absent) {
+    private static long wholeNumber(Map<String, String> query, String key, long absent) {
         String value = query.get(key);
         if (value == null) {
             return absent;
@@ -348,96 +351,101 @@
         return Long.parseLong(value);
     }
 
-    private static long micros(Map<String, String> query, String key, long absent) {
-        return query.containsKey(key) ? whole(query, key, 0) * 1000 : absent;
+    private static long microsFromMillis(Map<String, String> query, String key, long absent) {
+        return query.containsKey(key) ? wholeNumber(query, key, 0) * 1000 : absent;
     }
 
     /** {@code ID/master.m3u8}, {@code ID/N.m3u8}, or with DELETE {@code ID}. */
-    private void session(Exchange x, boolean delete, String rest) {
+    private void handleSessionRequest(Exchange x, boolean delete, String rest) {
         String[] parts = rest.split("/", 2);
         Session s = sessions.get(parts[0]);
-        if (s == null || s.list == null) {
-            x.error(ended.containsKey(parts[0]) ? 410 : 404, ended.containsKey(parts[0]) ? "Gone" : "Not Found");
+        if (s == null || s.multivariant == null) {
+            x.answerError(
+                    endedSessions.containsKey(parts[0]) ? 410 : 404,
+                    endedSessions.containsKey(parts[0]) ? "Gone" : "Not Found");
         } else if (delete) {
             broker.cancel(clock.now(), s.name);
             end(s);
             x.answer(204, "No Content", "text/plain", "", Map.of());
         } else if (parts.length == 2 && parts[1].equals("master.m3u8")) {
-            master(x, s);
+            answerMultivariantPlaylist(x, s);
         } else if (parts.length == 2 && parts[1].matches("[0-9]{1,6}\\.m3u8")) {
-            media(x, s, Integer.parseInt(parts[1].substring(0, parts[1].indexOf('.'))));
+            answerMediaPlaylist(x, s, Integer.parseInt(parts[1].substring(0, parts[1].indexOf('.'))));
         } else {
-            x.error(404, "Not Found");
+            x.answerError(404, "Not Found");
         }
     }
 
     /** The session's multivariant playlist from what is held: no fetch, and never another set-up. */
-    private void master(Exchange x, Session s) {
+    private void answerMultivariantPlaylist(Exchange x, Session s) {
         try {
-            live(s, 0);
-            x.playlist(s.list.rewritten(s.floor, s.rung, s.base, number -> address(s, number)));
-        } catch (Unfit e) {
+            extendActivity(s, 0);
+            x.answerPlaylist(s.multivariant.rewrite(
+                    s.lowestRendition, s.grantedRendition, s.baseUri, number -> mediaPlaylistPath(s, number)));
+        } catch (UnusablePlaylistException e) {
             LOG.warn("playlist cannot be rewritten: session={} why={}", s.name, e.getMessage());
-            x.error(502, "Bad Gateway");
+            x.answerError(502, "Bad Gateway");
         }
     }
 
-    private static String address(Session s, int number) {
-        return SESSIONS + s.name + "/" + number + ".m3u8";
+    private static String mediaPlaylistPath(Session s, int number) {
+        return SESSIONS_PATH + s.name + "/" + number + ".m3u8";
     }
 
     /** A media playlist: of the variant asked for, or of the best that the rung now granted allows under it. */
-    private void media(Exchange x, Session s, int asked) {
-        int number = asked < s.list.media().size() ? s.list.instead(asked, s.floor, s.rung) : -1;
+    private void answerMediaPlaylist(Exchange x, Session s, int asked) {
+        int number = asked < s.multivariant.mediaPlaylists().size()
+                ? s.multivariant.substitute(asked, s.lowestRendition, s.grantedRendition)
+                : -1;
         if (number < 0) {
-            x.error(404, "Not Found");
+            x.answerError(404, "Not Found");
             return;
         }
         if (!broker.acceptsSetUp(clock.now(), s.server)) {
-            String text = s.held.get(number);
+            String text = s.cachedMediaPlaylists.get(number);
             if (text != null) {
-                live(s, Playlists.playtime(text));
-                x.playlist(text);
+                extendActivity(s, Playlists.playDurationUs(text));
+                x.answerPlaylist(text);
             } else {
                 LOG.info("fetch for a draining box ended: session={} server={}", s.name, s.server);
                 broker.cancel(clock.now(), s.name);
                 end(s);
-                x.error(410, "Gone");
+                x.answerError(410, "Gone");
             }
             return;
         }
         URI uri;
         try {
-            uri = s.base.resolve(s.list.media().get(number).uri());
-            if (!s.base.getAuthority().equals(uri.getAuthority()) || !"http".equals(uri.getScheme())) {
-                throw new Unfit("media playlist on another server");
+            uri = s.baseUri.resolve(s.multivariant.mediaPlaylists().get(number).uri());
+            if (!s.baseUri.getAuthority().equals(uri.getAuthority()) || !"http".equals(uri.getScheme())) {
+                throw new UnusablePlaylistException("media playlist on another server");
             }
-        } catch (IllegalArgumentException | Unfit e) {
+        } catch (IllegalArgumentException | UnusablePlaylistException e) {
             LOG.warn("media playlist of no use: session={} why={}", s.name, e.getMessage());
-            x.error(502, "Bad Gateway");
+            x.answerError(502, "Bad Gateway");
             return;
         }
         String path = uri.getRawPath() + (uri.getRawQuery() == null ? "" : "?" + uri.getRawQuery());
-        fetch(x, s, number, uri, path);
+        fetchMediaPlaylist(x, s, number, uri, path);
     }
 
-    private void fetch(Exchange x, Session s, int number, URI uri, String path) {
+    private void fetchMediaPlaylist(Exchange x, Session s, int number, URI uri, String path) {
         TimerQueue.Timer[] late = {null};
-        HttpFetch f = origins.media(s.server, path, new HttpFetch.Listener() {
+        HttpFetch f = origins.fetchMediaPlaylist(s.server, path, new HttpFetch.Listener() {
             @Override
             public void answered(Headed answer) {
                 deadlines.cancel(late[0]);
                 try {
                     if (answer.status() != 200) {
-                        throw new Unfit("status " + answer.status());
+                        throw new UnusablePlaylistException("status " + answer.status());
                     }
-                    String text = Playlists.media(answer.text(), uri);
-                    s.held.put(number, text);
-                    live(s, Playlists.playtime(text));
-                    x.playlist(text);
-                } catch (Unfit e) {
+                    String text = Playlists.rewriteMediaPlaylist(answer.text(), uri);
+                    s.cachedMediaPlaylists.put(number, text);
+                    extendActivity(s, Playlists.playDurationUs(text));
+                    x.answerPlaylist(text);
+                } catch (UnusablePlaylistException e) {
                     LOG.warn("media playlist of no use: session={} why={}", s.name, e.getMessage());
-                    x.error(502, "Bad Gateway");
+                    x.answerError(502, "Bad Gateway");
                 }
             }
 
@@ -445,13 +453,13 @@
             public void broken(boolean ran, String why) {
                 deadlines.cancel(late[0]);
                 LOG.info("media playlist not fetched: session={} why={}", s.name, why);
-                x.error(502, "Bad Gateway");
+                x.answerError(502, "Bad Gateway");
             }
         });
-        long patience = cls(s).deadline();
+        long patience = classOf(s).deadline();
         late[0] = deadlines.schedule(clock.now() + patience, t -> {
             f.cancel();
-            x.error(504, "Gateway Timeout");
+            x.answerError(504, "Gateway Timeout");
         });
     }
 
@@ -475,36 +483,36 @@
             return;
         }
         s.server = granted.server();
-        s.floor = granted.lowestRendition();
-        s.rung = granted.highestRendition();
-        s.base = origins.base(granted.server(), s.path.toString());
+        s.lowestRendition = granted.lowestRendition();
+        s.grantedRendition = granted.highestRendition();
+        s.baseUri = origins.serverUri(granted.server(), s.playlistPath.toString());
         try {
-            if (s.base == null) {
-                throw new Unfit("its box has left the list meanwhile");
+            if (s.baseUri == null) {
+                throw new UnusablePlaylistException("its box has left the list meanwhile");
             }
-            s.list = Multivariant.read(granted.description());
-        } catch (Unfit e) {
+            s.multivariant = MultivariantPlaylist.parse(granted.description());
+        } catch (UnusablePlaylistException e) {
             LOG.warn("session cannot be given: session={} why={}", name, e.getMessage());
             forget(s);
             broker.cancel(clock.now(), name);
-            take(s).forEach(x -> x.error(502, "Bad Gateway"));
+            takePendingExchanges(s).forEach(x -> x.answerError(502, "Bad Gateway"));
             return;
         }
-        live(s, 0);
-        watch(s);
-        take(s).forEach(x -> master(x, s));
+        extendActivity(s, 0);
+        scheduleIdleCheck(s);
+        takePendingExchanges(s).forEach(x -> answerMultivariantPlaylist(x, s));
     }
 
     @Override
     public void refused(long connection, String name, long comeBack) {
         Map<String, String> more =
                 comeBack > 0 ? Map.of("Retry-After", Long.toString((comeBack + 999_999) / 1_000_000)) : Map.of();
-        unserved(name).forEach(x -> x.answer(503, "Service Unavailable", "text/plain", "refused\n", more));
+        forgetUnserved(name).forEach(x -> x.answer(503, "Service Unavailable", "text/plain", "refused\n", more));
     }
 
     @Override
     public void failed(long connection, String name, boolean late) {
-        unserved(name).forEach(x -> x.error(late ? 504 : 502, late ? "Gateway Timeout" : "Bad Gateway"));
+        forgetUnserved(name).forEach(x -> x.answerError(late ? 504 : 502, late ? "Gateway Timeout" : "Bad Gateway"));
     }
 
     @Override
@@ -525,39 +533,39 @@
     public void renditionChanged(String name, int rung) {
         Session s = sessions.get(name);
         if (s != null) {
-            s.rung = rung;
+            s.grantedRendition = rung;
         }
     }
 
-    private List<Exchange> unserved(String name) {
+    private List<Exchange> forgetUnserved(String name) {
         Session s = sessions.get(name);
         if (s == null) {
             return List.of();
         }
         forget(s);
-        return take(s);
+        return takePendingExchanges(s);
     }
 
-    private static List<Exchange> take(Session s) {
-        List<Exchange> all = List.copyOf(s.waiting);
-        s.waiting.clear();
+    private static List<Exchange> takePendingExchanges(Session s) {
+        List<Exchange> all = List.copyOf(s.pendingExchanges);
+        s.pendingExchanges.clear();
         return all;
     }
 
     // ---- A session's time.
 
-    private void live(Session s, long playtime) {
-        s.lively = Math.max(s.lively, clock.now() + playtime + idle);
+    private void extendActivity(Session s, long playtime) {
+        s.activeUntilUs = Math.max(s.activeUntilUs, clock.now() + playtime + idleTimeoutUs);
     }
 
     /** Ends the session once nobody has fetched for as long as what was fetched can play, and a while more. */
-    private void watch(Session s) {
-        deadlines.schedule(s.lively, t -> {
+    private void scheduleIdleCheck(Session s) {
+        deadlines.schedule(s.activeUntilUs, t -> {
             if (sessions.get(s.name) != s) {
                 return;
             }
-            if (clock.now() < s.lively) {
-                watch(s);
+            if (clock.now() < s.activeUntilUs) {
+                scheduleIdleCheck(s);
                 return;
             }
             LOG.info("session idle, ended: session={}", s.name);
@@ -566,20 +574,20 @@
         });
     }
 
-    private SessionClass cls(Session s) {
+    private SessionClass classOf(Session s) {
         return classes.get(s.viewerKey.substring(0, s.viewerKey.indexOf('\n')));
     }
 
     private void forget(Session s) {
         sessions.remove(s.name);
-        byViewer.remove(s.viewerKey, s);
+        sessionsByViewer.remove(s.viewerKey, s);
     }
 
     private void end(Session s) {
         forget(s);
-        ended.put(s.name, true);
-        if (ended.size() > REMEMBERED) {
-            ended.remove(ended.keySet().iterator().next());
+        endedSessions.put(s.name, true);
+        if (endedSessions.size() > MAX_ENDED_SESSIONS) {
+            endedSessions.remove(endedSessions.keySet().iterator().next());
         }
     }
 }
--- a/src/main/java/dockshed/hls/Playlists.java
+++ b/src/main/java/dockshed/hls/Playlists.java
@@ -13,32 +13,32 @@
 /** HLS playlists (RFC 8216) as a session sees them. Text in, text out. */
 final class Playlists {
     /** What is no playlist, or none that this session may have. */
-    static final class Unfit extends Exception {
+    static final class UnusablePlaylistException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unfit(String why) {
+        UnusablePlaylistException(String why) {
             super(why);
         }
     }
 
     /** A line that names a media playlist; {@code rung} is -1 where it belongs to no single rung. */
-    record Media(String uri, int rung) {}
+    record MediaPlaylist(String uri, int rendition) {}
 
     /** A multivariant playlist taken apart: its lines, and the media playlists that it names by number. */
-    static final class Multivariant {
+    static final class MultivariantPlaylist {
         private final List<String> lines;
-        private final List<Media> media = new ArrayList<>();
-        private final Map<Integer, Integer> mediaOfLine = new LinkedHashMap<>();
-        private final Map<Integer, Integer> rungOfLine = new LinkedHashMap<>(); // a variant's tag and its URI
-        private final Set<Integer> dropped = new HashSet<>();
+        private final List<MediaPlaylist> mediaPlaylists = new ArrayList<>();
+        private final Map<Integer, Integer> mediaPlaylistByLine = new LinkedHashMap<>();
+        private final Map<Integer, Integer> renditionByLine = new LinkedHashMap<>(); // a variant's tag and its URI
+        private final Set<Integer> droppedLines = new HashSet<>();
 
-        private Multivariant(List<String> lines) {
+        private MultivariantPlaylist(List<String> lines) {
             this.lines = lines;
         }
 
         /** Rungs count the distinct bandwidths from the lowest up, in whatever order the variants come. */
-        static Multivariant read(String text) throws Unfit {
-            Multivariant m = new Multivariant(lines(text));
+        static MultivariantPlaylist parse(String text) throws UnusablePlaylistException {
+            MultivariantPlaylist m = new MultivariantPlaylist(lines(text));
             TreeSet<Long> ladder = new TreeSet<>();
             for (String line : m.lines) {
                 if (line.startsWith("#EXT-X-STREAM-INF:")) {
@@ -46,7 +46,7 @@
                 }
             }
             if (ladder.isEmpty()) {
-                throw new Unfit("no variants");
+                throw new UnusablePlaylistException("no variants");
             }
             List<Long> rates = new ArrayList<>(ladder);
             int pending = -1;
@@ -55,54 +55,54 @@
                 if (line.startsWith("#EXT-X-STREAM-INF:")) {
                     pending = i;
                 } else if (line.startsWith("#EXT-X-I-FRAME-STREAM-INF:")) {
-                    m.dropped.add(i); // belongs to no rung that could be granted
+                    m.droppedLines.add(i); // belongs to no rung that could be granted
                 } else if (line.startsWith("#EXT-X-MEDIA:") && attribute(line, "URI") != null) {
-                    m.name(i, new Media(attribute(line, "URI"), -1));
+                    m.addMediaPlaylist(i, new MediaPlaylist(attribute(line, "URI"), -1));
                 } else if (!line.startsWith("#") && !line.isBlank()) {
                     if (pending < 0) {
-                        throw new Unfit("a URI without a variant: not a multivariant playlist");
+                        throw new UnusablePlaylistException("a URI without a variant: not a multivariant playlist");
                     }
                     int rung = rates.indexOf(bandwidth(m.lines.get(pending)));
-                    m.rungOfLine.put(pending, rung);
-                    m.rungOfLine.put(i, rung);
-                    m.name(i, new Media(line.strip(), rung));
+                    m.renditionByLine.put(pending, rung);
+                    m.renditionByLine.put(i, rung);
+                    m.addMediaPlaylist(i, new MediaPlaylist(line.strip(), rung));
                     pending = -1;
                 }
             }
             if (pending >= 0) {
-                throw new Unfit("a variant without a URI");
+                throw new UnusablePlaylistException("a variant without a URI");
             }
             return m;
         }
 
-        private void name(int line, Media what) {
-            mediaOfLine.put(line, media.size());
-            media.add(what);
+        private void addMediaPlaylist(int line, MediaPlaylist what) {
+            mediaPlaylistByLine.put(line, mediaPlaylists.size());
+            mediaPlaylists.add(what);
         }
 
         /** The media playlists named, by number. */
-        List<Media> media() {
-            return media;
+        List<MediaPlaylist> mediaPlaylists() {
+            return mediaPlaylists;
         }
 
         /** Whether a variant lies from {@code floor} to {@code rung}. */
-        boolean has(int floor, int rung) {
-            return media.stream().anyMatch(v -> v.rung() >= floor && v.rung() <= rung);
+        boolean hasVariant(int floor, int rung) {
+            return mediaPlaylists.stream().anyMatch(v -> v.rendition() >= floor && v.rendition() <= rung);
         }
 
         /** The number of the media playlist to play for one asked for: its own, or the best rung allowed under it. */
-        int instead(int number, int floor, int rung) {
-            Media asked = media.get(number);
-            if (asked.rung() < 0 || asked.rung() >= floor && asked.rung() <= rung) {
+        int substitute(int number, int floor, int rung) {
+            MediaPlaylist asked = mediaPlaylists.get(number);
+            if (asked.rendition() < 0 || asked.rendition() >= floor && asked.rendition() <= rung) {
                 return number;
             }
             int best = -1;
-            for (int i = 0; i < media.size(); i++) {
-                int r = media.get(i).rung();
+            for (int i = 0; i < mediaPlaylists.size(); i++) {
+                int r = mediaPlaylists.get(i).rendition();
                 if (r >= floor
                         && r <= rung
-                        && asked.rung() > r
-                        && (best < 0 || r > media.get(best).rung())) {
+                        && asked.rendition() > r
+                        && (best < 0 || r > mediaPlaylists.get(best).rendition())) {
                     best = i;
                 }
             }
@@ -110,12 +110,12 @@
         }
 
         /** The text for a session: only variants from {@code floor} to {@code rung}, media playlists renamed. */
-        String rewritten(int floor, int rung, URI base, IntFunction<String> rename) throws Unfit {
-            if (!has(floor, rung)) {
-                throw new Unfit("no variant from rung " + floor + " to " + rung);
+        String rewrite(int floor, int rung, URI base, IntFunction<String> rename) throws UnusablePlaylistException {
+            if (!hasVariant(floor, rung)) {
+                throw new UnusablePlaylistException("no variant from rung " + floor + " to " + rung);
             }
             Set<String> groups = new HashSet<>();
-            for (Map.Entry<Integer, Integer> v : rungOfLine.entrySet()) {
+            for (Map.Entry<Integer, Integer> v : renditionByLine.entrySet()) {
                 if (v.getValue() >= floor && v.getValue() <= rung) {
                     for (String kind : List.of("VIDEO", "AUDIO", "SUBTITLES", "CLOSED-CAPTIONS")) {
                         groups.add(kind + "=" + attribute(lines.get(v.getKey()), kind));
@@ -125,19 +125,20 @@
             StringBuilder out = new StringBuilder();
             for (int i = 0; i < lines.size(); i++) {
                 String line = lines.get(i);
-                Integer at = rungOfLine.get(i);
+                Integer at = renditionByLine.get(i);
                 boolean left = at != null && (at < floor || at > rung)
-                        || dropped.contains(i)
+                        || droppedLines.contains(i)
                         || line.startsWith("#EXT-X-MEDIA:")
                                 && !groups.contains(attribute(line, "TYPE") + "=" + attribute(line, "GROUP-ID"));
                 if (left) {
                     continue;
                 }
-                Integer number = mediaOfLine.get(i);
+                Integer number = mediaPlaylistByLine.get(i);
                 if (number != null) {
-                    out.append(line.startsWith("#") ? withUri(line, rename.apply(number)) : rename.apply(number));
+                    out.append(
+                            line.startsWith("#") ? withUriAttribute(line, rename.apply(number)) : rename.apply(number));
                 } else {
-                    out.append(absolute(line, base));
+                    out.append(withAbsoluteUri(line, base));
                 }
                 out.append('\n');
             }
@@ -148,37 +149,40 @@
     private Playlists() {}
 
     /** A media playlist with everything that it names absolute. */
-    static String media(String text, URI base) throws Unfit {
+    static String rewriteMediaPlaylist(String text, URI base) throws UnusablePlaylistException {
         List<String> lines = lines(text);
         StringBuilder out = new StringBuilder();
         for (String line : lines) {
             if (line.startsWith("#EXT-X-STREAM-INF:")) {
-                throw new Unfit("variants in a media playlist");
+                throw new UnusablePlaylistException("variants in a media playlist");
             }
-            out.append(line.startsWith("#") || line.isBlank() ? absolute(line, base) : resolve(base, line.strip()))
+            out.append(
+                            line.startsWith("#") || line.isBlank()
+                                    ? withAbsoluteUri(line, base)
+                                    : resolve(base, line.strip()))
                     .append('\n');
         }
         return out.toString();
     }
 
     /** Microseconds that a player may take with a media playlist: all of it, or three targets where it goes on. */
-    static long playtime(String text) {
+    static long playDurationUs(String text) {
         double seconds = 0;
         double target = 0;
         boolean whole = false;
         for (String line : text.split("\n")) {
             String value = line.substring(line.indexOf(':') + 1).strip();
             if (line.startsWith("#EXTINF:")) {
-                seconds += number(value.split(",", 2)[0]);
+                seconds += parseSeconds(value.split(",", 2)[0]);
             } else if (line.startsWith("#EXT-X-TARGETDURATION:")) {
-                target = number(value);
+                target = parseSeconds(value);
             }
             whole |= line.startsWith("#EXT-X-ENDLIST");
         }
         return Math.round(Math.min(86_400, whole ? seconds : 3 * target) * 1e6);
     }
 
-    private static double number(String value) {
+    private static double parseSeconds(String value) {
         try {
             return Math.max(0, Double.parseDouble(value.strip()));
         } catch (NumberFormatException e) {
@@ -186,25 +190,25 @@
         }
     }
 
-    private static List<String> lines(String text) throws Unfit {
+    private static List<String> lines(String text) throws UnusablePlaylistException {
         List<String> lines = List.of(text.split("\r?\n"));
         if (!lines.get(0).equals("#EXTM3U")) {
-            throw new Unfit("does not begin with #EXTM3U");
+            throw new UnusablePlaylistException("does not begin with #EXTM3U");
         }
         return lines;
     }
 
-    private static long bandwidth(String line) throws Unfit {
+    private static long bandwidth(String line) throws UnusablePlaylistException {
         String value = attribute(line, "BANDWIDTH");
         if (value == null || value.length() > 18 || !value.matches("[0-9]+")) {
-            throw new Unfit("a variant without a BANDWIDTH");
+            throw new UnusablePlaylistException("a variant without a BANDWIDTH");
         }
         return Long.parseLong(value);
     }
 
     /** An attribute of a tag's list, without quotes; null where it is absent. Commas in quotes part nothing. */
     static String attribute(String line, String name) {
-        int[] span = span(line, name);
+        int[] span = attributeValueRange(line, name);
         if (span == null) {
             return null;
         }
@@ -213,7 +217,7 @@
     }
 
     /** Where an attribute's value begins and ends. */
-    private static int[] span(String line, String name) {
+    private static int[] attributeValueRange(String line, String name) {
         int at = line.indexOf(':') + 1;
         while (at > 0 && at < line.length()) {
             int equals = line.indexOf('=', at);
@@ -240,21 +244,21 @@
         return null;
     }
 
-    private static String withUri(String line, String uri) {
-        int[] span = span(line, "URI");
+    private static String withUriAttribute(String line, String uri) {
+        int[] span = attributeValueRange(line, "URI");
         return span == null ? line : line.substring(0, span[0]) + '"' + uri + '"' + line.substring(span[1]);
     }
 
-    private static String absolute(String line, URI base) throws Unfit {
+    private static String withAbsoluteUri(String line, URI base) throws UnusablePlaylistException {
         String uri = line.startsWith("#EXT-X-") ? attribute(line, "URI") : null;
-        return uri == null || uri.isEmpty() ? line : withUri(line, resolve(base, uri));
+        return uri == null || uri.isEmpty() ? line : withUriAttribute(line, resolve(base, uri));
     }
 
-    static String resolve(URI base, String uri) throws Unfit {
+    static String resolve(URI base, String uri) throws UnusablePlaylistException {
         try {
             return base.resolve(uri).toString();
         } catch (IllegalArgumentException e) {
-            throw new Unfit("a URI that is none");
+            throw new UnusablePlaylistException("a URI that is none");
         }
     }
 }
--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -31,45 +31,45 @@
 
 /** Viewers that speak the platform's RTSP. Turns their messages into the broker's calls and back; owns no rule. */
 public final class RtspFront implements Front {
-    static final int MESSAGE_LIMIT = 16 * 1024;
+    static final int MAX_MESSAGE_BYTES = 16 * 1024;
     /** A message must be whole so soon after its beginning, the first so soon after its connection came up. */
-    static final long SILENT = 2_000_000;
+    static final long MESSAGE_TIMEOUT_US = 2_000_000;
 
-    private static final long LOOK = 250_000;
+    private static final long SWEEP_INTERVAL_US = 250_000;
     /** A connection just used is not closed to make room: its viewer may be about to ask again. */
-    private static final long FRESH = 500_000;
+    private static final long RECENT_USE_US = 500_000;
     /** Between the choice of a connection to be closed and its end: bytes that had come by then have been read. */
-    static final long LAST_READ = 60_000;
+    static final long CLOSE_DELAY_US = 60_000;
     /** What was answered for good is read on for so long, and so many bytes, lest the answer be lost. */
-    static final long LINGER = 5_000_000;
+    static final long LINGER_TIMEOUT_US = 5_000_000;
 
-    private static final long MOST_PASSED_OVER = 128L << 20;
+    private static final long MAX_DISCARDED_BYTES = 128L << 20;
     /** Messages at fault on one connection before it is ended. */
-    static final int MOST_FAULTS = 16;
+    static final int MAX_FAULTY_MESSAGES = 16;
     /** Set-ups open on one connection: ten times what the busiest day brings on one within a deadline. */
-    static final int MOST_SET_UPS = 512;
+    static final int MAX_OPEN_SET_UPS = 512;
 
     private static final Logger LOG = LoggerFactory.getLogger(RtspFront.class);
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final Broker broker;
     private final ServerAdapter servers;
     private final Clock clock;
     private final TimerQueue deadlines;
-    private final int mostConnections;
-    private final Map<Long, Connection> channels = new HashMap<>();
-    private final Set<Connection> open = new LinkedHashSet<>(); // those that are ending, too
+    private final int maxConnections;
+    private final Map<Long, Connection> connectionsByHandle = new HashMap<>();
+    private final Set<Connection> openConnections = new LinkedHashSet<>(); // those that are ending, too
     private final SplittableRandom random = new SplittableRandom(1); // of the rounding only: no secret, any seed does
-    private boolean full;
+    private boolean atCapacity;
 
     /** Viewers keep to a third of the descriptors; {@code mostConnections} leaves room for what is no viewer's. */
     public RtspFront(Broker broker, ServerAdapter servers, Clock clock, TimerQueue deadlines, int mostConnections) {
-        this.mostConnections = mostConnections;
+        this.maxConnections = mostConnections;
         this.broker = broker;
         this.servers = servers;
         this.clock = clock;
         this.deadlines = deadlines;
-        deadlines.schedule(clock.now() + LOOK, this::look);
+        deadlines.schedule(clock.now() + SWEEP_INTERVAL_US, this::sweep);
     }
 
     /** The handler of a new connection. */
@@ -78,19 +78,19 @@
     }
 
     /** Ends what has been silent, stuck in a message, or closing for too long. */
-    private void look(long due) {
+    private void sweep(long due) {
         long now = clock.now();
-        deadlines.schedule(now + LOOK, this::look);
-        for (Connection c : List.copyOf(open)) {
+        deadlines.schedule(now + SWEEP_INTERVAL_US, this::sweep);
+        for (Connection c : List.copyOf(openConnections)) {
             if (c.ending) {
-                if (c.shut && now - c.since > LINGER) {
+                if (c.outputClosed && now - c.pendingSinceUs > LINGER_TIMEOUT_US) {
                     c.channel.close();
                 }
-            } else if (c.since >= 0 && now - c.since > SILENT) {
+            } else if (c.pendingSinceUs >= 0 && now - c.pendingSinceUs > MESSAGE_TIMEOUT_US) {
                 if (c.decoder.midway()) {
-                    c.spoilt("message not finished");
+                    c.rejectMalformed("message not finished");
                 } else {
-                    c.quiet("nothing asked");
+                    c.closeUnused("nothing asked");
                 }
             }
         }
@@ -103,90 +103,94 @@
     private boolean makeRoom() {
         Connection worst = null;
         long now = clock.now();
-        for (Connection c : open) {
-            boolean fresh = now - c.usedAt < FRESH;
-            boolean owed = !c.setUps.isEmpty() || Net.unwritten(c.channel) && now - c.usedAt < LINGER;
-            if (!c.doomed
+        for (Connection c : openConnections) {
+            boolean fresh = now - c.lastUsedUs < RECENT_USE_US;
+            boolean owed =
+                    !c.openSetUps.isEmpty() || Net.unwritten(c.channel) && now - c.lastUsedUs < LINGER_TIMEOUT_US;
+            if (!c.closeScheduled
                     && !owed
-                    && !(fresh && c.sort() > 0)
+                    && !(fresh && c.evictionRank() > 0)
                     && (worst == null
-                            || c.sort() < worst.sort()
-                            || c.sort() == worst.sort() && c.usedAt < worst.usedAt)) {
+                            || c.evictionRank() < worst.evictionRank()
+                            || c.evictionRank() == worst.evictionRank() && c.lastUsedUs < worst.lastUsedUs)) {
                 worst = c;
             }
         }
-        if (worst == null || open.size() > mostConnections + mostConnections / 8) {
+        if (worst == null || openConnections.size() > maxConnections + maxConnections / 8) {
             return false;
         }
         Connection chosen = worst;
-        if (chosen.asked && !chosen.ending) {
+        if (chosen.sentRequest && !chosen.ending) {
             // A set-up may have come that is not read yet: it is closed only once all that had come has been.
-            chosen.doomed = true;
-            long unused = chosen.usedAt;
-            deadlines.schedule(now + LAST_READ, t -> {
-                chosen.doomed = false;
-                if (chosen.usedAt == unused && chosen.setUps.isEmpty() && !chosen.decoder.midway() && !chosen.ending) {
-                    chosen.quiet("room is needed");
+            chosen.closeScheduled = true;
+            long unused = chosen.lastUsedUs;
+            deadlines.schedule(now + CLOSE_DELAY_US, t -> {
+                chosen.closeScheduled = false;
+                if (chosen.lastUsedUs == unused
+                        && chosen.openSetUps.isEmpty()
+                        && !chosen.decoder.midway()
+                        && !chosen.ending) {
+                    chosen.closeUnused("room is needed");
                 }
             });
         } else {
-            chosen.quiet("room is needed");
+            chosen.closeUnused("room is needed");
         }
         return true;
     }
 
     /** A set-up as it came. */
-    private record Asked(SessionRequest wish, Headed message) {}
+    private record PendingSetUp(SessionRequest request, Headed message) {}
 
     private final class Connection extends ByteHandler {
-        private final HeadedDecoder decoder = new HeadedDecoder(MESSAGE_LIMIT);
-        private final Set<String> setUps = new HashSet<>(); // open ones
+        private final HeadedDecoder decoder = new HeadedDecoder(MAX_MESSAGE_BYTES);
+        private final Set<String> openSetUps = new HashSet<>(); // open ones
         /** Read, but not taken before all that has come is read: its viewer may have left behind it. */
-        private final Map<String, Asked> fresh = new LinkedHashMap<>();
+        private final Map<String, PendingSetUp> pendingSetUps = new LinkedHashMap<>();
 
         private Channel channel;
         private long handle;
         private boolean ending;
-        private boolean asked;
-        private boolean viewer;
-        private boolean doomed;
-        private boolean shut; // all answers owed are written: our output is ended, or is about to be
-        private long since; // the beginning of a first message, of a part of one, of the ending; else -1
-        private long usedAt;
-        private long passedOver;
-        private int faults;
+        private boolean sentRequest;
+        private boolean sentSetUp;
+        private boolean closeScheduled;
+        private boolean outputClosed; // all answers owed are written: our output is ended, or is about to be
+        private long pendingSinceUs; // the beginning of a first message, of a part of one, of the ending; else -1
+        private long lastUsedUs;
+        private long discardedBytes;
+        private int faultyMessages;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            since = clock.now();
-            usedAt = since;
-            if (open.size() >= mostConnections && !makeRoom()) {
-                if (!full) {
-                    LOG.warn("viewer's connection turned away: open={}", open.size());
+            pendingSinceUs = clock.now();
+            lastUsedUs = pendingSinceUs;
+            if (openConnections.size() >= maxConnections && !makeRoom()) {
+                if (!atCapacity) {
+                    LOG.warn("viewer's connection turned away: open={}", openConnections.size());
                 }
-                full = true;
+                atCapacity = true;
                 ending = true;
                 ctx.close();
                 return;
             }
-            full = false;
-            open.add(this);
-            handle = broker.connected(since, RtspFront.this, h -> channels.put(h, this));
+            atCapacity = false;
+            openConnections.add(this);
+            handle = broker.connected(pendingSinceUs, RtspFront.this, h -> connectionsByHandle.put(h, this));
         }
 
         /** What goes first where room is needed. */
-        private int sort() {
-            return ending ? 1 : !asked ? 0 : !viewer ? 2 : 3;
+        private int evictionRank() {
+            return ending ? 1 : !sentRequest ? 0 : !sentSetUp ? 2 : 3;
         }
 
         @Override
         protected boolean passesOver(int count) {
             if (ending) {
-                passedOver += count;
+                discardedBytes += count;
             }
-            if (ending && passedOver > MOST_PASSED_OVER) {
-                if (shut) {
+            if (ending && discardedBytes > MAX_DISCARDED_BYTES) {
+                if (outputClosed) {
                     channel.close();
                 } else {
                     channel.config().setAutoRead(false); // answers are owed: it is read on once they are written
@@ -203,45 +207,45 @@
                 boolean whole = false;
                 for (Headed m = decoder.next(); m != null; m = decoder.next()) {
                     whole = true;
-                    asked = true;
-                    usedAt = clock.now();
-                    message(this, m);
+                    sentRequest = true;
+                    lastUsedUs = clock.now();
+                    handleMessage(this, m);
                     if (ending) {
                         return;
                     }
                 }
                 if (!decoder.midway()) {
-                    since = asked ? -1 : since;
-                } else if (asked && (whole || !begun)) {
-                    since = clock.now();
+                    pendingSinceUs = sentRequest ? -1 : pendingSinceUs;
+                } else if (sentRequest && (whole || !begun)) {
+                    pendingSinceUs = clock.now();
                 }
             } catch (Headed.Malformed e) {
-                spoilt(e.getMessage());
+                rejectMalformed(e.getMessage());
             }
         }
 
         @Override
         protected void caughtUp(ChannelHandlerContext ctx, boolean ended) {
             if (ended) {
-                drop();
+                refusePending();
             } else {
-                take();
+                submitPending();
             }
         }
 
         /** Asks the broker for what has been read. */
-        private void take() {
-            while (!fresh.isEmpty()) {
-                Asked next = fresh.values().iterator().next();
-                fresh.remove(next.wish().name());
+        private void submitPending() {
+            while (!pendingSetUps.isEmpty()) {
+                PendingSetUp next = pendingSetUps.values().iterator().next();
+                pendingSetUps.remove(next.request().name());
                 request(this, next);
             }
         }
 
         /** The viewer has ended its output behind them: they are answered, as it may still read, and not tried. */
-        private void drop() {
-            fresh.keySet().forEach(name -> refused(handle, name, broker.maxRetryAfter()));
-            fresh.clear();
+        private void refusePending() {
+            pendingSetUps.keySet().forEach(name -> refused(handle, name, broker.maxRetryAfter()));
+            pendingSetUps.clear();
         }
 
         /**
@@ -250,45 +254,45 @@
          */
         @Override
         protected void inputEnded(ChannelHandlerContext ctx) {
-            LOG.debug("viewer says no more: remote={} open={}", channel.remoteAddress(), setUps);
+            LOG.debug("viewer says no more: remote={} open={}", channel.remoteAddress(), openSetUps);
             broker.halfClosed(clock.now(), handle);
-            leave();
-            shut = true;
-            open.add(this); // until what is written has been read, or for as long as it may linger
-            since = clock.now();
+            detach();
+            outputClosed = true;
+            openConnections.add(this); // until what is written has been read, or for as long as it may linger
+            pendingSinceUs = clock.now();
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         }
 
         /** Told at once: nothing must go out for a viewer that has left, not even what is to be written in this turn. */
         @Override
         protected void broke() {
-            leave();
+            detach();
         }
 
         /** Counts what was wrong in a message that could be read: a viewer's program does not go on like that. */
-        private void fault(String why, Headed m) {
+        private void rejectSetUp(String why, Headed m) {
             LOG.warn("set-up refused: remote={} why={}", channel.remoteAddress(), why);
             reply(channel, 400, "Bad Request", m);
-            if (++faults >= MOST_FAULTS) {
-                end();
+            if (++faultyMessages >= MAX_FAULTY_MESSAGES) {
+                closeAfterAnswers();
             }
         }
 
         /** The last answer on a connection that can't be read on. */
-        private void spoilt(String why) {
+        private void rejectMalformed(String why) {
             LOG.warn("viewer's message malformed: remote={} why={}", channel.remoteAddress(), why);
             reply(channel, 400, "Bad Request", null);
-            end();
+            closeAfterAnswers();
         }
 
-        private void quiet(String why) {
+        private void closeUnused(String why) {
             LOG.debug("viewer's connection closed: remote={} why={}", channel.remoteAddress(), why);
             if (!ending
                     && Net.unwritten(channel)) { // a close would throw away what the viewer has not made room for yet
-                end();
+                closeAfterAnswers();
                 return;
             }
-            leave();
+            detach();
             channel.close();
         }
 
@@ -296,38 +300,38 @@
          * Takes nothing more, and writes no more once what is open here has its answers: whatever was wrong with a later
          * message, they were taken whole. Each has one by its deadline.
          */
-        private void end() {
+        private void closeAfterAnswers() {
             if (ending) {
                 return;
             }
-            take(); // they came whole before whatever ends this connection
+            submitPending(); // they came whole before whatever ends this connection
             if (ending) {
                 return;
             }
             ending = true;
-            since = clock.now();
+            pendingSinceUs = clock.now();
             channel.config().setAutoRead(true);
-            if (!setUps.isEmpty()) {
+            if (!openSetUps.isEmpty()) {
                 LOG.info(
                         "viewer's connection ends after its answers: remote={} open={}",
                         channel.remoteAddress(),
-                        setUps.size());
+                        openSetUps.size());
             }
-            shutOnceAnswered();
+            closeOutputOnceAnswered();
         }
 
         /**
          * Ends our output and reads on for a while: to close under a sender resets the connection, and the answer may be
          * lost to that before it is read.
          */
-        private void shutOnceAnswered() {
-            if (!ending || shut || !setUps.isEmpty()) {
+        private void closeOutputOnceAnswered() {
+            if (!ending || outputClosed || !openSetUps.isEmpty()) {
                 return;
             }
-            leave();
-            shut = true;
-            open.add(this);
-            since = clock.now();
+            detach();
+            outputClosed = true;
+            openConnections.add(this);
+            pendingSinceUs = clock.now();
             channel.config().setAutoRead(true);
             // After what is written already: the end of our output throws away what still waits for the viewer.
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
@@ -340,11 +344,11 @@
         }
 
         /** Whoever waited here for an answer has it or has left. */
-        private void leave() {
+        private void detach() {
             ending = true;
-            open.remove(this);
-            if (channels.remove(handle, this)) {
-                setUps.clear();
+            openConnections.remove(this);
+            if (connectionsByHandle.remove(handle, this)) {
+                openSetUps.clear();
                 broker.disconnected(clock.now(), handle);
             }
         }
@@ -362,18 +366,18 @@
                     "viewer's connection ended: remote={} reset={} open={}",
                     ctx.channel().remoteAddress(),
                     reset,
-                    setUps);
-            leave();
+                    openSetUps);
+            detach();
         }
 
         /** An error of our own in one message costs that message, not what others on the connection wait for. */
         @Override
         protected void failed(ChannelHandlerContext ctx) {
-            end();
+            closeAfterAnswers();
         }
     }
 
-    private void message(Connection c, Headed m) throws Headed.Malformed {
+    private void handleMessage(Connection c, Headed m) throws Headed.Malformed {
         Channel ch = c.channel;
         if (m.first().startsWith("RTSP/")) {
             if ("2".equals(m.header("cseq"))) {
@@ -385,12 +389,12 @@
             throw new Headed.Malformed("first line is no RTSP request");
         }
         switch (m.word(0)) {
-            case "SETUP" -> setUp(c, m);
+            case "SETUP" -> handleSetUp(c, m);
             case "TEARDOWN" -> {
                 LOG.debug("torn down by its viewer: session={} reason={}", m.header("session"), m.header("reason"));
                 String name = m.header("session", "");
                 broker.trace().add(clock.now(), name, "torn-down", m.header("reason"));
-                if (c.fresh.remove(name) == null) {
+                if (c.pendingSetUps.remove(name) == null) {
                     broker.cancel(clock.now(), name);
                 }
                 reply(ch, 200, "OK", m);
@@ -401,49 +405,50 @@
         }
     }
 
-    private void setUp(Connection c, Headed m) {
-        SetUpFields f;
+    private void handleSetUp(Connection c, Headed m) {
+        SetUpMessage f;
         try {
-            f = SetUpFields.read(m);
+            f = SetUpMessage.parse(m);
         } catch (IllegalArgumentException e) {
-            c.fault(e.getMessage(), m);
+            c.rejectSetUp(e.getMessage(), m);
             return;
         }
-        SessionRequest wish = f.wish();
-        boolean untaken = c.fresh.remove(wish.name()) != null;
-        if (untaken || c.setUps.contains(wish.name())) { // no telling any more which of the two an answer would be for
+        SessionRequest wish = f.request();
+        boolean untaken = c.pendingSetUps.remove(wish.name()) != null;
+        if (untaken
+                || c.openSetUps.contains(wish.name())) { // no telling any more which of the two an answer would be for
             LOG.warn(
                     "viewer's message malformed: remote={} why=two set-ups under one session",
                     c.channel.remoteAddress());
             if (!untaken) {
                 broker.cancel(clock.now(), wish.name());
             }
-            answer(c, wish.name(), 400, "Bad Request", NOTHING, Map.of());
-            c.end();
+            answer(c, wish.name(), 400, "Bad Request", EMPTY_BODY, Map.of());
+            c.closeAfterAnswers();
             return;
         }
-        if (c.setUps.size() + c.fresh.size() >= MOST_SET_UPS) {
-            answer(c, wish.name(), 503, "Service Unavailable", NOTHING, Map.of());
+        if (c.openSetUps.size() + c.pendingSetUps.size() >= MAX_OPEN_SET_UPS) {
+            answer(c, wish.name(), 503, "Service Unavailable", EMPTY_BODY, Map.of());
             return;
         }
-        c.viewer = true;
-        if (f.at() != null) {
-            if (!broker.adoptSession(clock.now(), c.handle, this, servers, wish, f.at())) {
-                c.fault("plays nowhere that is known", m);
+        c.sentSetUp = true;
+        if (f.playingServer() != null) {
+            if (!broker.adoptSession(clock.now(), c.handle, this, servers, wish, f.playingServer())) {
+                c.rejectSetUp("plays nowhere that is known", m);
             }
             return;
         }
-        c.fresh.put(wish.name(), new Asked(wish, m));
+        c.pendingSetUps.put(wish.name(), new PendingSetUp(wish, m));
     }
 
-    private void request(Connection c, Asked asked) {
-        SessionRequest wish = asked.wish();
-        c.setUps.add(wish.name());
+    private void request(Connection c, PendingSetUp asked) {
+        SessionRequest wish = asked.request();
+        c.openSetUps.add(wish.name());
         broker.trace().add(clock.now(), wish.name(), "taken", wish.className());
         LOG.debug("set-up taken: session={} remote={}", wish.name(), c.channel.remoteAddress());
         if (!broker.request(clock.now(), c.handle, this, servers, wish)) {
-            c.setUps.remove(wish.name());
-            c.fault("session held already, class unknown, or a figure out of range", asked.message());
+            c.openSetUps.remove(wish.name());
+            c.rejectSetUp("session held already, class unknown, or a figure out of range", asked.message());
         }
     }
 
@@ -457,21 +462,21 @@
     @Override
     public void refused(long connection, String name, long comeBack) {
         if (comeBack <= 0) {
-            answer(connection, name, 453, "Not Enough Bandwidth", NOTHING, Map.of());
+            answer(connection, name, 453, "Not Enough Bandwidth", EMPTY_BODY, Map.of());
             return;
         }
         // Players that know nothing of P-Back-Off know these two (RFC 2326, 11.3.14 and 12.31).
         Map<String, String> when = new LinkedHashMap<>();
         when.put("P-Back-Off", Long.toString(comeBack / 1000));
-        long seconds = wholeSeconds(comeBack, broker.maxRetryAfter(), random);
+        long seconds = retryAfterSeconds(comeBack, broker.maxRetryAfter(), random);
         if (seconds > 0) {
             when.put("Retry-After", Long.toString(seconds));
         }
-        answer(connection, name, 503, "Service Unavailable", NOTHING, when);
+        answer(connection, name, 503, "Service Unavailable", EMPTY_BODY, when);
     }
 
     /** Up or down by chance, so that the mean and the spread of many survive; 0 where less than a second may be told. */
-    static long wholeSeconds(long micros, long longest, SplittableRandom random) {
+    static long retryAfterSeconds(long micros, long longest, SplittableRandom random) {
         long up = random.nextLong(1_000_000) < micros % 1_000_000 ? 1 : 0;
         return Math.min(Math.max(1, micros / 1_000_000 + up), longest / 1_000_000);
     }
@@ -483,17 +488,17 @@
                 name,
                 late ? 504 : 500,
                 late ? "Gateway Time-out" : "Internal Server Error",
-                NOTHING,
+                EMPTY_BODY,
                 Map.of());
     }
 
     /** A connection that only waited for this answer to end has none to wait for. */
     @Override
     public void requestCancelled(long connection, String name) {
-        Connection c = channels.get(connection);
+        Connection c = connectionsByHandle.get(connection);
         if (c != null) {
-            c.setUps.remove(name);
-            c.shutOnceAnswered();
+            c.openSetUps.remove(name);
+            c.closeOutputOnceAnswered();
         }
     }
 
@@ -508,7 +513,7 @@
     }
 
     private void answer(long connection, String name, int code, String phrase, byte[] body, Map<String, String> more) {
-        Connection c = channels.get(connection);
+        Connection c = connectionsByHandle.get(connection);
         LOG.debug("set-up answered: session={} code={} connection={}", name, code, c == null ? "gone" : "up");
         if (c != null) {
             answer(c, name, code, phrase, body, more);
@@ -518,9 +523,9 @@
     }
 
     private void answer(Connection c, String name, int code, String phrase, byte[] body, Map<String, String> more) {
-        c.setUps.remove(name);
-        c.usedAt = clock.now();
-        broker.trace().add(c.usedAt, name, "answered", phrase);
+        c.openSetUps.remove(name);
+        c.lastUsedUs = clock.now();
+        broker.trace().add(c.lastUsedUs, name, "answered", phrase);
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "1");
         headers.put("Session", name);
@@ -535,16 +540,16 @@
                         }
                     }
                 });
-        c.shutOnceAnswered();
+        c.closeOutputOnceAnswered();
     }
 
     private void request(long connection, String method, String name, String reason) {
-        Connection c = channels.get(connection);
+        Connection c = connectionsByHandle.get(connection);
         if (c == null) {
             return;
         }
         LOG.debug("told: method={} session={} reason={}", method, name, reason);
-        c.usedAt = clock.now();
+        c.lastUsedUs = clock.now();
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", method.equals("TEARDOWN") ? "2" : "4");
         headers.put("Session", name);
@@ -552,7 +557,7 @@
             headers.put("Reason", reason);
         }
         c.channel.writeAndFlush(
-                Net.buf(Headed.encode(method + " rtsp://media/" + name + " RTSP/1.0", headers, NOTHING)));
+                Net.buf(Headed.encode(method + " rtsp://media/" + name + " RTSP/1.0", headers, EMPTY_BODY)));
     }
 
     /** Answers a request of the viewer's at once, with its own CSeq and session. */
@@ -566,6 +571,6 @@
                 }
             }
         }
-        ch.writeAndFlush(Net.buf(Headed.encode("RTSP/1.0 " + code + " " + phrase, headers, NOTHING)));
+        ch.writeAndFlush(Net.buf(Headed.encode("RTSP/1.0 " + code + " " + phrase, headers, EMPTY_BODY)));
     }
 }
--- a/src/main/java/dockshed/rtsp/SetUpFields.java
+++ b/src/main/java/dockshed/rtsp/SetUpMessage.java
@@ -10,33 +10,33 @@
 import java.util.regex.Pattern;
 
 /** What a viewer's SETUP says. {@code at}: the server where the session plays already, or null. */
-record SetUpFields(SessionRequest wish, String at) {
-    private static final String ADDRESS = "rtsp://media/";
-    private static final Pattern TITLE = Pattern.compile("[!-~]{1,256}");
-    private static final Pattern WHOLE = Pattern.compile("[0-9]{1,6}");
-    private static final Pattern FIGURE = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
+record SetUpMessage(SessionRequest request, String playingServer) {
+    private static final String MEDIA_URI_PREFIX = "rtsp://media/";
+    private static final Pattern TITLE_PATTERN = Pattern.compile("[!-~]{1,256}");
+    private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,6}");
+    private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
 
     /** Throws IllegalArgumentException where something is missing or no number. */
-    static SetUpFields read(Headed m) {
+    static SetUpMessage parse(Headed m) {
         String session = m.header("session", "");
         if (session.length() != 16 || !session.chars().allMatch(c -> Character.digit(c, 16) >= 0)) {
             throw new IllegalArgumentException("Session is not 16 hex digits");
         }
-        if (!m.word(1).startsWith(ADDRESS)) {
+        if (!m.word(1).startsWith(MEDIA_URI_PREFIX)) {
             throw new IllegalArgumentException("address names no title");
         }
-        String title = m.word(1).substring(ADDRESS.length());
-        if (!TITLE.matcher(title).matches()) {
+        String title = m.word(1).substring(MEDIA_URI_PREFIX.length());
+        if (!TITLE_PATTERN.matcher(title).matches()) {
             throw new IllegalArgumentException("title is no word");
         }
-        Map<String, String> info = pairs(m.header("p-trunk-info", ""));
+        Map<String, String> info = parsePairs(m.header("p-trunk-info", ""));
         SessionRequest wish = new SessionRequest(
                 session,
                 m.header("priority-class", ""),
                 info.getOrDefault("viewer", ""),
                 title,
-                micros(m, "expires-ms"),
-                micros(m, "expected-ms"),
+                microsFromMillis(m, "expires-ms"),
+                microsFromMillis(m, "expected-ms"),
                 integer(info, "home"),
                 integer(info, "copies"),
                 integer(info, "top"),
@@ -48,7 +48,7 @@
         if (at == null && wish.clientDeadline() <= 0) {
             throw new IllegalArgumentException("Expires-Ms is missing");
         }
-        return new SetUpFields(wish, at);
+        return new SetUpMessage(wish, at);
     }
 
     /** The description as text; one that is cut, or no text, is of no use to an edge server. */
@@ -71,7 +71,7 @@
         return text;
     }
 
-    private static Map<String, String> pairs(String list) {
+    private static Map<String, String> parsePairs(String list) {
         Map<String, String> out = new HashMap<>();
         for (String pair : list.split(";")) {
             int colon = pair.indexOf(':');
@@ -84,7 +84,7 @@
         return out;
     }
 
-    private static long micros(Headed m, String header) {
+    private static long microsFromMillis(Headed m, String header) {
         String value = m.header(header);
         if (value == null) {
             return 0;
@@ -98,14 +98,14 @@
 
     private static int integer(Map<String, String> info, String key) {
         String value = info.get(key);
-        if (value != null && !WHOLE.matcher(value).matches()) {
+        if (value != null && !WHOLE_NUMBER.matcher(value).matches()) {
             throw new IllegalArgumentException(key + " is no whole number in range");
         }
         return value == null ? 0 : Integer.parseInt(value);
     }
 
     private static double number(String value, String what) {
-        if (!FIGURE.matcher(value).matches()) { // Java's own forms, such as 0x1p3 or 5d, are nobody else's
+        if (!DECIMAL_NUMBER.matcher(value).matches()) { // Java's own forms, such as 0x1p3 or 5d, are nobody else's
             throw new IllegalArgumentException(what + " is no number");
         }
         return Double.parseDouble(value);
--- a/src/test/java/dockshed/hls/HlsPathTest.java
+++ b/src/test/java/dockshed/hls/HlsEndToEndTest.java
@@ -40,20 +40,20 @@
 import org.junit.jupiter.api.Test;
 
 /** The whole HLS path on loopback sockets, with stand-ins for players, lesson boxes and Eureka. */
-class HlsPathTest {
+class HlsEndToEndTest {
     private static final String MASTER = "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=900\nmid.m3u8\n"
             + "#EXT-X-STREAM-INF:BANDWIDTH=100\nlow.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=2000\ntop.m3u8\n";
     private static final String MEDIA = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXTINF:4,\n0.ts\n#EXT-X-ENDLIST\n";
 
     /** An HTTP server that answers with whatever text the function gives for the path; null: says nothing. */
-    static final class StandIn implements AutoCloseable {
+    static final class StubHttpServer implements AutoCloseable {
         final ServerSocket socket;
-        final List<String> asked = java.util.Collections.synchronizedList(new ArrayList<>());
+        final List<String> requestedPaths = java.util.Collections.synchronizedList(new ArrayList<>());
         final BlockingQueue<String> arrivals = new LinkedBlockingQueue<>();
-        volatile Function<String, String> answers;
+        volatile Function<String, String> responder;
 
-        StandIn(Function<String, String> answers) throws IOException {
-            this.answers = answers;
+        StubHttpServer(Function<String, String> answers) throws IOException {
+            this.responder = answers;
             socket = new ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
             Thread t = new Thread(this::serve, "stand-in");
             t.setDaemon(true);
@@ -65,9 +65,9 @@
                 try {
                     Socket s = socket.accept();
                     Headed m = read(s.getInputStream(), new HeadedDecoder(1 << 16));
-                    asked.add(m.word(1));
+                    requestedPaths.add(m.word(1));
                     arrivals.add(m.word(1));
-                    String answer = answers.apply(m.word(1));
+                    String answer = responder.apply(m.word(1));
                     if (answer != null) {
                         s.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
                         s.close();
@@ -78,7 +78,7 @@
             }
         }
 
-        InetSocketAddress at() {
+        InetSocketAddress address() {
             return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
         }
 
@@ -107,49 +107,49 @@
     }
 
     private final Net net = new Net();
-    private final BrokerHarness module = new BrokerHarness(); // stands in for the decisions, which the tests script
-    private Director.Actions act;
+    private final BrokerHarness stage = new BrokerHarness(); // stands in for the decisions, which the tests script
+    private Director.Actions actions;
     private LoopClock clock;
     private TimerQueue deadlines;
     private Broker broker;
-    private Origins origins;
+    private HlsEdgeServers origins;
     private HlsFront front;
     private Channel listening;
-    private StandIn box;
+    private StubHttpServer edgeServer;
     private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
     private volatile int rung = 2;
-    private volatile long ahead; // of the real time, for the front
+    private volatile long clockOffsetUs; // of the real time, for the front
 
     @BeforeEach
     void start() throws Exception {
-        box = new StandIn(path -> ok(path.endsWith("master.m3u8") ? MASTER : MEDIA));
+        edgeServer = new StubHttpServer(path -> ok(path.endsWith("master.m3u8") ? MASTER : MEDIA));
         net.call(() -> {
             clock = new LoopClock(net.loop());
             deadlines = new TimerQueue(clock::wake);
             broker = new Broker(
-                    module.settings,
+                    stage.settings,
                     a -> {
-                        act = a;
-                        return module;
+                        actions = a;
+                        return stage;
                     },
                     m -> {},
                     deadlines);
             clock.onDue(broker::runDueTimers);
-            origins = new Origins(broker, net, clock, 250, new LoadTeller(broker, deadlines, module.settings));
+            origins = new HlsEdgeServers(broker, net, clock, 250, new LoadTeller(broker, deadlines, stage.settings));
             front = new HlsFront(
-                    broker, origins, () -> clock.now() + ahead, deadlines, module.settings, 60_000_000, 50, 1);
-            module.onRequest = r -> {
+                    broker, origins, () -> clock.now() + clockOffsetUs, deadlines, stage.settings, 60_000_000, 50, 1);
+            stage.onRequest = r -> {
                 requests.add(r.id());
-                act.setRendition(r.id(), rung);
-                act.send(r.id(), "a", 0);
+                actions.setRendition(r.id(), rung);
+                actions.send(r.id(), "a", 0);
             };
-            module.onOutcome = id -> {
+            stage.onOutcome = id -> {
                 outcomes.add(id);
-                act.fail(id);
+                actions.fail(id);
             };
-            origins.addresses(Map.of("a", box.at()));
-            list(State.UP);
+            origins.setAddresses(Map.of("a", edgeServer.address()));
+            announceServer(State.UP);
             return null;
         });
         listening = net.listen(new InetSocketAddress("127.0.0.1", 0), front::accept)
@@ -160,10 +160,10 @@
     @AfterEach
     void stop() throws Exception {
         net.close();
-        box.close();
+        edgeServer.close();
     }
 
-    private void list(State state) {
+    private void announceServer(State state) {
         broker.serversChanged(
                 clock.now(), "eureka", ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, state, 1, 0)));
     }
@@ -184,7 +184,7 @@
         return fetch("GET", target);
     }
 
-    private static String lesson(String cls, String viewer) {
+    private static String lessonPath(String cls, String viewer) {
         return "/lessons/milk%20sensor/master.m3u8?class=" + cls + "&viewer=" + viewer;
     }
 
@@ -193,14 +193,14 @@
     }
 
     /** The class terms, on every playlist that was fetched: the paid class is never offered the lowest rung. */
-    private static void keepsTerms(Headed playlist) {
+    private static void assertWithinClassTerms(Headed playlist) {
         assertEquals(200, playlist.status());
         assertFalse(playlist.text().contains("BANDWIDTH=100\n"), playlist.text());
         assertTrue(playlist.text().contains("BANDWIDTH=900\n"), playlist.text());
     }
 
     /** A viewer that asks, and waits for as long as its connection is open. */
-    private Socket waits(String target) throws Exception {
+    private Socket sendGet(String target) throws Exception {
         Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort());
         s.setSoTimeout(20_000);
         s.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.UTF_8));
@@ -209,91 +209,98 @@
 
     @Test
     void whatNobodyWaitsForAnyMoreIsNotTriedAnyMoreAndAPaidOneIsKeptForWhoComesBack() throws Exception {
-        module.onRequest = r -> requests.add(r.id()); // it waits
-        Socket safe = waits(lesson("safe", "v"));
-        Socket again = waits(lesson("safe", "v"));
+        stage.onRequest = r -> requests.add(r.id()); // it waits
+        Socket safe = sendGet(lessonPath("safe", "v"));
+        Socket again = sendGet(lessonPath("safe", "v"));
         String held = requests.take();
-        Socket paid = waits(lesson("paid", "v"));
+        Socket paid = sendGet(lessonPath("paid", "v"));
         String kept = requests.take();
         safe.close();
         again.close();
-        module.await("module gone");
+        stage.await("module gone");
         paid.close();
         assertEquals(1, net.call(broker::unansweredRequests));
-        try (Socket back = waits(lesson("paid", "v"))) {
+        try (Socket back = sendGet(lessonPath("paid", "v"))) {
             net.call(() -> {
-                act.send(held, "a", 0);
-                act.setRendition(kept, 2);
-                act.send(kept, "a", 0);
+                actions.send(held, "a", 0);
+                actions.setRendition(kept, 2);
+                actions.send(kept, "a", 0);
                 return null;
             });
-            keepsTerms(read(back.getInputStream(), new HeadedDecoder(1 << 20)));
+            assertWithinClassTerms(read(back.getInputStream(), new HeadedDecoder(1 << 20)));
         }
-        assertEquals(1, box.asked.size());
+        assertEquals(1, edgeServer.requestedPaths.size());
         assertEquals(0, requests.size());
     }
 
     @Test
     void aPaidLessonIsSetUpOnceAndPlayedThroughItsSession() throws Exception {
-        Headed first = get(lesson("paid", "v"));
-        keepsTerms(first);
-        assertEquals(List.of("/lessons/milk%20sensor/master.m3u8"), box.asked);
+        Headed first = get(lessonPath("paid", "v"));
+        assertWithinClassTerms(first);
+        assertEquals(List.of("/lessons/milk%20sensor/master.m3u8"), edgeServer.requestedPaths);
         List<String> uris = uris(first);
         assertEquals(2, uris.size());
         Headed media = get(uris.get(0));
-        assertTrue(media.text().contains("\nhttp://127.0.0.1:" + box.at().getPort() + "/lessons/milk%20sensor/0.ts\n"));
+        assertTrue(media.text()
+                .contains("\nhttp://127.0.0.1:" + edgeServer.address().getPort() + "/lessons/milk%20sensor/0.ts\n"));
         // Fetched again by the lesson's or the session's address: the same session, no second set-up.
-        keepsTerms(get(lesson("paid", "v")));
-        keepsTerms(get(uris.get(0).replaceAll("[0-9]+\\.m3u8$", "master.m3u8")));
-        assertEquals(uris, uris(get(lesson("paid", "v"))));
+        assertWithinClassTerms(get(lessonPath("paid", "v")));
+        assertWithinClassTerms(get(uris.get(0).replaceAll("[0-9]+\\.m3u8$", "master.m3u8")));
+        assertEquals(uris, uris(get(lessonPath("paid", "v"))));
         assertEquals(1, requests.size());
         assertEquals(
-                1, box.asked.stream().filter(p -> p.endsWith("master.m3u8")).count());
+                1,
+                edgeServer.requestedPaths.stream()
+                        .filter(p -> p.endsWith("master.m3u8"))
+                        .count());
         // Another viewer's lesson is another session.
-        assertNotEquals(uris, uris(get(lesson("paid", "w"))));
+        assertNotEquals(uris, uris(get(lessonPath("paid", "w"))));
         assertEquals(2, requests.size());
     }
 
     @Test
     void aRungChangeReachesTheNextFetch() throws Exception {
-        List<String> uris = uris(get(lesson("paid", "v")));
+        List<String> uris = uris(get(lessonPath("paid", "v")));
         String id = requests.take();
         net.call(() -> {
-            act.setRendition(id, 1);
+            actions.setRendition(id, 1);
             return null;
         });
-        Headed again = get(lesson("paid", "v"));
-        keepsTerms(again);
+        Headed again = get(lessonPath("paid", "v"));
+        assertWithinClassTerms(again);
         assertEquals(List.of(uris.get(0)), uris(again));
-        box.asked.clear();
+        edgeServer.requestedPaths.clear();
         assertEquals(200, get(uris.get(1)).status());
-        assertEquals(List.of("/lessons/milk%20sensor/mid.m3u8"), box.asked, "the top asked for, the middle given");
+        assertEquals(
+                List.of("/lessons/milk%20sensor/mid.m3u8"),
+                edgeServer.requestedPaths,
+                "the top asked for, the middle given");
     }
 
     @Test
     void theLowestRungCannotBeFetchedByGuessing() throws Exception {
-        String session = uris(get(lesson("paid", "v"))).get(0).replaceAll("[0-9]+\\.m3u8$", "");
+        String session = uris(get(lessonPath("paid", "v"))).get(0).replaceAll("[0-9]+\\.m3u8$", "");
         assertEquals(404, get(session + "1.m3u8").status());
         assertEquals(404, get(session + "99.m3u8").status());
-        assertFalse(box.asked.contains("/lessons/milk%20sensor/low.m3u8"));
+        assertFalse(edgeServer.requestedPaths.contains("/lessons/milk%20sensor/low.m3u8"));
     }
 
     @Test
     void afterADrainTheBoxHearsNothingNew() throws Exception {
         // The brief's hard case: a playlist fetched again after its box began to drain.
-        List<String> uris = uris(get(lesson("paid", "v")));
+        List<String> uris = uris(get(lessonPath("paid", "v")));
         String held = get(uris.get(0)).text();
         net.call(() -> {
-            list(State.DRAINING);
+            announceServer(State.DRAINING);
             return null;
         });
-        ahead = 1_000_000;
-        box.asked.clear();
-        keepsTerms(get(lesson("paid", "v")));
+        clockOffsetUs = 1_000_000;
+        edgeServer.requestedPaths.clear();
+        assertWithinClassTerms(get(lessonPath("paid", "v")));
         assertEquals(held, get(uris.get(0)).text());
         assertEquals(410, get(uris.get(1)).status(), "not held: a final error");
         assertEquals(410, get(uris.get(0)).status(), "and the session is over");
-        assertEquals(List.of(), box.asked);
+        assertEquals(List.of(), edgeServer.requestedPaths);
         assertEquals(1, requests.size());
     }
 
@@ -307,7 +314,7 @@
 
     @Test
     void aDeletedSessionIsGone() throws Exception {
-        String uri = uris(get(lesson("paid", "v"))).get(0);
+        String uri = uris(get(lessonPath("paid", "v"))).get(0);
         assertEquals(204, fetch("DELETE", uri.replaceAll("/[0-9]+\\.m3u8$", "")).status());
         assertEquals(410, get(uri).status());
         assertEquals(0, (int) net.call(broker::activeSessions));
@@ -315,17 +322,17 @@
 
     @Test
     void aRefusalTellsWhenToComeBack() throws Exception {
-        module.onRequest = r -> act.refuse(r.id(), 1_200_000);
-        Headed m = get(lesson("paid", "v"));
+        stage.onRequest = r -> actions.refuse(r.id(), 1_200_000);
+        Headed m = get(lessonPath("paid", "v"));
         assertEquals(503, m.status());
         assertEquals("2", m.header("retry-after"));
     }
 
     @Test
     void aBoxThatSaysNothingIsATimeOutAndIsNotAskedTwice() throws Exception {
-        box.answers = path -> null;
-        assertEquals(504, get(lesson("paid", "v") + "&expires_ms=300").status());
-        assertEquals(1, box.asked.size());
+        edgeServer.responder = path -> null;
+        assertEquals(504, get(lessonPath("paid", "v") + "&expires_ms=300").status());
+        assertEquals(1, edgeServer.requestedPaths.size());
     }
 
     @Test
@@ -337,29 +344,29 @@
                 ok(MASTER).substring(0, 70),
                 "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
                 ok("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\nonly.m3u8\n"))) {
-            box.answers = path -> answer;
-            assertEquals(502, get(lesson("paid", "v")).status(), answer);
+            edgeServer.responder = path -> answer;
+            assertEquals(502, get(lessonPath("paid", "v")).status(), answer);
         }
-        assertEquals(6, box.asked.size(), "paid: each was tried once");
-        box.answers = path -> ok(path.endsWith("master.m3u8") ? MASTER : "HTTP/1.1 404 Not Found\r\n\r\n");
-        assertEquals(502, get(uris(get(lesson("paid", "v"))).get(0)).status());
+        assertEquals(6, edgeServer.requestedPaths.size(), "paid: each was tried once");
+        edgeServer.responder = path -> ok(path.endsWith("master.m3u8") ? MASTER : "HTTP/1.1 404 Not Found\r\n\r\n");
+        assertEquals(502, get(uris(get(lessonPath("paid", "v"))).get(0)).status());
     }
 
     @Test
     void aMediaPlaylistElsewhereIsNotFetched() throws Exception {
-        box.answers = path -> ok("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\nx\n"
+        edgeServer.responder = path -> ok("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\nx\n"
                 + "#EXT-X-STREAM-INF:BANDWIDTH=2\nhttp://127.0.0.1:1/other.m3u8\n");
-        assertEquals(502, get(uris(get(lesson("paid", "v"))).get(0)).status());
+        assertEquals(502, get(uris(get(lessonPath("paid", "v"))).get(0)).status());
     }
 
     @Test
     void badRequestsAreToldSo() throws Exception {
         for (String bad : List.of(
                 "/lessons/t/master.m3u8",
-                lesson("none", "v"),
+                lessonPath("none", "v"),
                 "/lessons/t/master.m3u8?class=paid",
-                lesson("paid", "v") + "&expires_ms=soon",
-                lesson("paid", "v") + "&expires_ms=0",
+                lessonPath("paid", "v") + "&expires_ms=soon",
+                lessonPath("paid", "v") + "&expires_ms=0",
                 "/lessons/%zz/master.m3u8?class=paid&viewer=v")) {
             assertEquals(400, get(bad).status(), bad);
         }
@@ -373,7 +380,7 @@
         try (Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort())) {
             s.setSoTimeout(20_000);
             s.getOutputStream()
-                    .write(("GET " + lesson("paid", "v") + " HTTP/1.1\r\n\r\nGET /other HTTP/1.1\r\n\r\n"
+                    .write(("GET " + lessonPath("paid", "v") + " HTTP/1.1\r\n\r\nGET /other HTTP/1.1\r\n\r\n"
                                     + "no header line\r\nat all\r\n\r\n")
                             .getBytes(StandardCharsets.UTF_8));
             HeadedDecoder d = new HeadedDecoder(1 << 20);
@@ -388,39 +395,39 @@
     @Test
     void aViewerWhoAsksAgainWhileWaitingSharesTheOneSetUp() throws Exception {
         CompletableFuture<String> may = new CompletableFuture<>();
-        box.answers = path -> may.join();
+        edgeServer.responder = path -> may.join();
         CompletableFuture<Headed> first = CompletableFuture.supplyAsync(() -> {
             try {
-                return get(lesson("paid", "v"));
+                return get(lessonPath("paid", "v"));
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        box.arrivals.poll(20, TimeUnit.SECONDS);
+        edgeServer.arrivals.poll(20, TimeUnit.SECONDS);
         try (Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort())) {
             s.setSoTimeout(20_000);
             // The unknown path's answer shows that the front has taken the lesson's request before it.
             s.getOutputStream()
-                    .write(("GET " + lesson("paid", "v") + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+                    .write(("GET " + lessonPath("paid", "v") + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             assertEquals(404, get("/other").status());
             may.complete(ok(MASTER));
-            keepsTerms(read(s.getInputStream(), new HeadedDecoder(1 << 20)));
+            assertWithinClassTerms(read(s.getInputStream(), new HeadedDecoder(1 << 20)));
         }
-        keepsTerms(first.get(20, TimeUnit.SECONDS));
+        assertWithinClassTerms(first.get(20, TimeUnit.SECONDS));
         assertEquals(1, requests.size());
-        assertEquals(1, box.asked.size());
+        assertEquals(1, edgeServer.requestedPaths.size());
     }
 
     @Test
     void aBoxThatLeavesTheListWhileItAnswersIsABadGateway() throws Exception {
-        box.answers = path -> {
+        edgeServer.responder = path -> {
             net.call(() -> {
-                origins.addresses(Map.of());
+                origins.setAddresses(Map.of());
                 return null;
             });
             return ok(MASTER);
         };
-        assertEquals(502, get(lesson("paid", "v")).status());
+        assertEquals(502, get(lessonPath("paid", "v")).status());
         assertEquals(0, (int) net.call(broker::activeSessions));
     }
 
@@ -429,7 +436,7 @@
         // Players on phones vanish without a word; their connections must not use up the descriptors.
         long[] at = {0};
         TimerQueue own = new TimerQueue(t -> {});
-        HlsFront f = new HlsFront(broker, origins, () -> at[0], own, module.settings, 60_000_000, 50, 1);
+        HlsFront f = new HlsFront(broker, origins, () -> at[0], own, stage.settings, 60_000_000, 50, 1);
         EmbeddedChannel ch = new EmbeddedChannel(f.accept());
         at[0] = 20_000_000;
         ch.writeInbound(Net.buf("GET /other HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
@@ -443,7 +450,7 @@
 
     @Test
     void aLostBoxEndsItsSessions() throws Exception {
-        String uri = uris(get(lesson("paid", "v"))).get(0);
+        String uri = uris(get(lessonPath("paid", "v"))).get(0);
         net.call(() -> {
             broker.serverLost(clock.now(), origins, "a", clock.now() + 1);
             return null;
@@ -459,10 +466,11 @@
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         List<String> script = List.of(apps("UP_1_", one), apps("UP_2_", two), apps("UP_9_"), apps("UP_1_", two));
         int[] turn = {0};
-        try (StandIn eureka = new StandIn(path -> turn[0] < script.size() ? ok(script.get(turn[0]++)) : null)) {
+        try (StubHttpServer eureka =
+                new StubHttpServer(path -> turn[0] < script.size() ? ok(script.get(turn[0]++)) : null)) {
             net.call(() -> {
                 new EurekaClient(
-                                new HlsConfig.Eureka(eureka.at(), "/eureka", "BOXES", 1000),
+                                new HlsConfig.Eureka(eureka.address(), "/eureka", "BOXES", 1000),
                                 net,
                                 clock,
                                 deadlines,
@@ -477,17 +485,17 @@
             assertEquals(List.of(1, 2, 1), seen);
             assertEquals(
                     List.of("/eureka/apps", "/eureka/apps/delta", "/eureka/apps/delta", "/eureka/apps"),
-                    List.copyOf(eureka.asked).subList(0, 4));
+                    List.copyOf(eureka.requestedPaths).subList(0, 4));
         }
     }
 
     @Test
     void whileEurekaIsOutOfReachTheLastListStands() throws Exception {
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
-        StandIn eureka = new StandIn(path -> ok(apps("")));
+        StubHttpServer eureka = new StubHttpServer(path -> ok(apps("")));
         net.call(() -> {
             new EurekaClient(
-                            new HlsConfig.Eureka(eureka.at(), "/eureka", "BOXES", 1000),
+                            new HlsConfig.Eureka(eureka.address(), "/eureka", "BOXES", 1000),
                             net,
                             clock,
                             deadlines,
@@ -496,7 +504,7 @@
             return null;
         });
         assertEquals(0, sizes.poll(20, TimeUnit.SECONDS));
-        eureka.answers = path -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+        eureka.responder = path -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
         eureka.arrivals.clear();
         for (int i = 0; i < 4; i++) {
             eureka.arrivals.poll(20, TimeUnit.SECONDS);
--- a/src/test/java/dockshed/hls/PlaylistsTest.java
+++ b/src/test/java/dockshed/hls/PlaylistsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.hls.Playlists.Multivariant;
-import dockshed.hls.Playlists.Unfit;
+import dockshed.hls.Playlists.MultivariantPlaylist;
+import dockshed.hls.Playlists.UnusablePlaylistException;
 import java.net.URI;
 import java.util.ArrayList;
 import java.util.List;
@@ -35,8 +35,8 @@
             top/index.m3u8
             """;
 
-    private static String rewrite(int floor, int rung) throws Unfit {
-        return Multivariant.read(LADDER).rewritten(floor, rung, BASE, n -> "/sessions/s/" + n + ".m3u8");
+    private static String rewrite(int floor, int rung) throws UnusablePlaylistException {
+        return MultivariantPlaylist.parse(LADDER).rewrite(floor, rung, BASE, n -> "/sessions/s/" + n + ".m3u8");
     }
 
     @Test
@@ -57,17 +57,19 @@
     @Test
     void noVariantLeftIsAFailure() throws Exception {
         String single = "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=7\na.m3u8\n";
-        assertFalse(Multivariant.read(single).has(1, 4));
-        assertThrows(Unfit.class, () -> Multivariant.read(single).rewritten(1, 4, BASE, n -> "x"));
+        assertFalse(MultivariantPlaylist.parse(single).hasVariant(1, 4));
+        assertThrows(
+                UnusablePlaylistException.class,
+                () -> MultivariantPlaylist.parse(single).rewrite(1, 4, BASE, n -> "x"));
     }
 
     @Test
     void aRungTakenAwayIsReplacedByTheBestUnderIt() throws Exception {
-        Multivariant m = Multivariant.read(LADDER);
-        assertEquals(4, m.instead(4, 1, 2), "granted: itself");
-        assertEquals(2, m.instead(4, 1, 1), "the top asked for, the middle granted");
-        assertEquals(-1, m.instead(3, 1, 2), "the lowest is under the floor, and nothing is under it");
-        assertEquals(0, m.instead(0, 1, 1), "sound belongs to no rung");
+        MultivariantPlaylist m = MultivariantPlaylist.parse(LADDER);
+        assertEquals(4, m.substitute(4, 1, 2), "granted: itself");
+        assertEquals(2, m.substitute(4, 1, 1), "the top asked for, the middle granted");
+        assertEquals(-1, m.substitute(3, 1, 2), "the lowest is under the floor, and nothing is under it");
+        assertEquals(0, m.substitute(0, 1, 1), "sound belongs to no rung");
     }
 
     @Test
@@ -81,7 +83,7 @@
                 "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n",
                 "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=-1\na\n",
                 "#EXTM3U\n#EXT-X-STREAM-INF:X=\"BANDWIDTH=1\na\n")) {
-            assertThrows(Unfit.class, () -> Multivariant.read(bad), bad);
+            assertThrows(UnusablePlaylistException.class, () -> MultivariantPlaylist.parse(bad), bad);
         }
     }
 
@@ -90,14 +92,16 @@
         String text = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXT-X-MAP:URI=\"init.mp4\",BYTERANGE=\"1@0\"\n"
                 + "#EXTINF:4.0,\r\nseg 1.ts\n".replace(" ", "") + "#EXTINF:2.5,\n/abs/2.ts\n#EXT-X-ENDLIST\n";
         URI base = URI.create("http://127.0.0.1:9/lessons/t/low/index.m3u8");
-        String out = Playlists.media(text, base);
+        String out = Playlists.rewriteMediaPlaylist(text, base);
         assertTrue(out.contains("#EXT-X-MAP:URI=\"http://127.0.0.1:9/lessons/t/low/init.mp4\",BYTERANGE=\"1@0\"\n"));
         assertTrue(out.contains("\nhttp://127.0.0.1:9/lessons/t/low/seg1.ts\n"));
         assertTrue(out.contains("\nhttp://127.0.0.1:9/abs/2.ts\n"));
-        assertEquals(6_500_000, Playlists.playtime(text));
-        assertEquals(12_000_000, Playlists.playtime(text.replace("#EXT-X-ENDLIST", "")));
-        assertThrows(Unfit.class, () -> Playlists.media("#EXTM3U\n#EXTINF:1,\nhttp://[\n", base));
-        assertThrows(Unfit.class, () -> Playlists.media(LADDER, base));
+        assertEquals(6_500_000, Playlists.playDurationUs(text));
+        assertEquals(12_000_000, Playlists.playDurationUs(text.replace("#EXT-X-ENDLIST", "")));
+        assertThrows(
+                UnusablePlaylistException.class,
+                () -> Playlists.rewriteMediaPlaylist("#EXTM3U\n#EXTINF:1,\nhttp://[\n", base));
+        assertThrows(UnusablePlaylistException.class, () -> Playlists.rewriteMediaPlaylist(LADDER, base));
     }
 
     /** The class terms, for any ladder in any order: nothing listed lies under the floor or over the grant. */
@@ -115,10 +119,10 @@
                 .append("\n"));
         List<Integer> ladder = new ArrayList<>(rates);
         ladder.sort(null);
-        Multivariant m = Multivariant.read(text.toString());
-        assertEquals(floor < rates.size(), m.has(floor, floor + above));
+        MultivariantPlaylist m = MultivariantPlaylist.parse(text.toString());
+        assertEquals(floor < rates.size(), m.hasVariant(floor, floor + above));
         if (floor < rates.size()) {
-            List<Integer> listed = m.rewritten(floor, floor + above, BASE, n -> "n")
+            List<Integer> listed = m.rewrite(floor, floor + above, BASE, n -> "n")
                     .lines()
                     .filter(l -> l.startsWith("#EXT-X-STREAM-INF"))
                     .map(l -> Integer.valueOf(l.split("=")[1]))
--- a/src/test/java/dockshed/rtsp/ConnectionModelTest.java
+++ b/src/test/java/dockshed/rtsp/ConnectionModelTest.java
@@ -39,10 +39,10 @@
         }
     }
 
-    private final BrokerHarness s = new BrokerHarness();
-    private final RtspFront front = new RtspFront(s.broker, s, () -> s.now, s.timers, 100);
+    private final BrokerHarness stage = new BrokerHarness();
+    private final RtspFront front = new RtspFront(stage.broker, stage, () -> stage.now, stage.timers, 100);
     private final List<EmbeddedChannel> channels = new ArrayList<>();
-    private final Set<Integer> asked = new HashSet<>(); // connections that brought a set-up
+    private final Set<Integer> requesters = new HashSet<>(); // connections that brought a set-up
     private final Map<String, Viewer> viewers = new LinkedHashMap<>();
     private final Map<String, Long> owed = new LinkedHashMap<>(); // since when; for eight seconds
 
@@ -50,7 +50,7 @@
     void whatIsOwedIsPaidOnce(
             @ForAll @Size(max = 60) List<@IntRange(max = 7) Integer> kinds, @ForAll @IntRange(max = 1000) int salt) {
         ConnectionModelTest fresh = new ConnectionModelTest();
-        fresh.s.onOutcome = id -> fresh.s.actions.refuse(id, 0);
+        fresh.stage.onOutcome = id -> fresh.stage.actions.refuse(id, 0);
         int turn = salt;
         for (int kind : kinds) {
             turn = (turn * 31 + 17) % 9973;
@@ -72,21 +72,21 @@
                     .filter(x -> x.connection == c && x.at == At.ASKED)
                     .forEach(x -> x.at = At.OVER);
         } else if (kind <= 3 && c >= 0 && channels.get(c).isOpen()) {
-            String fresh = RtspFrontTest.id(viewers.size());
+            String fresh = RtspFrontTest.sessionId(viewers.size());
             viewers.put(fresh, new Viewer(c));
-            RtspFrontTest.say(channels.get(c), RtspFrontTest.setUp(fresh, ""));
-            asked.add(c);
-            owed.values().removeIf(since -> s.now - since >= 8 * BrokerHarness.SECOND_US);
+            RtspFrontTest.send(channels.get(c), RtspFrontTest.setUpMessage(fresh, ""));
+            requesters.add(c);
+            owed.values().removeIf(since -> stage.now - since >= 8 * BrokerHarness.SECOND_US);
             due.put(c, new ArrayList<>(owed.keySet()));
             owed.clear();
         } else if (kind == 4 && v != null) {
-            s.broker.setUpAnswered(s.now, "a", name, "");
+            stage.broker.setUpAnswered(stage.now, "a", name, "");
             if (v.at == At.ASKED) {
                 v.at = At.STANDS;
                 due.put(v.connection, List.of("200 " + name));
             }
         } else if (kind == 5 && v != null) {
-            s.ended("a", name, Outcome.FULL);
+            stage.ended("a", name, Outcome.FULL);
             if (v.at == At.ASKED) {
                 due.put(v.connection, List.of("453 " + name));
             } else if (v.at == At.STANDS) {
@@ -94,21 +94,22 @@
             }
             v.at = At.OVER;
         } else if (kind == 6 && v != null) {
-            s.broker.cancel(s.now, name);
+            stage.broker.cancel(stage.now, name);
             v.at = At.OVER;
         } else if (kind == 7 && v != null) {
-            s.ended("a", name, Outcome.CANCELLED);
+            stage.ended("a", name, Outcome.CANCELLED);
             if (v.at == At.ASKED) {
                 due.put(v.connection, List.of("453 " + name));
             }
             v.at = At.OVER;
         }
-        if (!anywhere.isEmpty() && asked.stream().noneMatch(i -> channels.get(i).isOpen())) {
-            anywhere.forEach(end -> owed.put(end, s.now));
+        if (!anywhere.isEmpty()
+                && requesters.stream().noneMatch(i -> channels.get(i).isOpen())) {
+            anywhere.forEach(end -> owed.put(end, stage.now));
             anywhere.clear();
         }
         check(due, anywhere, v);
-        s.advance(400
+        stage.advance(400
                 * BrokerHarness
                         .MILLISECOND_US); // so that no end may be taken for unheard; a request lives for eight steps
         Map<Integer, List<String>> late = new LinkedHashMap<>();
@@ -126,7 +127,7 @@
         List<String> left = new ArrayList<>(anywhere);
         for (int i = 0; i < channels.size(); i++) {
             List<String> expected = new ArrayList<>(due.getOrDefault(i, List.of()));
-            for (String text : RtspFrontTest.heard(channels.get(i))) {
+            for (String text : RtspFrontTest.received(channels.get(i))) {
                 String id = text.replaceAll("(?s).*\r\nSession: ([0-9a-f]+).*", "$1");
                 if (text.startsWith("TEARDOWN")) {
                     boolean mine = own == null
--- a/src/test/java/dockshed/rtsp/LingerTest.java
+++ b/src/test/java/dockshed/rtsp/LingeringCloseTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The end of a connection under a viewer that still sends, on loopback sockets. */
-class LingerTest {
+class LingeringCloseTest {
     @Test
     void theLastAnswerReachesASenderThatGoesOnSending() throws Exception {
         // Closing at once resets the connection, and what the sender had not read by then was lost with it.
--- a/src/test/java/dockshed/rtsp/GoneTest.java
+++ b/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Viewers that leave, on loopback sockets; the loop is held until both their set-up and their leaving have come. */
-class GoneTest {
+class ViewerDisconnectTest {
     private final Net net = new Net();
     private final BrokerHarness stage = new BrokerHarness();
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
     @BeforeEach
     void start() throws Exception {
@@ -33,7 +33,7 @@
             clock.onDue(deadlines::runDue);
             return new RtspFront(stage.broker, stage, clock, deadlines, 10);
         });
-        at = (InetSocketAddress)
+        address = (InetSocketAddress)
                 net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), front::accept, () -> {}, true)
                         .sync()
                         .channel()
@@ -45,27 +45,27 @@
         net.close();
     }
 
-    private Socket viewer() throws Exception {
-        Socket s = new Socket(at.getAddress(), at.getPort());
+    private Socket connect() throws Exception {
+        Socket s = new Socket(address.getAddress(), address.getPort());
         s.setSoTimeout(20_000);
         return s;
     }
 
-    private static void say(Socket s, String text) throws Exception {
+    private static void send(Socket s, String text) throws Exception {
         s.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Two tests passed on a connection of their own: all that had come before has been read meanwhile. */
-    private void settled() throws Exception {
-        try (Socket s = viewer()) {
+    private void awaitEarlierReads() throws Exception {
+        try (Socket s = connect()) {
             for (int i = 0; i < 2; i++) {
-                say(s, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
-                heard(s, "RTSP/1.0 200 OK\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
+                send(s, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
+                assertReceived(s, "RTSP/1.0 200 OK\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
             }
         }
     }
 
-    private static void heard(Socket s, String expected) throws Exception {
+    private static void assertReceived(Socket s, String expected) throws Exception {
         InputStream in = s.getInputStream();
         assertEquals(expected, new String(in.readNBytes(expected.length()), StandardCharsets.UTF_8));
     }
@@ -82,12 +82,12 @@
 
     @Test
     void whoClosesInTheSameReadAsItsSetUpIsNotTried() throws Exception {
-        try (Socket s = viewer()) {
+        try (Socket s = connect()) {
             CountDownLatch go = HeldLoop.hold(net);
-            say(s, RtspFrontTest.setUp(RtspFrontTest.id(1), ""));
+            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
             s.close();
             go.countDown();
-            settled();
+            awaitEarlierReads();
             assertEquals(0, attempts());
             assertEquals(0, unanswered());
         }
@@ -96,25 +96,25 @@
     @Test
     void whoClosesBeforeItsConnectionIsAcceptedIsNotTried() throws Exception {
         CountDownLatch go = HeldLoop.hold(net);
-        try (Socket s = viewer()) {
-            say(s, RtspFrontTest.setUp(RtspFrontTest.id(1), ""));
+        try (Socket s = connect()) {
+            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
         }
         go.countDown();
-        settled();
-        settled();
+        awaitEarlierReads();
+        awaitEarlierReads();
         assertEquals(0, attempts());
         assertEquals(0, unanswered());
     }
 
     @Test
     void whoBreaksOffInTheSameReadLeavesNothingBehind() throws Exception {
-        try (Socket s = viewer()) {
+        try (Socket s = connect()) {
             CountDownLatch go = HeldLoop.hold(net);
-            say(s, RtspFrontTest.setUp(RtspFrontTest.id(1), ""));
+            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
             s.setSoLinger(true, 0);
             s.close();
             go.countDown();
-            settled();
+            awaitEarlierReads();
             assertEquals(0, unanswered());
             assertEquals(attempts(), net.call(() -> stage.count("box a giveUp")));
         }
@@ -122,12 +122,18 @@
 
     @Test
     void whoGivesUpInTheSameReadIsNotTried() throws Exception {
-        try (Socket s = viewer()) {
+        try (Socket s = connect()) {
             CountDownLatch go = HeldLoop.hold(net);
-            say(s, RtspFrontTest.setUp(RtspFrontTest.id(1), ""));
-            say(s, "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + RtspFrontTest.id(1) + "\r\n\r\n");
+            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
+            send(
+                    s,
+                    "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + RtspFrontTest.sessionId(1)
+                            + "\r\n\r\n");
             go.countDown();
-            heard(s, "RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + RtspFrontTest.id(1) + "\r\nContent-Length: 0\r\n\r\n");
+            assertReceived(
+                    s,
+                    "RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + RtspFrontTest.sessionId(1)
+                            + "\r\nContent-Length: 0\r\n\r\n");
             assertEquals(0, attempts());
             assertEquals(0, unanswered()); // its own is open
         }
@@ -137,28 +143,28 @@
     void whoOnlyHalfClosesHasOneWholeAnswerToEachAndNoFurtherAttempt() throws Exception {
         // Nobody can tell it from one that has left; the connection ended without a word, and what it had asked was
         // lost.
-        try (Socket s = viewer()) {
-            say(
+        try (Socket s = connect()) {
+            send(
                     s,
-                    RtspFrontTest.setUp(RtspFrontTest.id(1), "").replace("Class: safe", "Class: paid")
-                            + RtspFrontTest.setUp(RtspFrontTest.id(2), ""));
-            stage.await("box a setUp " + RtspFrontTest.id(2));
+                    RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), "").replace("Class: safe", "Class: paid")
+                            + RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(2), ""));
+            stage.await("box a setUp " + RtspFrontTest.sessionId(2));
             CountDownLatch go = HeldLoop.hold(net);
-            say(s, RtspFrontTest.setUp(RtspFrontTest.id(3), ""));
+            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(3), ""));
             s.shutdownOutput();
             go.countDown();
             List<String> answers = List.of(
                     new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("(?=RTSP/1.0 )"));
             assertEquals(3, answers.size(), answers.toString());
             for (int i = 1; i <= 3; i++) {
-                String own = RtspFrontTest.id(i);
+                String own = RtspFrontTest.sessionId(i);
                 String answer = answers.stream()
                         .filter(a -> a.contains(own))
                         .findFirst()
                         .orElse("none");
                 assertTrue(answer.startsWith(i == 1 ? "RTSP/1.0 500 " : "RTSP/1.0 503 "), answer);
             }
-            settled();
+            awaitEarlierReads();
             assertEquals(2, attempts());
             assertEquals(2, net.call(() -> stage.count("box a giveUp")));
             assertEquals(0, unanswered());
