--- a/src/main/java/dockshed/Main.java
+++ b/src/main/java/dockshed/Main.java
@@ -1,8 +1,8 @@
 package dockshed;
 
 import dockshed.config.Config;
-import dockshed.config.Fields;
 import dockshed.config.HlsConfig;
+import dockshed.config.JsonFields;
 import dockshed.config.OperatorConfig;
 import dockshed.net.Signals;
 import dockshed.simhost.SimHost;
@@ -40,7 +40,7 @@
                     "usage: java -jar dockshed.jar serve [--hls FILE] [--conf FILE] | simhost | rehearse FILE");
             System.exit(2);
         }
-        Signals.expectHangUps();
+        Signals.captureHangUps();
         try {
             Config config = Config.load(System.getenv());
             Wiring.start(
@@ -50,7 +50,7 @@
                             ? OperatorConfig.load(
                                     files.get("--conf"), config.peers().size())
                             : OperatorConfig.NONE);
-        } catch (Fields.Malformed e) {
+        } catch (JsonFields.InvalidInputException e) {
             System.err.println("dockshed: " + e.getMessage());
             System.exit(2);
         } catch (Exception e) { // a failed bind comes as a checked exception that nothing declares
--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -5,15 +5,15 @@
 import dockshed.Director.State;
 import dockshed.choice.Choice;
 import dockshed.config.Config;
-import dockshed.config.Fields;
 import dockshed.config.HlsConfig;
+import dockshed.config.JsonFields;
 import dockshed.config.OperatorConfig;
 import dockshed.config.RolloutConfig;
 import dockshed.config.RolloutDocument;
 import dockshed.core.Broker;
 import dockshed.core.ProbeCoordinator;
 import dockshed.core.TimerQueue;
-import dockshed.edge.Edges;
+import dockshed.edge.EdgeServerConnections;
 import dockshed.eureka.EurekaClient;
 import dockshed.fleet.AdmissionFilter;
 import dockshed.fleet.FleetHealthProber;
@@ -21,9 +21,9 @@
 import dockshed.fleet.LocalEvent;
 import dockshed.hls.HlsEdgeServers;
 import dockshed.hls.HlsFront;
-import dockshed.load.LoadTeller;
-import dockshed.names.Listing;
-import dockshed.names.Names;
+import dockshed.load.LoadReporter;
+import dockshed.names.DnsDiscovery;
+import dockshed.names.ListedServer;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import dockshed.net.Signals;
@@ -63,24 +63,24 @@
     private final RolloutConfig rolloutConfig; // null: off
     private final RolloutHost rollout; // null: off
     private final Broker broker;
-    private final Edges edges;
+    private final EdgeServerConnections edges;
     private final RtspFront rtsp;
     private final Map<String, Long> upSince = new HashMap<>();
-    private Names names;
-    private LoadTeller loads;
+    private DnsDiscovery names;
+    private LoadReporter loads;
     private HlsEdgeServers origins;
     private HlsFront hlsFront;
-    private Map<String, Listing> boxes = Map.of();
+    private Map<String, ListedServer> boxes = Map.of();
     private ListScope last;
 
     private Wiring(Config config, OperatorConfig operator, Net net) {
         this.config = config;
         this.net = net;
         clock = new LoopClock(net.loop());
-        deadlines = new TimerQueue(clock::wake);
-        peers = new UdpPeers(config.peers(), config.peersAll());
+        deadlines = new TimerQueue(clock::wakeAt);
+        peers = new UdpPeers(config.peers(), config.allPeersAddress());
         Director.Settings s = config.settings();
-        fleet = operator.fleet() == null || !config.fleet()
+        fleet = operator.fleet() == null || !config.fleetPossible()
                 ? null
                 : new FleetHost(operator.fleet(), s.brokerNumber(), config.peers(), clock, config.seed() ^ FLEET_SEED);
         rolloutConfig = operator.rollout();
@@ -102,23 +102,23 @@
                         },
                 fleet == null ? peers : fleet,
                 deadlines);
-        clock.onDue(broker::runDueTimers);
-        edges = new Edges(
+        clock.onWakeUp(broker::runDueTimers);
+        edges = new EdgeServerConnections(
                 broker,
                 net,
                 clock,
                 deadlines,
-                new Edges.Terms(
+                new EdgeServerConnections.Options(
                         s.limits().connectTimeout(),
-                        config.idleClose(),
+                        config.idleTimeout(),
                         s.limits().reportInterval(),
                         s.limits().reportDelay(),
                         config.reportFields(),
-                        config.lines()),
+                        config.maxEdgeConnections()),
                 fleet == null || !operator.fleet().healthProbes()
                         ? ProbeCoordinator.STANDALONE
                         : new FleetHealthProber(s.brokerNumber(), fleet::snapshot, fleet::offer, admission[0]::avoid));
-        rtsp = new RtspFront(broker, edges, clock, deadlines, config.viewers());
+        rtsp = new RtspFront(broker, edges, clock, deadlines, config.maxViewers());
     }
 
     private RolloutHost rollout(int me) {
@@ -140,7 +140,7 @@
     /** Begins to serve; returns where viewers can connect. Throws IllegalStateException where it cannot. */
     static SocketAddress start(Config config, HlsConfig hls, OperatorConfig operator) {
         Net net = new Net();
-        Wiring w = net.call(
+        Wiring w = net.callOnLoop(
                 () -> { // all state belongs to the loop's thread from its first moment
                     Wiring made = new Wiring(config, operator, net);
                     made.lists();
@@ -170,12 +170,12 @@
                     config.peerListen(),
                     (from, message) -> w.broker.peerMessageReceived(w.clock.now(), from, message));
         }
-        SocketAddress rtspAt = w.net.listen(config.listen(), w.rtsp::accept, w.edges::makeRoom, true)
+        SocketAddress rtspAt = w.net.listen(config.listen(), w.rtsp::accept, w.edges::closeIdleConnection, true)
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
         if (hls != null) {
-            SocketAddress at = w.net.listen(hls.listen(), w.hlsFront::accept, w.edges::makeRoom, false)
+            SocketAddress at = w.net.listen(hls.listen(), w.hlsFront::accept, w.edges::closeIdleConnection, false)
                     .syncUninterruptibly()
                     .channel()
                     .localAddress();
@@ -183,7 +183,7 @@
                     "serving HLS: listen={} servers={} eureka={}",
                     at,
                     hls.servers().size(),
-                    hls.eureka() == null ? "none" : hls.eureka().at());
+                    hls.eureka() == null ? "none" : hls.eureka().address());
         }
         if (operator.storm() != null) {
             LOG.info("storm part on: {}", operator.storm());
@@ -193,7 +193,7 @@
                 .mapToLong(Director.SessionClass::deadline)
                 .max()
                 .orElse(0);
-        new Signals(w.net, w.clock, w.deadlines, w.broker, longest).watch(() -> {
+        new Signals(w.net, w.clock, w.deadlines, w.broker, longest).installShutdownHook(() -> {
             if (w.fleet != null) {
                 w.fleet.offer(new LocalEvent.Leaving());
             }
@@ -208,13 +208,13 @@
     }
 
     private void lists() {
-        names = new Names(this::news, clock, deadlines, config.names(), config.seed());
+        names = new DnsDiscovery(this::news, clock, deadlines, config.nameServer(), config.seed());
         boolean first = true;
-        for (Config.Notice notice : config.known()) {
-            names.known(notice.number(), Config.scope(notice, first), notice.members());
+        for (Config.ServerListNotice notice : config.knownServers()) {
+            names.applyConfigured(notice.number(), Config.scope(notice, first), notice.servers());
             first = false;
         }
-        if (config.names() != null) {
+        if (config.nameServer() != null) {
             names.start(net, new InetSocketAddress(config.listen().getAddress(), 0));
         }
     }
@@ -235,9 +235,9 @@
     /** Reads the configuration again. Of it only the name server's address may change while the program runs. */
     private void readAgain() {
         try {
-            InetSocketAddress to = Config.load(System.getenv()).names();
+            InetSocketAddress to = Config.load(System.getenv()).nameServer();
             if (to == null) {
-                throw new Fields.Malformed("config: member 'names' is missing");
+                throw new JsonFields.InvalidInputException("config: member 'names' is missing");
             }
             net.loop().execute(() -> moveNames(to));
         } catch (RuntimeException e) { // whatever is wrong with the file, what is in force stays
@@ -247,28 +247,35 @@
 
     /** Puts a document in force that all brokers share; on the loop. */
     private void apply(RolloutDocument document) {
-        if (document.names() != null) {
-            moveNames(document.names());
+        if (document.nameServer() != null) {
+            moveNames(document.nameServer());
         }
     }
 
     private void moveNames(InetSocketAddress to) {
-        if (config.names() == null) {
+        if (config.nameServer() == null) {
             LOG.warn("name server's address not taken: there was no name server at the start");
             return;
         }
-        names.moveTo(to);
+        names.changeServer(to);
         LOG.info("configuration read again: names={}", to);
     }
 
     private void hls(HlsConfig hls) {
         Director.Settings s = config.settings();
-        hls.doubts(s).forEach(doubt -> LOG.warn("doubtful setting, taken as it is: {}", doubt));
-        loads = new LoadTeller(broker, deadlines, s);
+        hls.warnings(s).forEach(doubt -> LOG.warn("doubtful setting, taken as it is: {}", doubt));
+        loads = new LoadReporter(broker, deadlines, s);
         origins = new HlsEdgeServers(
                 broker, net, clock, Math.max(100, (int) (s.limits().connectTimeout() / 1000)), loads);
         hlsFront = new HlsFront(
-                broker, origins, clock, deadlines, s, hls.idle(), config.sockets() / 6, config.seed() ^ 0x5eed);
+                broker,
+                origins,
+                clock,
+                deadlines,
+                s,
+                hls.idleTimeout(),
+                config.maxSockets() / 6,
+                config.seed() ^ 0x5eed);
         if (!hls.servers().isEmpty()) {
             boxes(ListScope.DISK, hls.servers());
         }
@@ -278,23 +285,23 @@
     }
 
     /** The lesson boxes as HLS servers. */
-    private void boxes(ListScope scope, List<Listing> list) {
-        Map<String, Listing> now = new LinkedHashMap<>();
+    private void boxes(ListScope scope, List<ListedServer> list) {
+        Map<String, ListedServer> now = new LinkedHashMap<>();
         list.forEach(l -> now.put(l.server().id(), l));
         if (now.equals(boxes) && scope == last) {
             return;
         }
         last = scope;
-        Map<String, Listing> before = boxes;
+        Map<String, ListedServer> before = boxes;
         boxes = now;
         Map<String, InetSocketAddress> addresses = new HashMap<>();
-        now.forEach((id, l) -> addresses.put(id, l.at()));
+        now.forEach((id, l) -> addresses.put(id, l.address()));
         origins.setAddresses(addresses);
-        List<Server> servers = now.values().stream().map(Listing::server).toList();
-        loads.members(servers);
+        List<Server> servers = now.values().stream().map(ListedServer::server).toList();
+        loads.updateServers(servers);
         broker.serversChanged(clock.now(), "eureka", scope, servers);
         before.forEach((id, was) -> {
-            Listing is = now.get(id);
+            ListedServer is = now.get(id);
             if (is == null || is.server().upSince() > was.server().upSince()) {
                 broker.serverLost(
                         clock.now(),
@@ -306,15 +313,15 @@
     }
 
     private void news(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses) {
-        edges.addresses(addresses);
+        edges.updateAddresses(addresses);
         broker.serversChanged(clock.now(), "names", scope, servers);
         for (Server s : servers) {
             Long before = upSince.put(s.id(), s.upSince());
             if (s.state() == State.GONE) {
                 upSince.remove(s.id());
-                edges.gone(s.id());
+                edges.serverRemoved(s.id());
             } else if (before != null && s.upSince() > before) {
-                edges.reborn(s.id(), s.upSince());
+                edges.serverRestarted(s.id(), s.upSince());
             }
         }
     }
--- a/src/main/java/dockshed/config/ConfFile.java
+++ b/src/main/java/dockshed/config/ConfFile.java
@@ -24,11 +24,11 @@
  */
 final class ConfFile {
     /** No operator writes a longer file by hand; one that long is some other file. */
-    static final int MOST_BYTES = 1 << 20;
+    static final int MAX_FILE_BYTES = 1 << 20;
     /** Sections in sections. */
-    static final int MOST_DEPTH = 8;
+    static final int MAX_SECTION_DEPTH = 8;
 
-    private static final int MOST_FAULTS = 100;
+    private static final int MAX_FAULTS = 100;
     private static final Pattern QUANTITY = Pattern.compile("([0-9]{1,12}(?:\\.[0-9]{1,9})?)([a-z/%]*)");
     private static final Map<String, Double> MICROS = Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "m", 60e6, "h", 3600e6);
 
@@ -36,7 +36,7 @@
     private record Entry(int line, List<String> values, Section section) {}
 
     /** One line of a directive that may stand several times. */
-    record Line(int number, List<String> values) {}
+    record DirectiveLine(int number, List<String> values) {}
 
     /** The directives between two braces, or of the whole file; each is asked for by name, and what is left is a fault. */
     final class Section {
@@ -58,26 +58,26 @@
         }
 
         /** All lines of a directive that may stand several times, in their order. */
-        List<Line> lines(String key, String expected) {
+        List<DirectiveLine> lines(String key, String expected) {
             asked.add(key);
             List<Entry> all = new ArrayList<>();
             if (entries.containsKey(key)) {
                 all.add(entries.get(key));
                 all.addAll(repeats.getOrDefault(key, List.of()));
             }
-            List<Line> out = new ArrayList<>();
+            List<DirectiveLine> out = new ArrayList<>();
             for (Entry e : all) {
                 if (e.section() != null) {
                     fault(e.line(), key, expected, "a section");
                 } else {
-                    out.add(new Line(e.line(), e.values()));
+                    out.add(new DirectiveLine(e.line(), e.values()));
                 }
             }
             return out;
         }
 
         /** A fault of one of a directive's lines. */
-        void faultAt(Line of, String key, String expected, String got) {
+        void faultAt(DirectiveLine of, String key, String expected, String got) {
             fault(of.number(), key, expected, got);
         }
 
@@ -165,7 +165,7 @@
                     String.format(Locale.ROOT, "a rate from %s/s to %s/s", figure(least), figure(most)));
         }
 
-        double multiple(String key, double absent, double least, double most) {
+        double decimal(String key, double absent, double least, double most) {
             return quantity(
                     key,
                     absent,
@@ -175,7 +175,7 @@
                     "a number from " + figure(least) + " to " + figure(most));
         }
 
-        int count(String key, int absent, int least, int most) {
+        int integer(String key, int absent, int least, int most) {
             double read =
                     quantity(key, absent, least, most, Map.of("", 1.0), "a whole number from " + least + " to " + most);
             if (read != Math.rint(read)) {
@@ -186,7 +186,7 @@
         }
 
         /** A whole number that may be larger than an {@code int}. */
-        long number(String key, long absent, long least, long most) {
+        long longInteger(String key, long absent, long least, long most) {
             String expected = "a whole number from " + least + " to " + most;
             String text = value(key, expected);
             if (text == null) {
@@ -201,7 +201,7 @@
         }
 
         /** Several whole numbers on one line; empty where the directive does not stand. */
-        List<Integer> counts(String key, int least, int most, String expected) {
+        List<Integer> integers(String key, int least, int most, String expected) {
             asked.add(key);
             Entry e = entries.get(key);
             List<Integer> out = new ArrayList<>();
@@ -232,15 +232,15 @@
                 return null;
             }
             try {
-                return Config.address(text, key);
-            } catch (Fields.Malformed e) {
+                return Config.parseAddress(text, key);
+            } catch (JsonFields.InvalidInputException e) {
                 fault(entries.get(key).line(), key, expected, text);
                 return null;
             }
         }
 
         /** Whether a directive stands before all others. */
-        boolean first(String key) {
+        boolean isFirst(String key) {
             return !entries.isEmpty() && entries.keySet().iterator().next().equals(key);
         }
 
@@ -257,7 +257,7 @@
             return text == null ? absent : text.equals("yes");
         }
 
-        <E extends Enum<E>> E word(String key, E absent, Class<E> of) {
+        <E extends Enum<E>> E enumValue(String key, E absent, Class<E> of) {
             List<String> words = Arrays.stream(of.getEnumConstants())
                     .map(e -> e.name().toLowerCase(Locale.ROOT))
                     .toList();
@@ -273,13 +273,13 @@
         }
 
         /** A fault that figures have only together. */
-        void contradicts(String key, String expected) {
+        void rejectCombination(String key, String expected) {
             Entry e = entries.get(key);
             fault(e == null ? line : e.line(), key, expected, e == null ? "its default" : String.join(" ", e.values()));
         }
 
         /** Directives of earlier versions, by their old names: one that stands here is a fault that names the new one. */
-        void renamed(Map<String, String> newNames) {
+        void rejectRenamed(Map<String, String> newNames) {
             entries.forEach((key, e) -> {
                 if (newNames.containsKey(key)) {
                     outdated.add(key);
@@ -289,7 +289,7 @@
         }
 
         /** Whatever was not asked for by now is no directive of this section. */
-        void end() {
+        void rejectUnknown() {
             entries.forEach((key, e) -> {
                 if (!asked.contains(key) && !outdated.contains(key)) {
                     once(key);
@@ -314,17 +314,17 @@
     static ConfFile load(Path path) {
         ConfFile f = new ConfFile(path.toString());
         try {
-            if (Files.size(path) > MOST_BYTES) {
-                throw new Fields.Malformed(path + ": longer than " + MOST_BYTES + " bytes");
+            if (Files.size(path) > MAX_FILE_BYTES) {
+                throw new JsonFields.InvalidInputException(path + ": longer than " + MAX_FILE_BYTES + " bytes");
             }
             f.parse(StandardCharsets.UTF_8
                     .newDecoder()
                     .decode(java.nio.ByteBuffer.wrap(Files.readAllBytes(path)))
                     .toString());
         } catch (CharacterCodingException e) {
-            throw new Fields.Malformed(path + ": not UTF-8, perhaps cut off");
+            throw new JsonFields.InvalidInputException(path + ": not UTF-8, perhaps cut off");
         } catch (IOException e) {
-            throw new Fields.Malformed(path + ": cannot be read: " + e.getMessage());
+            throw new JsonFields.InvalidInputException(path + ": cannot be read: " + e.getMessage());
         }
         return f;
     }
@@ -344,7 +344,7 @@
     }
 
     private void addFault(String fault) {
-        if (faults.size() < MOST_FAULTS) {
+        if (faults.size() < MAX_FAULTS) {
             faults.add(fault);
         }
     }
@@ -352,7 +352,7 @@
     /** Ends the reading: throws with all faults, a line each, where there are any. */
     void check() {
         if (!faults.isEmpty()) {
-            throw new Fields.Malformed(String.join("\n", faults));
+            throw new JsonFields.InvalidInputException(String.join("\n", faults));
         }
     }
 
@@ -378,11 +378,13 @@
             }
             boolean section = words.get(words.size() - 1).equals("{");
             Section inner = section ? new Section(key, line) : null;
-            if (section && (words.size() != 2 || open.size() > MOST_DEPTH)) {
+            if (section && (words.size() != 2 || open.size() > MAX_SECTION_DEPTH)) {
                 fault(
                         line,
                         key,
-                        words.size() != 2 ? "a name and a brace" : "at most " + MOST_DEPTH + " sections in sections",
+                        words.size() != 2
+                                ? "a name and a brace"
+                                : "at most " + MAX_SECTION_DEPTH + " sections in sections",
                         lines[i].strip());
             }
             Entry read = new Entry(line, words.subList(1, words.size()), inner);
--- a/src/main/java/dockshed/config/Fields.java
+++ b/src/main/java/dockshed/config/JsonFields.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /** The members of one JSON object, read by name and type; a complaint names the event and the member. */
-public final class Fields {
+public final class JsonFields {
     /** A line or member that does not keep to the wire. */
-    public static final class Malformed extends RuntimeException {
+    public static final class InvalidInputException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public Malformed(String message) {
+        public InvalidInputException(String message) {
             super(message);
         }
     }
 
-    private final String owner;
+    private final String path;
     private final Map<?, ?> members;
 
-    public Fields(String owner, Object value) {
-        this.owner = owner;
+    public JsonFields(String owner, Object value) {
+        this.path = owner;
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Malformed(owner + ": not an object");
+            throw new InvalidInputException(owner + ": not an object");
         }
         this.members = map;
     }
@@ -32,18 +32,18 @@
     }
 
     /** What the object is called in complaints. */
-    public String owner() {
-        return owner;
+    public String path() {
+        return path;
     }
 
-    public Iterable<?> names() {
+    public Iterable<?> memberNames() {
         return members.keySet();
     }
 
     public Object value(String name) {
         Object value = members.get(name);
         if (value == null) {
-            throw new Malformed(owner + ": member '" + name + "' is missing");
+            throw new InvalidInputException(path + ": member '" + name + "' is missing");
         }
         return value;
     }
@@ -51,7 +51,7 @@
     private <T> T typed(String name, Class<T> type) {
         Object value = value(name);
         if (!type.isInstance(value)) {
-            throw new Malformed(owner + ": member '" + name + "' has the wrong type");
+            throw new InvalidInputException(path + ": member '" + name + "' has the wrong type");
         }
         return type.cast(value);
     }
@@ -72,7 +72,7 @@
         return has(name) ? number(name) : absent;
     }
 
-    public long whole(String name) {
+    public long longInteger(String name) {
         return typed(name, Number.class).longValue();
     }
 
@@ -84,11 +84,11 @@
         return has(name) ? integer(name) : absent;
     }
 
-    public byte[] bytes(String name) {
+    public byte[] hexBytes(String name) {
         try {
             return HexFormat.of().parseHex(text(name));
         } catch (IllegalArgumentException e) {
-            throw new Malformed(owner + ": member '" + name + "' is not hex");
+            throw new InvalidInputException(path + ": member '" + name + "' is not hex");
         }
     }
 
@@ -97,16 +97,16 @@
     }
 
     /** A time on the wire, in milliseconds, as microseconds. */
-    public long micros(String name) {
+    public long millisAsMicros(String name) {
         return Math.round(number(name) * 1000);
     }
 
-    public long micros(String name, long absent) {
-        return has(name) ? micros(name) : absent;
+    public long millisAsMicros(String name, long absent) {
+        return has(name) ? millisAsMicros(name) : absent;
     }
 
-    public Fields object(String name) {
-        return new Fields(owner + "." + name, value(name));
+    public JsonFields object(String name) {
+        return new JsonFields(path + "." + name, value(name));
     }
 
     public List<?> list(String name) {
@@ -117,7 +117,7 @@
         List<Double> out = new ArrayList<>();
         for (Object each : list(name)) {
             if (!(each instanceof Number n)) {
-                throw new Malformed(owner + ": member '" + name + "' has the wrong type");
+                throw new InvalidInputException(path + ": member '" + name + "' has the wrong type");
             }
             out.add(n.doubleValue());
         }
@@ -128,7 +128,7 @@
         List<String> out = new ArrayList<>();
         for (Object each : list(name)) {
             if (!(each instanceof String s)) {
-                throw new Malformed(owner + ": member '" + name + "' has the wrong type");
+                throw new InvalidInputException(path + ": member '" + name + "' has the wrong type");
             }
             out.add(s);
         }
--- a/src/main/java/dockshed/config/OperatorConfig.java
+++ b/src/main/java/dockshed/config/OperatorConfig.java
@@ -52,23 +52,23 @@
         ConfFile.Section s = file.root().section("storm");
         boolean on = s.flag("enabled", true);
         Terms terms = storm(s);
-        s.end();
+        s.rejectUnknown();
         boolean fleetNamed = file.root().has("fleet");
         ConfFile.Section f = file.root().section("fleet");
         boolean fleetOn = f.flag("enabled", true);
         FleetSettings fleet = fleet(f, brokers);
-        f.end();
+        f.rejectUnknown();
         RolloutConfig rollout = RolloutConfig.read(file.root(), brokers);
-        file.root().end();
+        file.root().rejectUnknown();
         file.check();
         return new OperatorConfig(named && on ? terms : null, fleetNamed && fleetOn ? fleet : null, rollout);
     }
 
     private static List<Zone> zones(ConfFile.Section s, int brokers) {
-        List<ConfFile.Line> lines = s.lines("zone", ZONE_LINE);
-        List<ConfFile.Line> read = new ArrayList<>();
+        List<ConfFile.DirectiveLine> lines = s.lines("zone", ZONE_LINE);
+        List<ConfFile.DirectiveLine> read = new ArrayList<>();
         List<Zone> zones = new ArrayList<>();
-        for (ConfFile.Line line : lines) {
+        for (ConfFile.DirectiveLine line : lines) {
             Zone zone = zone(line);
             if (zone == null) {
                 s.faultAt(
@@ -90,7 +90,7 @@
         return zones;
     }
 
-    private static Zone zone(ConfFile.Line line) {
+    private static Zone zone(ConfFile.DirectiveLine line) {
         if (line.values().size() != 3) {
             return null;
         }
@@ -104,13 +104,13 @@
     }
 
     private static FleetSettings fleet(ConfFile.Section s, int brokers) {
-        s.renamed(RENAMED_FLEET_DIRECTIVES);
+        s.rejectRenamed(RENAMED_FLEET_DIRECTIVES);
         FleetSettings defaults = FleetSettings.DEFAULTS;
         List<Zone> zones = zones(s, brokers);
         double bytes = zones.isEmpty() ? defaults.bytesPerSecond() : FleetSettings.ZONED_BYTES_PER_SECOND;
         return new FleetSettings(
-                s.multiple("bytes_a_second", bytes, 100, 100_000),
-                s.multiple("bytes_a_session", defaults.bytesPerSession(), 0, 100_000),
+                s.decimal("bytes_a_second", bytes, 100, 100_000),
+                s.decimal("bytes_a_session", defaults.bytesPerSession(), 0, 100_000),
                 s.share("guaranteed_share", defaults.guaranteedShare(), 0, 1),
                 s.flag("leases", defaults.leases()),
                 s.flag("load_shedding", defaults.loadShedding()),
@@ -121,27 +121,27 @@
     private static Terms storm(ConfFile.Section s) {
         Terms u = Terms.USUAL;
         Terms t = new Terms(
-                s.word("returns", u.returns(), Terms.Returns.class),
+                s.enumValue("returns", u.returns(), Terms.Returns.class),
                 s.duration("soonest", u.soonest(), 10 * MS, 60 * S),
                 s.duration("longest", u.longest(), 100 * MS, 600 * S),
                 s.duration("slot", u.slot(), 50 * MS, 5 * S),
                 s.duration("early", u.early(), 0, 5 * S),
                 s.duration("remember", u.remember(), S, 3600 * S),
                 s.duration("hold", u.hold(), 0, S),
-                s.count("waiting", u.waiting(), 1, 8192),
-                s.multiple("rush", u.rush(), 1.1, 100),
+                s.integer("waiting", u.waiting(), 1, 8192),
+                s.decimal("rush", u.rush(), 1.1, 100),
                 s.share("repeats", u.repeats(), 0.01, 1),
                 s.share("trouble", u.trouble(), 0.01, 1),
                 s.duration("calm_after", u.calmAfter(), 500 * MS, 60 * S),
                 s.share("retry_share", u.retryShare(), 0, 1),
                 s.perSecond("retry_least", u.retryLeast(), 0, 1000),
-                s.multiple("cold_aim", u.coldAim(), 0.1, 2),
+                s.decimal("cold_aim", u.coldAim(), 0.1, 2),
                 s.duration("notes_every", u.notesEvery(), 0, 10 * S));
         if (t.longest() > 0 && t.soonest() > t.longest()) {
-            s.contradicts("soonest", "at most longest");
+            s.rejectCombination("soonest", "at most longest");
         }
         if (t.notesEvery() > 0 && t.notesEvery() < 250 * MS) {
-            s.contradicts("notes_every", "0s, or 250ms and more");
+            s.rejectCombination("notes_every", "0s, or 250ms and more");
         }
         return t;
     }
--- a/src/main/java/dockshed/config/RolloutConfig.java
+++ b/src/main/java/dockshed/config/RolloutConfig.java
@@ -27,19 +27,19 @@
         boolean named = root.has("rollout");
         ConfFile.Section s = root.section("rollout");
         boolean on = s.flag("enabled", true);
-        List<Integer> voters = s.counts("voters", 0, MOST_NUMBER, VOTERS);
+        List<Integer> voters = s.integers("voters", 0, MOST_NUMBER, VOTERS);
         String directory = s.text("state_directory", "the path of a directory");
         String file = s.text("file", "the path of a file");
         if (named && (!COUNTS.contains(voters.size()) || new HashSet<>(voters).size() != voters.size())) {
-            s.contradicts("voters", VOTERS);
+            s.rejectCombination("voters", VOTERS);
         }
         if (brokers > 0 && voters.stream().anyMatch(v -> v >= brokers)) {
-            s.contradicts("voters", "numbers below " + brokers + ", the number of brokers");
+            s.rejectCombination("voters", "numbers below " + brokers + ", the number of brokers");
         }
         if (named && directory == null) {
-            s.contradicts("state_directory", "the path of a directory");
+            s.rejectCombination("state_directory", "the path of a directory");
         }
-        s.end();
+        s.rejectUnknown();
         if (!named || !on || directory == null) {
             return null;
         }
--- a/src/main/java/dockshed/config/RolloutDocument.java
+++ b/src/main/java/dockshed/config/RolloutDocument.java
@@ -13,35 +13,35 @@
  *
  * @param version     of the document
  * @param versionLine where that stands
- * @param names       the name server's address; null: it stays as it is
+ * @param nameServer       the name server's address; null: it stays as it is
  */
-public record RolloutDocument(long version, int versionLine, InetSocketAddress names) {
+public record RolloutDocument(long version, int versionLine, InetSocketAddress nameServer) {
     private static final long MOST_VERSION = 1_000_000_000_000L;
 
     /** The bytes of a document's file, at most so many. */
     public static byte[] load(Path file, int mostBytes) {
         try {
             if (Files.size(file) > mostBytes) {
-                throw new Fields.Malformed(file + ": longer than " + mostBytes + " bytes");
+                throw new JsonFields.InvalidInputException(file + ": longer than " + mostBytes + " bytes");
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new Fields.Malformed(file + ": cannot be read: " + e.getMessage());
+            throw new JsonFields.InvalidInputException(file + ": cannot be read: " + e.getMessage());
         }
     }
 
-    /** Reads a document; complaints are an {@link Fields.Malformed} with file, line and key. */
+    /** Reads a document; complaints are an {@link JsonFields.InvalidInputException} with file, line and key. */
     public static RolloutDocument read(String name, byte[] content) {
         ConfFile file = ConfFile.read(name, text(name, content));
         ConfFile.Section root = file.root();
-        long version = root.number("version", 0, 1, MOST_VERSION);
+        long version = root.longInteger("version", 0, 1, MOST_VERSION);
         if (!root.has("version")) {
-            root.contradicts("version", "the document's version in its first directive");
-        } else if (!root.first("version")) {
-            root.contradicts("version", "to be the first directive");
+            root.rejectCombination("version", "the document's version in its first directive");
+        } else if (!root.isFirst("version")) {
+            root.rejectCombination("version", "to be the first directive");
         }
         InetSocketAddress names = root.address("names");
-        root.end();
+        root.rejectUnknown();
         file.check();
         return new RolloutDocument(version, root.line("version"), names);
     }
@@ -53,7 +53,7 @@
                     .decode(ByteBuffer.wrap(content))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new Fields.Malformed(name + ": not UTF-8, perhaps cut off");
+            throw new JsonFields.InvalidInputException(name + ": not UTF-8, perhaps cut off");
         }
     }
 }
--- a/src/main/java/dockshed/config/SettingsReader.java
+++ b/src/main/java/dockshed/config/SettingsReader.java
@@ -17,15 +17,15 @@
 /** The wire's settings as the module's. */
 public final class SettingsReader {
     /** kB a second that no rack asks for. */
-    static final double NO_UPLINK = 1e12;
+    static final double UNLIMITED_UPLINK_KB_S = 1e12;
 
     private SettingsReader() {}
 
-    public static Settings read(Fields options) {
-        Fields family = options.object("family_info");
-        Fields limits = options.object("limits");
-        Fields rules = options.object("invariants");
-        Fields prices = options.object("prices");
+    public static Settings read(JsonFields options) {
+        JsonFields family = options.object("family_info");
+        JsonFields limits = options.object("limits");
+        JsonFields rules = options.object("invariants");
+        JsonFields prices = options.object("prices");
         Ladder ladder = new Ladder(
                 family.numbers("rates_kb"),
                 family.numbers("level_worth"),
@@ -48,19 +48,19 @@
                         limits.integer("try_limit"),
                         limits.flag("probing"),
                         limits.flag("peers"),
-                        limits.micros("connect_timeout", 0),
-                        limits.flag("retry_after") ? limits.micros("max_retry_after", 0) : 0,
-                        family.micros("see", 0),
-                        family.micros("reports_every", 0)),
+                        limits.millisAsMicros("connect_timeout", 0),
+                        limits.flag("retry_after") ? limits.millisAsMicros("max_retry_after", 0) : 0,
+                        family.millisAsMicros("see", 0),
+                        family.millisAsMicros("reports_every", 0)),
                 new Rules(
-                        rules.micros("drain_grace", 0),
+                        rules.millisAsMicros("drain_grace", 0),
                         rules.number("cold_from", 1),
-                        rules.micros("warm_up", 0),
+                        rules.millisAsMicros("warm_up", 0),
                         rules.number("tip_multiple", 0),
-                        rules.micros("fall", 0),
+                        rules.millisAsMicros("fall", 0),
                         rules.integer("spare_attempts", 0),
                         rules.number("extra_ratio", 0),
-                        rules.micros("counted_over", 0)),
+                        rules.millisAsMicros("counted_over", 0)),
                 new Prices(
                         prices.number("cross_zone", 0),
                         prices.number("moves", 0),
@@ -70,26 +70,27 @@
     }
 
     /** 0, or none told: racks have no uplink that could be short. */
-    private static double uplink(Fields family) {
+    private static double uplink(JsonFields family) {
         double told = family.number("uplink_kb", 0);
-        return told == 0 ? NO_UPLINK : told;
+        return told == 0 ? UNLIMITED_UPLINK_KB_S : told;
     }
 
     /** What a class without points is worth, of the least that another is: it is served last, and served. */
     private static final double UNPAID = 1e-6;
 
-    private static List<SessionClass> classes(Fields options, Fields family) {
+    private static List<SessionClass> classes(JsonFields options, JsonFields family) {
         List<SessionClass> out = new ArrayList<>();
         Set<String> names = new HashSet<>();
         List<Double> points = new ArrayList<>();
         for (Object each : options.list("classes")) {
-            Fields c = new Fields(options.owner() + ".classes", each);
+            JsonFields c = new JsonFields(options.path() + ".classes", each);
             points.add(c.number("points", 0));
             if (points.get(points.size() - 1) < 0) {
-                throw new Fields.Malformed(c.owner() + ": member 'points' is under 0");
+                throw new JsonFields.InvalidInputException(c.path() + ": member 'points' is under 0");
             }
             if (!names.add(c.text("name"))) {
-                throw new Fields.Malformed(c.owner() + ": member 'name' is there twice: " + c.text("name"));
+                throw new JsonFields.InvalidInputException(
+                        c.path() + ": member 'name' is there twice: " + c.text("name"));
             }
         }
         double unpaid =
@@ -100,13 +101,13 @@
         List<Double> top = family.numbers("top_by_class");
         List<Double> seats = family.numbers("class_seats");
         for (Object each : options.list("classes")) {
-            Fields c = new Fields(options.owner() + ".classes", each);
+            JsonFields c = new JsonFields(options.path() + ".classes", each);
             int i = out.size();
             out.add(new SessionClass(
                     c.text("name"),
                     effect(c),
-                    c.micros("goal_time"),
-                    c.micros("deadline"),
+                    c.millisAsMicros("goal_time"),
+                    c.millisAsMicros("deadline"),
                     points.get(i) > 0 ? points.get(i) : unpaid,
                     at(family, scale, i, "class_scale"),
                     (int) at(family, floor, i, "lowest_rung"),
@@ -116,24 +117,24 @@
         return out;
     }
 
-    private static double at(Fields family, List<Double> list, int i, String name) {
+    private static double at(JsonFields family, List<Double> list, int i, String name) {
         if (i >= list.size()) {
-            throw new Fields.Malformed(family.owner() + ": member '" + name + "' is too short");
+            throw new JsonFields.InvalidInputException(family.path() + ": member '" + name + "' is too short");
         }
         return list.get(i);
     }
 
-    private static Effect effect(Fields c) {
+    private static Effect effect(JsonFields c) {
         String word = c.text("effect");
         return switch (word) {
             case "idempotent" -> Effect.SAFE;
             case "deduplicated" -> Effect.KEYED;
             case "at_most_once" -> Effect.AT_MOST_ONCE;
-            default -> throw new Fields.Malformed(c.owner() + ": member 'effect' is unknown: " + word);
+            default -> throw new JsonFields.InvalidInputException(c.path() + ": member 'effect' is unknown: " + word);
         };
     }
 
-    private static List<ServerKind> kinds(Fields options, Fields family) {
+    private static List<ServerKind> kinds(JsonFields options, JsonFields family) {
         List<ServerKind> out = new ArrayList<>();
         List<Double> slots = family.numbers("kind_slots");
         for (String name : options.texts("kinds")) {
@@ -142,7 +143,7 @@
         return out;
     }
 
-    private static List<ReportField> fields(Fields options) {
+    private static List<ReportField> fields(JsonFields options) {
         List<ReportField> out = new ArrayList<>();
         if (options.has("report")) {
             for (String name : options.object("report").texts("fields")) {
--- a/src/main/java/dockshed/edge/LineDecoder.java
+++ b/src/main/java/dockshed/edge/LineDecoder.java
@@ -9,10 +9,10 @@
 /** Takes lines, ended by a line feed, out of a stream of bytes, however the stream was cut. */
 final class LineDecoder {
     /** A line that never seems to end, or that is no text. */
-    static final class Unreadable extends Exception {
+    static final class InvalidLineException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String why) {
+        InvalidLineException(String why) {
             super(why);
         }
     }
@@ -44,12 +44,12 @@
     }
 
     /** The next whole line without its end, or null. */
-    String next() throws Unreadable {
+    String next() throws InvalidLineException {
         while (scanned < to && held[scanned] != '\n') {
             scanned++;
         }
         if (scanned - from > limit) {
-            throw new Unreadable("line too long");
+            throw new InvalidLineException("line too long");
         }
         if (scanned == to) {
             return null;
@@ -60,12 +60,12 @@
             from = ++scanned;
             return line;
         } catch (CharacterCodingException e) {
-            throw new Unreadable("line is no text");
+            throw new InvalidLineException("line is no text");
         }
     }
 
     /** Whether a line has begun and is not whole. */
-    boolean midway() {
+    boolean hasPartialLine() {
         return to > from;
     }
 }
--- a/src/main/java/dockshed/edge/Message.java
+++ b/src/main/java/dockshed/edge/Message.java
@@ -9,19 +9,19 @@
  */
 record Message(String type, String id, Map<String, String> fields, int cause, String sdp) {
     /** A line that is no such message. */
-    static final class Malformed extends Exception {
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String why) {
+        MalformedMessageException(String why) {
             super(why);
         }
     }
 
-    static Message read(String line) throws Malformed {
-        return new Reader(line).message();
+    static Message parse(String line) throws MalformedMessageException {
+        return new JsonReader(line).readMessage();
     }
 
-    String write() {
+    String encode() {
         StringBuilder out = new StringBuilder(96 + (sdp == null ? 0 : sdp.length()));
         out.append("{\"type\":");
         quote(out, type);
@@ -65,17 +65,17 @@
     }
 
     /** Reads JSON as far as messages need it: objects, strings, numbers; other values are passed over. */
-    private static final class Reader {
-        private static final int DEPTH = 16;
+    private static final class JsonReader {
+        private static final int MAX_NESTING_DEPTH = 16;
 
         private final String in;
         private int at;
 
-        Reader(String in) {
+        JsonReader(String in) {
             this.in = in;
         }
 
-        Message message() throws Malformed {
+        Message readMessage() throws MalformedMessageException {
             String[] text = new String[3];
             int[] cause = {-1};
             Map<String, String> fields = new LinkedHashMap<>();
@@ -98,19 +98,19 @@
             });
             space();
             if (at != in.length()) {
-                throw new Malformed("text after the object");
+                throw new MalformedMessageException("text after the object");
             }
             if (text[0] == null || text[1] == null) {
-                throw new Malformed("type or id is missing");
+                throw new MalformedMessageException("type or id is missing");
             }
             return new Message(text[0], text[1], fields, cause[0], text[2]);
         }
 
-        private interface Member {
-            void read(String key) throws Malformed;
+        private interface MemberReader {
+            void read(String key) throws MalformedMessageException;
         }
 
-        private void object(Member each) throws Malformed {
+        private void object(MemberReader each) throws MalformedMessageException {
             expect('{');
             if (peek() == '}') {
                 at++;
@@ -130,14 +130,14 @@
             }
         }
 
-        private String skip(Object nothing) throws Malformed {
+        private String skip(Object nothing) throws MalformedMessageException {
             skip(0);
             return null;
         }
 
-        private void skip(int depth) throws Malformed {
-            if (depth > DEPTH) {
-                throw new Malformed("nested too deep");
+        private void skip(int depth) throws MalformedMessageException {
+            if (depth > MAX_NESTING_DEPTH) {
+                throw new MalformedMessageException("nested too deep");
             }
             if (peek() == '{') {
                 object(key -> skip(depth + 1));
@@ -159,7 +159,7 @@
         }
 
         /** A string's text; a number, true, false or null as written. */
-        private String scalar() throws Malformed {
+        private String scalar() throws MalformedMessageException {
             if (peek() == '"') {
                 return string();
             }
@@ -169,20 +169,20 @@
             }
             String word = in.substring(start, at);
             if (!word.matches("true|false|null|-?[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?")) {
-                throw new Malformed("no value at " + start);
+                throw new MalformedMessageException("no value at " + start);
             }
             return word;
         }
 
-        private static int whole(String number) throws Malformed {
+        private static int whole(String number) throws MalformedMessageException {
             try {
                 return Math.max(0, (int) Double.parseDouble(number));
             } catch (NumberFormatException e) {
-                throw new Malformed("cause is no number");
+                throw new MalformedMessageException("cause is no number");
             }
         }
 
-        private String string() throws Malformed {
+        private String string() throws MalformedMessageException {
             expect('"');
             StringBuilder out = new StringBuilder();
             while (at < in.length()) {
@@ -191,7 +191,7 @@
                     return out.toString();
                 }
                 if (c < ' ') {
-                    throw new Malformed("control character in a string");
+                    throw new MalformedMessageException("control character in a string");
                 }
                 if (c != '\\') {
                     out.append(c);
@@ -206,18 +206,18 @@
                     case 'r' -> out.append('\r');
                     case 't' -> out.append('\t');
                     case 'u' -> out.append(unicode());
-                    default -> throw new Malformed("unknown escape");
+                    default -> throw new MalformedMessageException("unknown escape");
                 }
             }
-            throw new Malformed("string without an end");
+            throw new MalformedMessageException("string without an end");
         }
 
-        private char unicode() throws Malformed {
+        private char unicode() throws MalformedMessageException {
             int code = 0;
             for (int i = 0; i < 4; i++) {
                 int digit = at < in.length() ? Character.digit(in.charAt(at++), 16) : -1;
                 if (digit < 0) {
-                    throw new Malformed("bad unicode escape");
+                    throw new MalformedMessageException("bad unicode escape");
                 }
                 code = code * 16 + digit;
             }
@@ -236,9 +236,9 @@
             return at < in.length() ? in.charAt(at) : 0;
         }
 
-        private void expect(char c) throws Malformed {
+        private void expect(char c) throws MalformedMessageException {
             if (peek() != c) {
-                throw new Malformed("no '" + c + "' at " + at);
+                throw new MalformedMessageException("no '" + c + "' at " + at);
             }
             at++;
         }
--- a/src/main/java/dockshed/eureka/EurekaClient.java
+++ b/src/main/java/dockshed/eureka/EurekaClient.java
@@ -2,10 +2,10 @@
 
 import dockshed.config.HlsConfig;
 import dockshed.core.TimerQueue;
-import dockshed.names.Listing;
+import dockshed.names.ListedServer;
 import dockshed.net.Clock;
-import dockshed.net.Headed;
 import dockshed.net.HttpFetch;
+import dockshed.net.HttpStyleMessage;
 import dockshed.net.Net;
 import java.util.List;
 import java.util.Map;
@@ -15,23 +15,27 @@
 
 /** Asks Eureka for the list: all of it first, then deltas, and all of it again where a delta does not add up. */
 public final class EurekaClient {
-    static final int LIMIT = 4 << 20;
-    private static final int CONNECT_MILLIS = 1000;
-    private static final long PATIENCE = 3_000_000;
+    static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final long RESPONSE_TIMEOUT_US = 3_000_000;
     private static final Logger LOG = LoggerFactory.getLogger(EurekaClient.class);
 
     private final HlsConfig.Eureka config;
     private final Net net;
     private final Clock clock;
     private final TimerQueue deadlines;
-    private final Consumer<List<Listing>> listener;
-    private final Registry registry = new Registry();
+    private final Consumer<List<ListedServer>> listener;
+    private final EurekaRegistry registry = new EurekaRegistry();
     private boolean whole;
     private boolean reached = true;
 
     /** {@code listener} hears the whole list whenever it may have changed. */
     public EurekaClient(
-            HlsConfig.Eureka config, Net net, Clock clock, TimerQueue deadlines, Consumer<List<Listing>> listener) {
+            HlsConfig.Eureka config,
+            Net net,
+            Clock clock,
+            TimerQueue deadlines,
+            Consumer<List<ListedServer>> listener) {
         this.config = config;
         this.net = net;
         this.clock = clock;
@@ -40,47 +44,47 @@
     }
 
     public void start() {
-        ask(clock.now());
+        fetch(clock.now());
     }
 
-    private void ask(long due) {
+    private void fetch(long due) {
         boolean delta = whole;
         TimerQueue.Timer[] late = {null};
         HttpFetch f = HttpFetch.get(
                 net,
-                config.at(),
+                config.address(),
                 config.path() + (delta ? "/apps/delta" : "/apps"),
                 Map.of("Accept", "application/json"),
-                CONNECT_MILLIS,
-                LIMIT,
+                CONNECT_TIMEOUT_MS,
+                MAX_RESPONSE_BYTES,
                 new HttpFetch.Listener() {
                     @Override
-                    public void answered(Headed answer) {
+                    public void onResponse(HttpStyleMessage answer) {
                         deadlines.cancel(late[0]);
-                        took(delta, answer);
+                        listReceived(delta, answer);
                     }
 
                     @Override
-                    public void broken(boolean ran, String why) {
+                    public void onFailure(boolean ran, String why) {
                         deadlines.cancel(late[0]);
-                        missed(why);
+                        fetchFailed(why);
                     }
                 });
-        late[0] = deadlines.schedule(clock.now() + PATIENCE, t -> {
+        late[0] = deadlines.schedule(clock.now() + RESPONSE_TIMEOUT_US, t -> {
             f.cancel();
-            missed("no answer in time");
+            fetchFailed("no answer in time");
         });
     }
 
-    private void took(boolean delta, Headed answer) {
+    private void listReceived(boolean delta, HttpStyleMessage answer) {
         try {
             if (answer.status() != 200) {
-                throw new Registry.Unfit("status " + answer.status());
+                throw new EurekaRegistry.UnusableAnswerException("status " + answer.status());
             }
             if (delta) {
-                registry.delta(answer.text());
+                registry.applyDelta(answer.bodyText());
             } else {
-                registry.full(answer.text());
+                registry.applyFull(answer.bodyText());
             }
             listener.accept(registry.servers(config.app()));
             if (!whole || !reached) {
@@ -88,28 +92,28 @@
             }
             whole = true;
             reached = true;
-            later();
-        } catch (Registry.Unfit e) {
+            scheduleNext();
+        } catch (EurekaRegistry.UnusableAnswerException e) {
             LOG.warn("Eureka's answer does not fit: delta={} why={}", delta, e.getMessage());
             whole = false;
             if (delta) {
-                ask(clock.now()); // all of it, at once
+                fetch(clock.now()); // all of it, at once
             } else {
-                later();
+                scheduleNext();
             }
         }
     }
 
     /** The last list stands. */
-    private void missed(String why) {
+    private void fetchFailed(String why) {
         if (reached) {
             LOG.warn("Eureka out of reach, the last list stands: why={}", why);
         }
         reached = false;
-        later();
+        scheduleNext();
     }
 
-    private void later() {
-        deadlines.schedule(clock.now() + config.poll(), this::ask);
+    private void scheduleNext() {
+        deadlines.schedule(clock.now() + config.pollInterval(), this::fetch);
     }
 }
--- a/src/main/java/dockshed/eureka/Registry.java
+++ b/src/main/java/dockshed/eureka/EurekaRegistry.java
@@ -7,7 +7,7 @@
 import com.google.gson.JsonParser;
 import dockshed.Director.Server;
 import dockshed.Director.State;
-import dockshed.names.Listing;
+import dockshed.names.ListedServer;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -19,12 +19,12 @@
  * Eureka's registry as its REST API tells it in JSON: whole, then by deltas that are checked against the hash code
  * of all instances' states. No I/O.
  */
-final class Registry {
+final class EurekaRegistry {
     /** An answer that is not Eureka's, or a delta that does not fit. */
-    static final class Unfit extends Exception {
+    static final class UnusableAnswerException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unfit(String why) {
+        UnusableAnswerException(String why) {
             super(why);
         }
     }
@@ -32,7 +32,7 @@
     private Map<String, JsonObject> instances = new LinkedHashMap<>();
 
     /** Takes the whole list as it is: nothing better could be asked for, whatever hash code it carries. */
-    void full(String json) throws Unfit {
+    void applyFull(String json) throws UnusableAnswerException {
         JsonObject all = applications(json);
         Map<String, JsonObject> read = new LinkedHashMap<>();
         for (JsonObject instance : instances(all)) {
@@ -42,7 +42,7 @@
     }
 
     /** Takes a delta; throws, and keeps what it had, where the outcome has not the hash code that it should. */
-    void delta(String json) throws Unfit {
+    void applyDelta(String json) throws UnusableAnswerException {
         JsonObject all = applications(json);
         Map<String, JsonObject> next = new LinkedHashMap<>(instances);
         for (JsonObject instance : instances(all)) {
@@ -56,10 +56,10 @@
         instances = next;
     }
 
-    private static void check(JsonObject all, Map<String, JsonObject> instances) throws Unfit {
+    private static void check(JsonObject all, Map<String, JsonObject> instances) throws UnusableAnswerException {
         String told = text(all, "apps__hashcode", "");
         if (!told.equals(hash(instances))) {
-            throw new Unfit("hash code " + told + " is not " + hash(instances));
+            throw new UnusableAnswerException("hash code " + told + " is not " + hash(instances));
         }
     }
 
@@ -74,8 +74,8 @@
     }
 
     /** The instances of an application as servers. */
-    List<Listing> servers(String app) throws Unfit {
-        List<Listing> out = new ArrayList<>();
+    List<ListedServer> servers(String app) throws UnusableAnswerException {
+        List<ListedServer> out = new ArrayList<>();
         for (JsonObject i : instances.values()) {
             if (!text(i, "app", "").equalsIgnoreCase(app)) {
                 continue;
@@ -89,7 +89,7 @@
                         : lease.has("serviceUpTimestamp")
                                 ? lease.get("serviceUpTimestamp").getAsLong() * 1000
                                 : 0;
-                out.add(new Listing(
+                out.add(new ListedServer(
                         new Server(
                                 text(facts, "box", text(i, "instanceId", text(i, "hostName", ""))),
                                 text(facts, "zone", ""),
@@ -100,7 +100,7 @@
                                 since),
                         new InetSocketAddress(address(text(i, "ipAddr", "")), port(i))));
             } catch (RuntimeException e) {
-                throw new Unfit("instance " + text(i, "instanceId", "?") + ": " + e.getMessage());
+                throw new UnusableAnswerException("instance " + text(i, "instanceId", "?") + ": " + e.getMessage());
             }
         }
         return out;
@@ -118,18 +118,18 @@
         return port.isJsonObject() ? port.getAsJsonObject().get("$").getAsInt() : port.getAsInt();
     }
 
-    private static JsonObject applications(String json) throws Unfit {
+    private static JsonObject applications(String json) throws UnusableAnswerException {
         try {
             return JsonParser.parseString(json).getAsJsonObject().getAsJsonObject("applications");
         } catch (JsonParseException | IllegalStateException | ClassCastException | NullPointerException e) {
-            throw new Unfit("not an answer of Eureka's");
+            throw new UnusableAnswerException("not an answer of Eureka's");
         }
     }
 
-    private static List<JsonObject> instances(JsonObject all) throws Unfit {
+    private static List<JsonObject> instances(JsonObject all) throws UnusableAnswerException {
         List<JsonObject> out = new ArrayList<>();
         if (all == null) {
-            throw new Unfit("no applications");
+            throw new UnusableAnswerException("no applications");
         }
         try {
             for (JsonElement app : each(all.get("application"))) {
@@ -138,7 +138,7 @@
                 }
             }
         } catch (IllegalStateException e) {
-            throw new Unfit("not an answer of Eureka's");
+            throw new UnusableAnswerException("not an answer of Eureka's");
         }
         return out;
     }
--- a/src/main/java/dockshed/fleet/FleetHost.java
+++ b/src/main/java/dockshed/fleet/FleetHost.java
@@ -120,20 +120,20 @@
             node.counts().spoofed++;
             return;
         }
-        node.receive(clock.now(), message, peers::tell);
+        node.receive(clock.now(), message, peers::send);
     }
 
     private void handlePending() {
         wakeUpScheduled.set(false);
         for (LocalEvent event = pending.poll(); event != null; event = pending.poll()) {
-            node.handle(clock.now(), event, peers::tell);
+            node.handle(clock.now(), event, peers::send);
         }
     }
 
     private void tick() {
         guarded(() -> {
             handlePending();
-            node.tick(clock.now(), peers::tell);
+            node.tick(clock.now(), peers::send);
             publishIfDue();
         });
         long now = clock.now();
--- a/src/main/java/dockshed/hls/HlsEdgeServers.java
+++ b/src/main/java/dockshed/hls/HlsEdgeServers.java
@@ -4,11 +4,11 @@
 import dockshed.Director.Outcome;
 import dockshed.core.Broker;
 import dockshed.core.ServerAdapter;
-import dockshed.load.LoadTeller;
+import dockshed.load.LoadReporter;
 import dockshed.load.OrcaReport;
 import dockshed.net.Clock;
-import dockshed.net.Headed;
 import dockshed.net.HttpFetch;
+import dockshed.net.HttpStyleMessage;
 import dockshed.net.Net;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -31,11 +31,11 @@
     private final Net net;
     private final Clock clock;
     private final int connectTimeoutMs;
-    private final LoadTeller loads;
+    private final LoadReporter loads;
     private final Map<String, InetSocketAddress> setAddresses = new HashMap<>();
     private final Map<String, HttpFetch> setUpFetches = new HashMap<>();
 
-    public HlsEdgeServers(Broker broker, Net net, Clock clock, int connectMillis, LoadTeller loads) {
+    public HlsEdgeServers(Broker broker, Net net, Clock clock, int connectMillis, LoadReporter loads) {
         this.loads = loads;
         this.broker = broker;
         this.net = net;
@@ -77,22 +77,22 @@
                         MAX_PLAYLIST_BYTES,
                         new HttpFetch.Listener() {
                             @Override
-                            public void answered(Headed answer) {
+                            public void onResponse(HttpStyleMessage answer) {
                                 setUpFetches.remove(s.name());
                                 try {
                                     if (answer.status() != 200) {
                                         throw new Playlists.UnusablePlaylistException("status " + answer.status());
                                     }
                                     Playlists.MultivariantPlaylist list =
-                                            Playlists.MultivariantPlaylist.parse(answer.text());
+                                            Playlists.MultivariantPlaylist.parse(answer.bodyText());
                                     if (!list.hasVariant(s.lowestRendition(), s.highestRendition())) {
                                         throw new Playlists.UnusablePlaylistException("no variant from rung "
                                                 + s.lowestRendition() + " to " + s.highestRendition());
                                     }
-                                    loads.header(clock.now(), server, answer.header(OrcaReport.HEADER));
-                                    broker.setUpAnswered(clock.now(), server, s.name(), answer.text());
+                                    loads.loadHeaderReceived(clock.now(), server, answer.header(OrcaReport.HEADER));
+                                    broker.setUpAnswered(clock.now(), server, s.name(), answer.bodyText());
                                     if (broker.isActive(s.name())) { // its front may have ended it at once
-                                        loads.stands(
+                                        loads.sessionStarted(
                                                 clock.now(), server, s.name(), s.className(), s.highestRendition());
                                     }
                                 } catch (Playlists.UnusablePlaylistException e) {
@@ -106,7 +106,7 @@
                             }
 
                             @Override
-                            public void broken(boolean ran, String why) {
+                            public void onFailure(boolean ran, String why) {
                                 setUpFetches.remove(s.name());
                                 LOG.info("playlist not fetched: server={} title={} why={}", server, s.title(), why);
                                 broker.ended(
@@ -134,12 +134,12 @@
     /** The rung takes hold in the front, with the session's next fetch. */
     @Override
     public void setRendition(String server, String name, int rung) {
-        loads.rate(clock.now(), name, rung);
+        loads.renditionChanged(clock.now(), name, rung);
     }
 
     @Override
     public void sessionEnded(String server, String name) {
-        loads.over(clock.now(), name);
+        loads.sessionEnded(clock.now(), name);
     }
 
     /** There is no connection to keep: each fetch has its own. */
@@ -150,14 +150,14 @@
     HttpFetch fetchMediaPlaylist(String server, String path, HttpFetch.Listener listener) {
         HttpFetch.Listener heard = new HttpFetch.Listener() {
             @Override
-            public void answered(Headed answer) {
-                loads.header(clock.now(), server, answer.header(OrcaReport.HEADER));
-                listener.answered(answer);
+            public void onResponse(HttpStyleMessage answer) {
+                loads.loadHeaderReceived(clock.now(), server, answer.header(OrcaReport.HEADER));
+                listener.onResponse(answer);
             }
 
             @Override
-            public void broken(boolean ran, String why) {
-                listener.broken(ran, why);
+            public void onFailure(boolean ran, String why) {
+                listener.onFailure(ran, why);
             }
         };
         return HttpFetch.get(
--- a/src/main/java/dockshed/hls/HlsFront.java
+++ b/src/main/java/dockshed/hls/HlsFront.java
@@ -12,9 +12,9 @@
 import dockshed.hls.Playlists.UnusablePlaylistException;
 import dockshed.net.ByteHandler;
 import dockshed.net.Clock;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
 import dockshed.net.HttpFetch;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.Net;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -132,7 +132,8 @@
                 headers.put("Connection", "close");
             }
             connection.write(
-                    Headed.encode("HTTP/1.1 " + code + " " + phrase, headers, body.getBytes(StandardCharsets.UTF_8)),
+                    HttpStyleMessage.encode(
+                            "HTTP/1.1 " + code + " " + phrase, headers, body.getBytes(StandardCharsets.UTF_8)),
                     closeAfter);
         }
 
@@ -146,8 +147,8 @@
     }
 
     private final class Connection extends ByteHandler {
-        private final HeadedDecoder decoder = new HeadedDecoder(MAX_REQUEST_BYTES);
-        private final ArrayDeque<Headed> requestQueue = new ArrayDeque<>();
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_REQUEST_BYTES);
+        private final ArrayDeque<HttpStyleMessage> requestQueue = new ArrayDeque<>();
         private Channel channel;
         private boolean answering;
         private boolean closing;
@@ -165,22 +166,22 @@
         }
 
         @Override
-        protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+        protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
             if (closing) {
                 return;
             }
             decoder.add(bytes, 0, bytes.length);
             try {
-                for (Headed m = decoder.next(); m != null; m = decoder.next()) {
+                for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
                     requestQueue.add(m);
                     if (requestQueue.size() > MAX_PIPELINED_REQUESTS) {
-                        throw new Headed.Malformed("too many requests at once");
+                        throw new HttpStyleMessage.MalformedMessageException("too many requests at once");
                     }
                 }
-            } catch (Headed.Malformed e) {
+            } catch (HttpStyleMessage.MalformedMessageException e) {
                 LOG.warn("HLS request malformed: remote={} why={}", channel.remoteAddress(), e.getMessage());
                 closing = true;
-                requestQueue.add(new Headed("", Map.of(), new byte[0])); // answered in its turn
+                requestQueue.add(new HttpStyleMessage("", Map.of(), new byte[0])); // answered in its turn
             }
             processNext();
         }
@@ -197,14 +198,14 @@
         }
 
         private void processNext() {
-            Headed m = answering ? null : requestQueue.poll();
+            HttpStyleMessage m = answering ? null : requestQueue.poll();
             if (m == null) {
                 return;
             }
             answering = true;
             lastUsedUs = clock.now();
             boolean last = "close".equalsIgnoreCase(m.header("connection"))
-                    || m.word(2).equals("HTTP/1.0")
+                    || m.startLinePart(2).equals("HTTP/1.0")
                     || closing && requestQueue.isEmpty();
             handleRequest(new Exchange(this, last), m);
         }
@@ -212,7 +213,7 @@
         private void write(byte[] bytes, boolean last) {
             answering = false;
             lastUsedUs = clock.now();
-            var done = channel.writeAndFlush(Net.buf(bytes));
+            var done = channel.writeAndFlush(Net.toByteBuf(bytes));
             if (last) {
                 done.addListener(ChannelFutureListener.CLOSE);
                 closing = true;
@@ -223,7 +224,7 @@
         }
 
         @Override
-        protected void closed(ChannelHandlerContext ctx, boolean reset) {
+        protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             connections--;
             requestQueue.clear();
             closing = true;
@@ -249,24 +250,24 @@
         }
     }
 
-    private void handleRequest(Exchange x, Headed m) {
+    private void handleRequest(Exchange x, HttpStyleMessage m) {
         try {
-            URI target = new URI(m.word(1));
+            URI target = new URI(m.startLinePart(1));
             String path = target.getRawPath();
-            if (path == null || !path.startsWith("/") || !m.word(2).startsWith("HTTP/1.")) {
+            if (path == null || !path.startsWith("/") || !m.startLinePart(2).startsWith("HTTP/1.")) {
                 throw new IllegalArgumentException("no HTTP request");
             }
-            if (!m.word(0).equals("GET") && !m.word(0).equals("DELETE")) {
+            if (!m.startLinePart(0).equals("GET") && !m.startLinePart(0).equals("DELETE")) {
                 x.answer(405, "Method Not Allowed", "text/plain", "", Map.of("Allow", "GET, DELETE"));
             } else if (path.startsWith(LESSONS_PATH)
                     && path.endsWith(MASTER_PLAYLIST_SUFFIX)
-                    && m.word(0).equals("GET")) {
+                    && m.startLinePart(0).equals("GET")) {
                 handleLessonRequest(
                         x,
                         target,
                         path.substring(LESSONS_PATH.length(), path.length() - MASTER_PLAYLIST_SUFFIX.length()));
             } else if (path.startsWith(SESSIONS_PATH)) {
-                handleSessionRequest(x, m.word(0).equals("DELETE"), path.substring(SESSIONS_PATH.length()));
+                handleSessionRequest(x, m.startLinePart(0).equals("DELETE"), path.substring(SESSIONS_PATH.length()));
             } else {
                 x.answerError(404, "Not Found");
             }
@@ -433,13 +434,13 @@
         TimerQueue.Timer[] late = {null};
         HttpFetch f = origins.fetchMediaPlaylist(s.server, path, new HttpFetch.Listener() {
             @Override
-            public void answered(Headed answer) {
+            public void onResponse(HttpStyleMessage answer) {
                 deadlines.cancel(late[0]);
                 try {
                     if (answer.status() != 200) {
                         throw new UnusablePlaylistException("status " + answer.status());
                     }
-                    String text = Playlists.rewriteMediaPlaylist(answer.text(), uri);
+                    String text = Playlists.rewriteMediaPlaylist(answer.bodyText(), uri);
                     s.cachedMediaPlaylists.put(number, text);
                     extendActivity(s, Playlists.playDurationUs(text));
                     x.answerPlaylist(text);
@@ -450,7 +451,7 @@
             }
 
             @Override
-            public void broken(boolean ran, String why) {
+            public void onFailure(boolean ran, String why) {
                 deadlines.cancel(late[0]);
                 LOG.info("media playlist not fetched: session={} why={}", s.name, why);
                 x.answerError(502, "Bad Gateway");
--- a/src/main/java/dockshed/load/ReckonedLoads.java
+++ b/src/main/java/dockshed/load/EstimatedLoads.java
@@ -15,13 +15,13 @@
  * rates times the brokers that share the box, or what the box itself said last and the own changes since. A promise
  * counts from the moment it is given, so the figure is never under the own sessions' rates. Times are microseconds.
  */
-public final class ReckonedLoads {
+public final class EstimatedLoads {
     /** What a box said is believed for so long; after it own rates alone count. */
-    static final long BELIEVED = 10_000_000;
+    static final long REPORT_VALIDITY_US = 10_000_000;
     /** Changes kept of a box: ten times the set-ups that the busiest fleet sees at one box within the lag of notes. */
-    static final int MOST_CHANGES = 512;
+    static final int MAX_CHANGES = 512;
     /** Over this a box's own word is no share of a link but another unit. */
-    static final double MOST_SAID = 20;
+    static final double MAX_REPORTED_SHARE = 20;
 
     private record Change(long at, double kb) {}
 
@@ -51,13 +51,13 @@
     private final LinkedHashMap<String, Box> boxes = new LinkedHashMap<>();
     private final Map<String, Standing> byName = new HashMap<>();
 
-    public ReckonedLoads(Settings settings) {
+    public EstimatedLoads(Settings settings) {
         this.settings = settings;
         settings.classes().forEach(c -> classes.put(c.name(), c));
     }
 
     /** The boxes as now listed, all of them: how much each link carries is told by the list alone. */
-    public void members(List<Server> servers) {
+    public void updateServers(List<Server> servers) {
         listed.clear();
         links.clear();
         servers.forEach(s -> listed.put(s.id(), s));
@@ -72,7 +72,7 @@
     }
 
     /** A session stands at a box, on a rung. */
-    public void stands(long now, String server, String name, String className, int rung) {
+    public void sessionStarted(long now, String server, String name, String className, int rung) {
         SessionClass cls = classes.get(className);
         if (cls == null || byName.containsKey(name)) {
             return;
@@ -83,7 +83,7 @@
         change(now, s.box(), s.kb());
     }
 
-    public void rate(long now, String name, int rung) {
+    public void renditionChanged(long now, String name, int rung) {
         Standing was = byName.get(name);
         if (was != null) {
             Standing is = new Standing(was.box(), was.cls(), kb(was.cls(), rung));
@@ -93,18 +93,18 @@
         }
     }
 
-    public void over(long now, String name) {
+    public void sessionEnded(long now, String name) {
         Standing s = byName.remove(name);
         if (s != null) {
             s.box().sessions.remove(name);
             change(now, s.box(), -s.kb());
-            boxes.values().removeIf(b -> b.sessions.isEmpty() && now - b.saidAt > BELIEVED);
+            boxes.values().removeIf(b -> b.sessions.isEmpty() && now - b.saidAt > REPORT_VALIDITY_US);
         }
     }
 
     /** A box said what share of its link is asked. */
-    public void said(long now, String server, double share) {
-        if (share >= 0 && share <= MOST_SAID && listed.containsKey(server)) {
+    public void serverReported(long now, String server, double share) {
+        if (share >= 0 && share <= MAX_REPORTED_SHARE && listed.containsKey(server)) {
             Box b = boxes.computeIfAbsent(server, id -> new Box());
             b.said = share * gives(now, server);
             b.saidAt = now;
@@ -119,8 +119,8 @@
     private void change(long now, Box b, double kb) {
         b.own += kb;
         b.changes.add(new Change(now, kb));
-        while (b.changes.size() > MOST_CHANGES
-                || b.changes.peekFirst().at() < now - settings.limits().reportDelay() - BELIEVED) {
+        while (b.changes.size() > MAX_CHANGES
+                || b.changes.peekFirst().at() < now - settings.limits().reportDelay() - REPORT_VALIDITY_US) {
             b.changes.removeFirst();
         }
         if (b.sessions.isEmpty()) {
@@ -136,19 +136,20 @@
     }
 
     /** The share of the box's link that was asked at a time at most the lag of notes ago. */
-    public double share(long now, String server, long at) {
+    public double linkShare(long now, String server, long at) {
         Box b = boxes.get(server);
         if (b == null) {
             return 0;
         }
         double own = b.ownAt(at);
-        double all =
-                b.saidAt > now - BELIEVED ? Math.max(own, b.said + own - b.ownAt(b.saidAt)) : own * settings.brokers();
+        double all = b.saidAt > now - REPORT_VALIDITY_US
+                ? Math.max(own, b.said + own - b.ownAt(b.saidAt))
+                : own * settings.brokers();
         return all / gives(now, server);
     }
 
     /** The boxes with own sessions, each with one of these: whose reading it may be told as. */
-    public Map<String, String> heldBy() {
+    public Map<String, String> sessionByServer() {
         Map<String, String> out = new LinkedHashMap<>();
         boxes.forEach((id, b) -> {
             if (!b.sessions.isEmpty()) {
@@ -159,7 +160,7 @@
     }
 
     /** Names held, for tests and the log. */
-    public List<String> names() {
+    public List<String> sessionNames() {
         return new ArrayList<>(byName.keySet());
     }
 }
--- a/src/main/java/dockshed/load/OrcaReport.java
+++ b/src/main/java/dockshed/load/OrcaReport.java
@@ -14,7 +14,7 @@
 public final class OrcaReport {
     public static final String HEADER = "endpoint-load-metrics";
     /** Longer than any report of sense: what is longer is passed over unread. */
-    static final int MOST_TEXT = 4096;
+    static final int MAX_HEADER_CHARS = 4096;
 
     private static final List<String> FIELDS = List.of(
             "utilization.link", "named_metrics.link_utilization", "named_metrics.link", "application_utilization");
@@ -22,8 +22,8 @@
     private OrcaReport() {}
 
     /** The share of the link that is asked, as the header says; empty where it does not, or cannot be read. */
-    public static OptionalDouble link(String header) {
-        if (header == null || header.length() > MOST_TEXT) {
+    public static OptionalDouble linkShare(String header) {
+        if (header == null || header.length() > MAX_HEADER_CHARS) {
             return OptionalDouble.empty();
         }
         if (header.startsWith("JSON ")) {
--- a/src/main/java/dockshed/names/Dns.java
+++ b/src/main/java/dockshed/names/Dns.java
@@ -13,13 +13,13 @@
     static final int TXT = 16;
     static final int SRV = 33;
     /** The response code of a name that has no records (RFC 1035, 4.1.1). */
-    static final int NO_SUCH_NAME = 3;
+    static final int NXDOMAIN = 3;
 
     /** Bytes that are no answer that can be used. */
-    static final class Malformed extends Exception {
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String why) {
+        MalformedMessageException(String why) {
             super(why);
         }
     }
@@ -37,7 +37,7 @@
             long serial) {}
 
     /** {@code code}: the response code; {@code cut}: the answer did not fit. */
-    record Answer(int id, int code, boolean cut, String question, int type, List<Record> records) {}
+    record Answer(int id, int responseCode, boolean truncated, String question, int type, List<Record> records) {}
 
     private Dns() {}
 
@@ -59,7 +59,7 @@
         return out.toByteArray();
     }
 
-    static Answer read(byte[] packet) throws Malformed {
+    static Answer parse(byte[] packet) throws MalformedMessageException {
         return new Reader(packet).answer();
     }
 
@@ -71,16 +71,16 @@
             this.in = in;
         }
 
-        Answer answer() throws Malformed {
+        Answer answer() throws MalformedMessageException {
             int id = u16();
             int flags = u16();
             if ((flags & 0x8000) == 0) {
-                throw new Malformed("not an answer");
+                throw new MalformedMessageException("not an answer");
             }
             int questions = u16();
             int records = u16() + u16() + u16();
             if (questions != 1) {
-                throw new Malformed("questions: " + questions);
+                throw new MalformedMessageException("questions: " + questions);
             }
             String question = name();
             int type = u16();
@@ -90,7 +90,7 @@
             for (int i = 0; i < records && !(cut && at >= in.length); i++) {
                 try {
                     out.add(record());
-                } catch (Malformed e) {
+                } catch (MalformedMessageException e) {
                     if (!cut) {
                         throw e;
                     }
@@ -100,7 +100,7 @@
             return new Answer(id, flags & 15, cut, question, type, out);
         }
 
-        private Record record() throws Malformed {
+        private Record record() throws MalformedMessageException {
             String name = name();
             int type = u16();
             u16();
@@ -109,14 +109,14 @@
             int length = u16();
             int end = at + length;
             if (end > in.length) {
-                throw new Malformed("record beyond the end");
+                throw new MalformedMessageException("record beyond the end");
             }
             Record r =
                     switch (type) {
                         case SRV -> new Record(name, type, u16(), u16(), u16(), name(), null, List.of(), 0);
                         case A -> {
                             if (length != 4) {
-                                throw new Malformed("address of " + length + " bytes");
+                                throw new MalformedMessageException("address of " + length + " bytes");
                             }
                             yield new Record(
                                     name,
@@ -134,7 +134,7 @@
                             while (at < end) {
                                 int size = u8();
                                 if (at + size > end) {
-                                    throw new Malformed("text beyond its record");
+                                    throw new MalformedMessageException("text beyond its record");
                                 }
                                 texts.add(new String(in, at, size, StandardCharsets.UTF_8));
                                 at += size;
@@ -149,21 +149,21 @@
                         default -> new Record(name, type, 0, 0, 0, null, null, List.of(), 0);
                     };
             if (at > end) {
-                throw new Malformed("record longer than it says");
+                throw new MalformedMessageException("record longer than it says");
             }
             at = end;
             return r;
         }
 
         /** A name, followed through its pointers, which must lead backwards; in lower case. */
-        private String name() throws Malformed {
+        private String name() throws MalformedMessageException {
             StringBuilder out = new StringBuilder();
             int here = at;
             int least = at;
             boolean jumped = false;
             while (true) {
                 if (here >= in.length) {
-                    throw new Malformed("name beyond the end");
+                    throw new MalformedMessageException("name beyond the end");
                 }
                 int length = in[here] & 0xff;
                 if (length == 0) {
@@ -174,7 +174,7 @@
                 }
                 if (length >= 0xc0) {
                     if (here + 1 >= in.length) {
-                        throw new Malformed("name beyond the end");
+                        throw new MalformedMessageException("name beyond the end");
                     }
                     int to = (length & 0x3f) << 8 | in[here + 1] & 0xff;
                     if (!jumped) {
@@ -182,14 +182,14 @@
                     }
                     jumped = true;
                     if (to >= least) {
-                        throw new Malformed("pointer that does not lead back");
+                        throw new MalformedMessageException("pointer that does not lead back");
                     }
                     least = to;
                     here = to;
                     continue;
                 }
                 if (length > 63 || here + 1 + length > in.length || out.length() + length > 255) {
-                    throw new Malformed("bad label");
+                    throw new MalformedMessageException("bad label");
                 }
                 out.append(out.length() == 0 ? "" : ".")
                         .append(new String(in, here + 1, length, StandardCharsets.US_ASCII).toLowerCase(Locale.ROOT));
@@ -197,14 +197,14 @@
             }
         }
 
-        private int u8() throws Malformed {
+        private int u8() throws MalformedMessageException {
             if (at >= in.length) {
-                throw new Malformed("ends early");
+                throw new MalformedMessageException("ends early");
             }
             return in[at++] & 0xff;
         }
 
-        private int u16() throws Malformed {
+        private int u16() throws MalformedMessageException {
             return u8() << 8 | u8();
         }
     }
--- a/src/main/java/dockshed/names/FleetList.java
+++ b/src/main/java/dockshed/names/EdgeServerList.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 
 /** The fleet as last told, and what each whole list changes in it. No I/O. */
-final class FleetList {
+final class EdgeServerList {
     /** Weights travel as ten times what they are. */
     private static final double WEIGHT_UNIT = 10;
 
-    private final Map<String, Listing> now = new LinkedHashMap<>();
+    private final Map<String, ListedServer> current = new LinkedHashMap<>();
     private long serial = -1;
 
     long serial() {
@@ -25,48 +25,48 @@
 
     Map<String, InetSocketAddress> addresses() {
         Map<String, InetSocketAddress> out = new LinkedHashMap<>();
-        now.forEach((id, l) -> out.put(id, l.at()));
+        current.forEach((id, l) -> out.put(id, l.address()));
         return out;
     }
 
     /** Takes an event from the configuration: the whole list, or what has changed. */
-    List<Server> known(long number, ListScope scope, List<Listing> listings) {
+    List<Server> applyConfigured(long number, ListScope scope, List<ListedServer> listings) {
         serial = number;
         if (scope == ListScope.DISK) {
-            now.clear();
+            current.clear();
         }
         return apply(listings);
     }
 
-    private List<Server> apply(List<Listing> listings) {
+    private List<Server> apply(List<ListedServer> listings) {
         List<Server> out = new ArrayList<>();
-        for (Listing l : listings) {
+        for (ListedServer l : listings) {
             out.add(l.server());
             if (l.server().state() == State.GONE) {
-                now.remove(l.server().id());
+                current.remove(l.server().id());
             } else {
-                now.put(l.server().id(), l);
+                current.put(l.server().id(), l);
             }
         }
         return out;
     }
 
     /** What a whole list of this number changes, or null where it is older than what is known. */
-    List<Server> whole(long number, List<Listing> listings) {
+    List<Server> replaceAll(long number, List<ListedServer> listings) {
         if (number < serial) {
             return null;
         }
         serial = number;
-        Map<String, Listing> next = new LinkedHashMap<>();
+        Map<String, ListedServer> next = new LinkedHashMap<>();
         listings.forEach(l -> next.put(l.server().id(), l));
-        List<Listing> changes = new ArrayList<>();
-        for (Listing was : List.copyOf(now.values())) {
+        List<ListedServer> changes = new ArrayList<>();
+        for (ListedServer was : List.copyOf(current.values())) {
             if (!next.containsKey(was.server().id())) {
-                changes.add(gone(was));
+                changes.add(remove(was));
             }
         }
-        for (Listing l : listings) {
-            if (!l.equals(now.get(l.server().id()))) {
+        for (ListedServer l : listings) {
+            if (!l.equals(current.get(l.server().id()))) {
                 changes.add(l);
             }
         }
@@ -74,31 +74,31 @@
     }
 
     /** What part of a list of this number changes; whoever it does not name stays. */
-    List<Server> part(long number, List<Listing> listings) {
+    List<Server> merge(long number, List<ListedServer> listings) {
         serial = Math.max(serial, number);
         return apply(listings.stream()
-                .filter(l -> !l.equals(now.get(l.server().id())))
+                .filter(l -> !l.equals(current.get(l.server().id())))
                 .toList());
     }
 
     /** The server has no records any more. */
-    List<Server> gone(String id) {
-        Listing was = now.get(id);
-        return was == null ? List.of() : apply(List.of(gone(was)));
+    List<Server> remove(String id) {
+        ListedServer was = current.get(id);
+        return was == null ? List.of() : apply(List.of(remove(was)));
     }
 
-    Listing get(String id) {
-        return now.get(id);
+    ListedServer get(String id) {
+        return current.get(id);
     }
 
-    List<Listing> all() {
-        return List.copyOf(now.values());
+    List<ListedServer> all() {
+        return List.copyOf(current.values());
     }
 
-    private static Listing gone(Listing was) {
+    private static ListedServer remove(ListedServer was) {
         Server s = was.server();
-        return new Listing(
-                new Server(s.id(), s.zone(), s.kind(), s.cell(), State.GONE, s.weight(), s.upSince()), was.at());
+        return new ListedServer(
+                new Server(s.id(), s.zone(), s.kind(), s.cell(), State.GONE, s.weight(), s.upSince()), was.address());
     }
 
     /** The serial of the list in an answer; -1 where there is none. */
@@ -117,10 +117,11 @@
     }
 
     /** A server as its records tell; what {@code address} or {@code text} lacks is as {@code known}, which may be null. */
-    static Listing listing(Record service, Record address, Record text, Listing known) throws Dns.Malformed {
+    static ListedServer toListedServer(Record service, Record address, Record text, ListedServer known)
+            throws Dns.MalformedMessageException {
         String[] labels = service.target().split("\\.");
         if (labels.length < 2 || address == null && known == null) {
-            throw new Dns.Malformed("target without an address or a zone: " + service.target());
+            throw new Dns.MalformedMessageException("target without an address or a zone: " + service.target());
         }
         Map<String, String> facts = new HashMap<>();
         if (text != null) {
@@ -133,7 +134,7 @@
         }
         Server was = text != null || known == null ? new Server("", "", "", 0, State.UP, 0, 0) : known.server();
         try {
-            return new Listing(
+            return new ListedServer(
                     new Server(
                             labels[0],
                             labels[1],
@@ -145,9 +146,13 @@
                                     ? Math.round(Double.parseDouble(facts.get("started")) * 1000)
                                     : was.upSince()),
                     new InetSocketAddress(
-                            address != null ? address.address() : known.at().getHostString(), service.port()));
+                            address != null
+                                    ? address.address()
+                                    : known.address().getHostString(),
+                            service.port()));
         } catch (NumberFormatException e) {
-            throw new Dns.Malformed("text of " + service.target() + " holds no number: " + e.getMessage());
+            throw new Dns.MalformedMessageException(
+                    "text of " + service.target() + " holds no number: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/dockshed/names/Survey.java
+++ b/src/main/java/dockshed/names/EdgeServerListUpdater.java
@@ -20,15 +20,15 @@
  * that is known the address stands, since another machine has another id; its text is asked for again in turn, as it
  * tells of a restart.
  */
-final class Survey {
+final class EdgeServerListUpdater {
     /** Questions out at a time: a fleet's brokers ask the same service, and its answers to the list must not wait. */
-    static final int AT_ONCE = 16;
+    static final int MAX_OPEN_QUESTIONS = 16;
     /** Of them, those between two looks that ask for what is known already. */
-    static final int REFRESHED = 4;
+    static final int MAX_REFRESHES_PER_LIST = 4;
     /** A question unanswered for so long is put again. */
-    static final long PATIENCE = 1_000_000;
+    static final long QUESTION_TIMEOUT_US = 1_000_000;
     /** Targets of one list at most: as many as the program bears, four times over. */
-    static final int MOST_TARGETS = 4096;
+    static final int MAX_TARGETS = 4096;
 
     record Question(String target, int type) {}
 
@@ -43,7 +43,7 @@
         }
     }
 
-    private final FleetList list;
+    private final EdgeServerList list;
     private final String service;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Set<Question> needed = new LinkedHashSet<>();
@@ -53,23 +53,23 @@
     private boolean complete;
     private int budget;
 
-    Survey(FleetList list, String service) {
+    EdgeServerListUpdater(EdgeServerList list, String service) {
         this.list = list;
         this.service = service;
     }
 
     /** An answer to the question for the whole list: what changes by it; null where it is of no use or older than known. */
-    List<Server> whole(Answer a) throws Dns.Malformed {
-        long told = FleetList.serial(a.records());
+    List<Server> applyListAnswer(Answer a) throws Dns.MalformedMessageException {
+        long told = EdgeServerList.serial(a.records());
         boolean undated = told < 0;
-        if (undated && !a.cut()) {
-            throw new Dns.Malformed("list without a serial");
+        if (undated && !a.truncated()) {
+            throw new Dns.MalformedMessageException("list without a serial");
         }
         if (undated) {
             told = Math.max(number, list.serial()); // what was cut off may be the serial
         }
-        budget = REFRESHED;
-        if (told < list.serial() || told == number && complete && settled()) {
+        budget = MAX_REFRESHES_PER_LIST;
+        if (told < list.serial() || told == number && complete && isSettled()) {
             return told < list.serial() ? null : List.of();
         }
         boolean news = told != number;
@@ -79,11 +79,11 @@
             needed.clear();
             refreshed.clear();
         }
-        Map<String, Record> addresses = FleetList.byName(a.records(), Dns.A);
-        Map<String, Record> texts = FleetList.byName(a.records(), Dns.TXT);
+        Map<String, Record> addresses = EdgeServerList.byName(a.records(), Dns.A);
+        Map<String, Record> texts = EdgeServerList.byName(a.records(), Dns.TXT);
         Set<String> named = new HashSet<>();
         for (Record r : a.records()) {
-            if (r.type() != Dns.SRV || !r.name().equals(service) || targets.size() >= MOST_TARGETS) {
+            if (r.type() != Dns.SRV || !r.name().equals(service) || targets.size() >= MAX_TARGETS) {
                 continue;
             }
             Target was = targets.get(r.target());
@@ -100,10 +100,10 @@
                 need(known ? refreshed : needed, r.target(), Dns.TXT);
             }
         }
-        List<Listing> listings = new ArrayList<>();
+        List<ListedServer> listings = new ArrayList<>();
         for (String target : named) {
-            Listing l = listing(targets.get(target));
-            Listing was = l == null ? null : list.get(l.server().id());
+            ListedServer l = listing(targets.get(target));
+            ListedServer was = l == null ? null : list.get(l.server().id());
             // One without a date may be late: it takes no drain back.
             if (l != null
                     && !(undated
@@ -112,15 +112,15 @@
                 listings.add(l);
             }
         }
-        if (a.cut()) {
+        if (a.truncated()) {
             if (news) {
                 absent(named);
             }
-            return list.part(told, listings);
+            return list.merge(told, listings);
         }
         targets.keySet().retainAll(named);
         complete = true;
-        return list.whole(told, listings);
+        return list.replaceAll(told, listings);
     }
 
     private void need(Set<Question> among, String target, int type) {
@@ -138,7 +138,7 @@
                 .map(l -> "." + l[2])
                 .findFirst()
                 .orElse("");
-        for (Listing l : list.all()) {
+        for (ListedServer l : list.all()) {
             String target = l.server().id() + "." + l.server().zone() + suffix;
             if (!suffix.isEmpty() && !named.contains(target)) {
                 need(refreshed, target, Dns.A);
@@ -147,13 +147,13 @@
     }
 
     /** An answer to a question by name: what changes by it. */
-    List<Server> reply(Question q, Answer a) throws Dns.Malformed {
+    List<Server> applyRecordAnswer(Question q, Answer a) throws Dns.MalformedMessageException {
         out.remove(q);
-        Record r = FleetList.byName(a.records(), q.type()).get(q.target());
+        Record r = EdgeServerList.byName(a.records(), q.type()).get(q.target());
         Target t = targets.get(q.target());
         if (r == null && q.type() == Dns.A) { // one that is gone has no records
             targets.remove(q.target());
-            return list.gone(id(q.target()));
+            return list.remove(id(q.target()));
         }
         if (t == null) {
             return List.of(); // only absent from a cut answer, and there still
@@ -163,19 +163,19 @@
         } else {
             t.text = r != null ? r : new Record(q.target(), Dns.TXT, 0, 0, 0, null, null, List.of(), 0);
         }
-        Listing l = listing(t);
-        return l == null ? List.of() : list.part(number, List.of(l));
+        ListedServer l = listing(t);
+        return l == null ? List.of() : list.merge(number, List.of(l));
     }
 
     /** The next question to be put now, or null. */
-    Question next(long now) {
+    Question nextQuestion(long now) {
         for (Map.Entry<Question, Long> e : out.entrySet()) {
-            if (now - e.getValue() > PATIENCE) {
+            if (now - e.getValue() > QUESTION_TIMEOUT_US) {
                 e.setValue(now);
                 return e.getKey();
             }
         }
-        if (out.size() >= AT_ONCE) {
+        if (out.size() >= MAX_OPEN_QUESTIONS) {
             return null;
         }
         Question q = null;
@@ -194,12 +194,12 @@
     }
 
     /** Whether nothing of the last list, as far as it was shown, is still to be asked for or answered. */
-    boolean settled() {
+    boolean isSettled() {
         return number >= 0 && needed.isEmpty() && refreshed.isEmpty() && out.isEmpty();
     }
 
     /** Another server is asked from now on: what was out is put to it as its list wants. */
-    void moved() {
+    void reset() {
         out.clear();
         needed.clear();
         refreshed.clear();
@@ -208,12 +208,12 @@
     }
 
     /** What is known of the target as a server of the list; null while it lacks what it can't do without. */
-    private Listing listing(Target t) throws Dns.Malformed {
-        Listing known = list.get(id(t.service.target()));
+    private ListedServer listing(Target t) throws Dns.MalformedMessageException {
+        ListedServer known = list.get(id(t.service.target()));
         if (known == null && (t.address == null || t.text == null)) {
             return null;
         }
-        return FleetList.listing(t.service, t.address, t.text, known);
+        return EdgeServerList.toListedServer(t.service, t.address, t.text, known);
     }
 
     private static String id(String target) {
--- a/src/main/java/dockshed/names/Listing.java
+++ b/src/main/java/dockshed/names/ListedServer.java
@@ -4,4 +4,4 @@
 import java.net.InetSocketAddress;
 
 /** A server of the list and where it listens. */
-public record Listing(Server server, InetSocketAddress at) {}
+public record ListedServer(Server server, InetSocketAddress address) {}
--- a/src/main/java/dockshed/net/ByteHandler.java
+++ b/src/main/java/dockshed/net/ByteHandler.java
@@ -15,28 +15,28 @@
     /** Whether the connection was broken off rather than closed. */
     private boolean broken;
 
-    protected abstract void bytes(ChannelHandlerContext ctx, byte[] bytes);
+    protected abstract void onBytes(ChannelHandlerContext ctx, byte[] bytes);
 
     /** Whether what still comes is only to be let past, unread. */
-    protected boolean passesOver(int count) {
+    protected boolean discardsInput(int count) {
         return false;
     }
 
-    protected abstract void closed(ChannelHandlerContext ctx, boolean reset);
+    protected abstract void onClosed(ChannelHandlerContext ctx, boolean reset);
 
-    /** All that had come has been given to {@link #bytes}; {@code ended}: nothing more will come. */
-    protected void caughtUp(ChannelHandlerContext ctx, boolean ended) {}
+    /** All that had come has been given to {@link #onBytes}; {@code ended}: nothing more will come. */
+    protected void onReadComplete(ChannelHandlerContext ctx, boolean ended) {}
 
     /** The peer has ended its output, and may have closed the connection; by default it is closed here, too. */
-    protected void inputEnded(ChannelHandlerContext ctx) {
+    protected void onInputEnded(ChannelHandlerContext ctx) {
         ctx.close();
     }
 
-    /** The connection has just been found broken off; {@link #closed} follows, after what else is waiting to be done. */
-    protected void broke() {}
+    /** The connection has just been found broken off; {@link #onClosed} follows, after what else is waiting to be done. */
+    protected void onConnectionBroken() {}
 
     /** What follows an internal error while the connection itself is whole. */
-    protected void failed(ChannelHandlerContext ctx) {
+    protected void onInternalError(ChannelHandlerContext ctx) {
         ctx.close();
     }
 
@@ -44,8 +44,8 @@
     public final void channelRead(ChannelHandlerContext ctx, Object msg) {
         ByteBuf buf = (ByteBuf) msg;
         try {
-            if (!passesOver(buf.readableBytes())) {
-                bytes(ctx, Net.bytes(buf));
+            if (!discardsInput(buf.readableBytes())) {
+                onBytes(ctx, Net.toBytes(buf));
             }
         } finally {
             buf.release();
@@ -54,20 +54,20 @@
 
     @Override
     public final void channelReadComplete(ChannelHandlerContext ctx) {
-        caughtUp(ctx, Net.inputEnded(ctx.channel()));
+        onReadComplete(ctx, Net.inputEnded(ctx.channel()));
     }
 
     /** Comes only where {@link Net} was asked to leave a connection open whose peer has ended its output. */
     @Override
     public final void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event == ChannelInputShutdownEvent.INSTANCE) {
-            inputEnded(ctx);
+            onInputEnded(ctx);
         }
     }
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        closed(ctx, broken);
+        onClosed(ctx, broken);
     }
 
     /** A peer that does not read what it is sent is not read from either, until it has caught up. */
@@ -80,14 +80,14 @@
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
             broken = true;
-            broke();
+            onConnectionBroken();
             ctx.close();
         } else {
             LOG.error(
                     "connection ends after an internal error: remote={}",
                     ctx.channel().remoteAddress(),
                     cause);
-            failed(ctx);
+            onInternalError(ctx);
         }
     }
 }
--- a/src/main/java/dockshed/net/PlannedEnd.java
+++ b/src/main/java/dockshed/net/GracefulShutdown.java
@@ -6,7 +6,7 @@
  * unanswered or not; those go on until they are answered or shortly before the program would be killed. It halts once
  * nothing that was written waits any more, and nothing more came to be written for a while.
  */
-final class PlannedEnd {
+final class GracefulShutdown {
     enum Step {
         WAIT,
         TELL,
@@ -16,22 +16,22 @@
     }
 
     /** New connections come for 0.4 s at most, and requests for 0.2 s more; some slack on top. */
-    static final long STILL_COMING = 800_000;
+    static final long MIN_SERVING_US = 800_000;
     /** Viewers' time counts up to this, and SIGKILL comes no sooner than that and the grace after SIGTERM. */
-    private static final long LONGEST = 3_000_000;
+    private static final long MAX_CLIENT_DEADLINE_US = 3_000_000;
 
-    private static final long GRACE = 700_000;
+    private static final long KILL_GRACE_US = 700_000;
     /** What is kept of that: to tell every viewer and server, on a processor that others use too. */
-    private static final long MARGIN = 250_000;
+    private static final long RELEASE_MARGIN_US = 250_000;
     /** Before SIGKILL: to tell those still unanswered; to have halted. */
-    private static final long FAIL_MARGIN = 100_000;
+    private static final long FAIL_MARGIN_US = 100_000;
 
-    private static final long HALT_MARGIN = 20_000;
+    private static final long HALT_MARGIN_US = 20_000;
     /** So long nothing may have come or waited: what a viewer still sends, unread, would reset its connection. */
-    private static final long QUIET = 50_000;
+    private static final long QUIET_PERIOD_US = 50_000;
 
-    private final long told;
-    private final long tellAt;
+    private final long signalledAt;
+    private final long releaseAt;
     private final long failAt;
     private final long haltAt;
     private boolean ends;
@@ -39,21 +39,23 @@
     private long quietSince = -1; // -1: something is unanswered, or was when last asked
 
     /** {@code told}: when SIGTERM came; {@code longest}: the longest time that a viewer waits. */
-    PlannedEnd(long told, long longest) {
-        this.told = told;
-        long killed = told + Math.max(STILL_COMING + MARGIN, Math.min(longest, LONGEST) + GRACE);
-        tellAt = killed - MARGIN;
-        failAt = killed - FAIL_MARGIN;
-        haltAt = killed - HALT_MARGIN;
+    GracefulShutdown(long told, long longest) {
+        this.signalledAt = told;
+        long killed = told
+                + Math.max(
+                        MIN_SERVING_US + RELEASE_MARGIN_US, Math.min(longest, MAX_CLIENT_DEADLINE_US) + KILL_GRACE_US);
+        releaseAt = killed - RELEASE_MARGIN_US;
+        failAt = killed - FAIL_MARGIN_US;
+        haltAt = killed - HALT_MARGIN_US;
     }
 
-    long told() {
-        return told;
+    long signalledAt() {
+        return signalledAt;
     }
 
     /** The next step; asked again and again, each step but WAIT having been carried out. */
-    Step step(long now, int unanswered, boolean unwritten) {
-        if (now < tellAt) {
+    Step nextStep(long now, int unanswered, boolean unwritten) {
+        if (now < releaseAt) {
             return Step.WAIT;
         }
         if (!ends) {
@@ -78,6 +80,6 @@
         if (unwritten) {
             quietSince = now;
         }
-        return now - quietSince >= QUIET ? Step.HALT : Step.WAIT;
+        return now - quietSince >= QUIET_PERIOD_US ? Step.HALT : Step.WAIT;
     }
 }
--- a/src/main/java/dockshed/net/HttpFetch.java
+++ b/src/main/java/dockshed/net/HttpFetch.java
@@ -11,10 +11,10 @@
 public final class HttpFetch {
     /** What came of it; exactly one of these is called, unless the fetch is cancelled first. */
     public interface Listener {
-        void answered(Headed answer);
+        void onResponse(HttpStyleMessage answer);
 
         /** {@code ran}: the request may have reached the server. */
-        void broken(boolean ran, String why);
+        void onFailure(boolean ran, String why);
     }
 
     private final Listener listener;
@@ -47,11 +47,11 @@
         byte[] request = head.append("\r\n").toString().getBytes(StandardCharsets.UTF_8);
         ChannelFuture coming = net.connect(to, connectMillis, () -> f.new Handler(limit));
         f.channel = coming.channel();
-        net.then(coming, done -> {
+        net.whenDone(coming, done -> {
             if (!done.isSuccess()) {
                 f.broken(false, "not connected: " + done.cause().getMessage());
             } else if (!f.over) {
-                f.channel.writeAndFlush(Net.buf(request)).addListener(w -> f.written |= w.isSuccess());
+                f.channel.writeAndFlush(Net.toByteBuf(request)).addListener(w -> f.written |= w.isSuccess());
             }
         });
         return f;
@@ -66,42 +66,42 @@
     private void broken(boolean ran, String why) {
         if (!over) {
             cancel();
-            listener.broken(ran, why);
+            listener.onFailure(ran, why);
         }
     }
 
     private final class Handler extends ByteHandler {
-        private final HeadedDecoder decoder;
+        private final HttpStyleMessageDecoder decoder;
 
         Handler(int limit) {
-            decoder = new HeadedDecoder(limit);
+            decoder = new HttpStyleMessageDecoder(limit);
         }
 
         @Override
-        protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+        protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
             if (over) {
                 return;
             }
             decoder.add(bytes, 0, bytes.length);
             try {
-                Headed m = decoder.next();
+                HttpStyleMessage m = decoder.next();
                 while (m != null && m.status() >= 100 && m.status() < 200) {
                     m = decoder.next(); // interim answers
                 }
-                if (m != null && (!m.first().startsWith("HTTP/1.") || m.status() < 0)) {
-                    throw new Headed.Malformed("no HTTP answer");
+                if (m != null && (!m.startLine().startsWith("HTTP/1.") || m.status() < 0)) {
+                    throw new HttpStyleMessage.MalformedMessageException("no HTTP answer");
                 }
                 if (m != null) {
                     cancel();
-                    listener.answered(m);
+                    listener.onResponse(m);
                 }
-            } catch (Headed.Malformed e) {
+            } catch (HttpStyleMessage.MalformedMessageException e) {
                 broken(true, e.getMessage());
             }
         }
 
         @Override
-        protected void closed(ChannelHandlerContext ctx, boolean reset) {
+        protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             broken(written, "connection closed before the whole answer");
         }
     }
--- a/src/main/java/dockshed/net/Headed.java
+++ b/src/main/java/dockshed/net/HttpStyleMessage.java
@@ -9,12 +9,12 @@
  * A message of the form that RTSP and HTTP share: a first line, headers, an empty line, a body. Header names are
  * kept in lower case; of equal ones the last counts.
  */
-public record Headed(String first, Map<String, String> headers, byte[] body) {
+public record HttpStyleMessage(String startLine, Map<String, String> headers, byte[] body) {
     /** What cannot be read; the connection that brought it is of no further use. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Malformed(String why) {
+        public MalformedMessageException(String why) {
             super(why);
         }
     }
@@ -27,19 +27,19 @@
         return headers.getOrDefault(name, absent);
     }
 
-    public String text() {
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
     /** The part of the first line at this place, or an empty text. */
-    public String word(int index) {
-        String[] words = first.split(" ", 3);
+    public String startLinePart(int index) {
+        String[] words = startLine.split(" ", 3);
         return index < words.length ? words[index] : "";
     }
 
     /** The status code of an answer; -1 where there is none. */
     public int status() {
-        String code = word(1);
+        String code = startLinePart(1);
         return code.length() == 3 && code.chars().allMatch(c -> c >= '0' && c <= '9') ? Integer.parseInt(code) : -1;
     }
 
@@ -56,12 +56,12 @@
         return out;
     }
 
-    static Headed read(String head, byte[] body) throws Malformed {
+    static HttpStyleMessage parse(String head, byte[] body) throws MalformedMessageException {
         String[] lines = head.split("\r?\n", -1);
-        return new Headed(lines[0], fields(lines), body);
+        return new HttpStyleMessage(lines[0], fields(lines), body);
     }
 
-    private static Map<String, String> fields(String[] lines) throws Malformed {
+    private static Map<String, String> fields(String[] lines) throws MalformedMessageException {
         Map<String, String> headers = new LinkedHashMap<>();
         for (int i = 1; i < lines.length; i++) {
             if (lines[i].isEmpty()) {
@@ -69,7 +69,7 @@
             }
             int colon = lines[i].indexOf(':');
             if (colon < 1 || lines[i].charAt(colon - 1) <= ' ' || lines[i].charAt(0) <= ' ') {
-                throw new Malformed("header line without a name");
+                throw new MalformedMessageException("header line without a name");
             }
             headers.put(
                     lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
--- a/src/main/java/dockshed/net/HeadedDecoder.java
+++ b/src/main/java/dockshed/net/HttpStyleMessageDecoder.java
@@ -1,28 +1,28 @@
 package dockshed.net;
 
-import dockshed.net.Headed.Malformed;
+import dockshed.net.HttpStyleMessage.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
 /**
- * Takes {@link Headed} messages out of a stream of bytes, however the stream was cut. A body is as long as its
+ * Takes {@link HttpStyleMessage} messages out of a stream of bytes, however the stream was cut. A body is as long as its
  * Content-Length says or comes in chunks; a message without either has none.
  */
-public final class HeadedDecoder {
+public final class HttpStyleMessageDecoder {
     private final int limit;
     private byte[] held = new byte[1024];
     private int from;
     private int to;
     private int scanned;
-    private Headed head; // read already, its body still to come
+    private HttpStyleMessage head; // read already, its body still to come
     private int length; // of that body; -1: chunked
     private final ByteArrayOutputStream chunks = new ByteArrayOutputStream();
     private int chunk = -1; // bytes left of the chunk in hand, with its line end; -1: a size line is next
     private boolean trailer;
 
     /** {@code limit}: bytes that a message may have in all. */
-    public HeadedDecoder(int limit) {
+    public HttpStyleMessageDecoder(int limit) {
         this.limit = limit;
     }
 
@@ -41,12 +41,12 @@
     }
 
     /** Whether a message has begun and is not whole. */
-    public boolean midway() {
+    public boolean hasPartialMessage() {
         return head != null || to > from;
     }
 
     /** The next whole message, or null. */
-    public Headed next() throws Malformed {
+    public HttpStyleMessage next() throws MalformedMessageException {
         if (head == null && !readHead()) {
             return null;
         }
@@ -56,18 +56,19 @@
         if (to - from < length) {
             return null;
         }
-        Headed whole = new Headed(head.first(), head.headers(), Arrays.copyOfRange(held, from, from + length));
+        HttpStyleMessage whole =
+                new HttpStyleMessage(head.startLine(), head.headers(), Arrays.copyOfRange(held, from, from + length));
         from += length;
         return done(whole);
     }
 
-    private Headed done(Headed whole) {
+    private HttpStyleMessage done(HttpStyleMessage whole) {
         head = null;
         scanned = from;
         return whole;
     }
 
-    private boolean readHead() throws Malformed {
+    private boolean readHead() throws MalformedMessageException {
         while (from < to && scanned <= from && (held[from] == '\r' || held[from] == '\n')) {
             from++; // empty lines between messages
             scanned = from;
@@ -83,31 +84,32 @@
         }
         scanned = i;
         if ((end < 0 ? to : end) - from > limit) {
-            throw new Malformed("message too long");
+            throw new MalformedMessageException("message too long");
         }
         if (end < 0) {
             return false;
         }
-        Headed read = Headed.read(new String(held, from, end - from, StandardCharsets.UTF_8), new byte[0]);
+        HttpStyleMessage read =
+                HttpStyleMessage.parse(new String(held, from, end - from, StandardCharsets.UTF_8), new byte[0]);
         int size = end - from;
         from = end;
         boolean chunked = read.header("transfer-encoding", "").equalsIgnoreCase("chunked");
         length = chunked ? -1 : length(read.header("content-length", "0"));
         if (length > limit - size) {
-            throw new Malformed("message too long");
+            throw new MalformedMessageException("message too long");
         }
         head = read;
         return true;
     }
 
-    private static int length(String value) throws Malformed {
+    private static int length(String value) throws MalformedMessageException {
         if (value.isEmpty() || value.length() > 9 || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new Malformed("Content-Length is no number");
+            throw new MalformedMessageException("Content-Length is no number");
         }
         return Integer.parseInt(value);
     }
 
-    private Headed readChunks() throws Malformed {
+    private HttpStyleMessage readChunks() throws MalformedMessageException {
         while (true) {
             if (chunk > 0) {
                 if (to - from < chunk) {
@@ -115,7 +117,7 @@
                 }
                 chunks.write(held, from, chunk - 2);
                 if (held[from + chunk - 2] != '\r' || held[from + chunk - 1] != '\n') {
-                    throw new Malformed("chunk without an end");
+                    throw new MalformedMessageException("chunk without an end");
                 }
                 from += chunk;
                 chunk = -1;
@@ -126,7 +128,7 @@
             }
             if (end == to) {
                 if (to - from > 256) {
-                    throw new Malformed("chunk line too long");
+                    throw new MalformedMessageException("chunk line too long");
                 }
                 return null;
             }
@@ -134,7 +136,8 @@
             from = end + 1;
             if (trailer) {
                 if (line.isEmpty()) {
-                    Headed whole = new Headed(head.first(), head.headers(), chunks.toByteArray());
+                    HttpStyleMessage whole =
+                            new HttpStyleMessage(head.startLine(), head.headers(), chunks.toByteArray());
                     chunks.reset();
                     trailer = false;
                     return done(whole);
@@ -143,16 +146,16 @@
             }
             int size = size(line.split(";", 2)[0].strip());
             if (size > limit - chunks.size()) {
-                throw new Malformed("message too long");
+                throw new MalformedMessageException("message too long");
             }
             trailer = size == 0;
             chunk = trailer ? -1 : size + 2;
         }
     }
 
-    private static int size(String hex) throws Malformed {
+    private static int size(String hex) throws MalformedMessageException {
         if (hex.isEmpty() || hex.length() > 7 || !hex.chars().allMatch(c -> Character.digit(c, 16) >= 0)) {
-            throw new Malformed("chunk without a size");
+            throw new MalformedMessageException("chunk without a size");
         }
         return Integer.parseInt(hex, 16);
     }
--- a/src/main/java/dockshed/net/LoopClock.java
+++ b/src/main/java/dockshed/net/LoopClock.java
@@ -10,11 +10,11 @@
 
 /** Unix time in microseconds that never goes back, and one wake-up on the event loop. */
 public final class LoopClock implements Clock {
-    private static final long START = micros(Instant.now());
-    private static final long NANOS = System.nanoTime();
+    private static final long START_UNIX_US = micros(Instant.now());
+    private static final long START_NANOS = System.nanoTime();
 
     /** Microseconds: answers go out 10 ms before viewers' time is up, and are lost half a second after it. */
-    private static final long LATE = 100_000;
+    private static final long LATE_WARNING_US = 100_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(LoopClock.class);
 
@@ -33,15 +33,15 @@
 
     @Override
     public long now() {
-        return START + (System.nanoTime() - NANOS) / 1000;
+        return START_UNIX_US + (System.nanoTime() - START_NANOS) / 1000;
     }
 
-    public void onDue(LongConsumer what) {
+    public void onWakeUp(LongConsumer what) {
         due = what;
     }
 
     /** Asks for a wake-up at a time, unless one is coming sooner. */
-    public void wake(long at) {
+    public void wakeAt(long at) {
         if (at >= armedFor) {
             return;
         }
@@ -54,7 +54,7 @@
                     armed = null;
                     armedFor = Long.MAX_VALUE;
                     long now = now();
-                    if (now - at > LATE) {
+                    if (now - at > LATE_WARNING_US) {
                         LOG.warn("loop late: ms={}", (now - at) / 1000);
                     }
                     due.accept(now);
--- a/src/main/java/dockshed/net/Net.java
+++ b/src/main/java/dockshed/net/Net.java
@@ -36,13 +36,13 @@
 /** The one event loop and the sockets on it. */
 public final class Net {
     /** Bytes that may wait on a connection before its reader is seen as slow, and may be left for it to catch up. */
-    private static final WriteBufferWaterMark BACKLOG = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
+    private static final WriteBufferWaterMark WRITE_BUFFER_BYTES = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
 
     /** Times that one connection is read before the others have their turn: Netty's own figure. */
-    private static final int READS = 16;
+    private static final int MAX_READS_PER_TURN = 16;
 
     /** Milliseconds after which a connection that could not be accepted is tried again. */
-    private static final int ACCEPT_AGAIN = 20;
+    private static final int ACCEPT_RETRY_DELAY_MS = 20;
 
     private static final Logger LOG = LoggerFactory.getLogger(Net.class);
 
@@ -64,7 +64,7 @@
     }
 
     /** Runs something on the loop and waits for it. */
-    public <T> T call(Callable<T> what) {
+    public <T> T callOnLoop(Callable<T> what) {
         try {
             return loop().submit(what).get();
         } catch (ExecutionException e) {
@@ -76,7 +76,7 @@
     }
 
     /** Does what follows from a connection's coming up or failing, on the loop's thread even if no socket was opened. */
-    public void then(ChannelFuture coming, Consumer<Future<? super Void>> what) {
+    public void whenDone(ChannelFuture coming, Consumer<Future<? super Void>> what) {
         coming.addListener(done -> {
             if (loop().inEventLoop()) {
                 what.accept(done);
@@ -92,7 +92,7 @@
 
     /**
      * {@code full} is run where a connection could not be accepted, for want of a descriptor: it may let one go.
-     * {@code halfClosed}: a peer that has ended its output can still be answered, see {@link ByteHandler#inputEnded}; a
+     * {@code halfClosed}: a peer that has ended its output can still be answered, see {@link ByteHandler#onInputEnded}; a
      * connection is then read until nothing is left, so that an end that has come already is known of what came before it.
      */
     public ChannelFuture listen(
@@ -100,12 +100,12 @@
         ServerBootstrap b = new ServerBootstrap()
                 .group(group, group)
                 .channel(NioServerSocketChannel.class)
-                .handler(new Accepting(full))
+                .handler(new AcceptErrorHandler(full))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 512)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true) // a phone that vanished lets its descriptor go
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BACKLOG)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_BYTES)
                 .childHandler(initializer(handler));
         if (halfClosed) {
             b.childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -113,7 +113,7 @@
                             ChannelOption.RCVBUF_ALLOCATOR,
                             new AdaptiveRecvByteBufAllocator()
                                     .respectMaybeMoreData(false)
-                                    .maxMessagesPerRead(READS));
+                                    .maxMessagesPerRead(MAX_READS_PER_TURN));
         }
         return b.bind(at);
     }
@@ -124,10 +124,10 @@
     }
 
     /** Netty would accept nobody for a second after a failure; viewers would wait for as long. */
-    static final class Accepting extends ChannelInboundHandlerAdapter {
+    static final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
         private final Runnable full;
 
-        Accepting(Runnable full) {
+        AcceptErrorHandler(Runnable full) {
             this.full = full;
         }
 
@@ -145,7 +145,7 @@
                             () -> {
                                 ctx.channel().config().setAutoRead(true);
                             },
-                            ACCEPT_AGAIN,
+                            ACCEPT_RETRY_DELAY_MS,
                             TimeUnit.MILLISECONDS);
         }
     }
@@ -156,12 +156,12 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BACKLOG)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_BYTES)
                 .handler(initializer(handler))
                 .connect(to);
     }
 
-    public ChannelFuture datagrams(InetSocketAddress at, ChannelHandler handler) {
+    public ChannelFuture bindDatagrams(InetSocketAddress at, ChannelHandler handler) {
         return new Bootstrap()
                 .group(group)
                 .channel(NioDatagramChannel.class)
@@ -171,17 +171,17 @@
     }
 
     /** Connections that are open, those accepted and those begun here; on the loop's thread. */
-    public int connections() {
+    public int connectionCount() {
         return open.size();
     }
 
     /** Whether something written to a connection has not been handed to the system yet. */
-    public boolean unwritten() {
-        return open.stream().anyMatch(Net::unwritten);
+    public boolean hasUnwrittenBytes() {
+        return open.stream().anyMatch(Net::hasUnwrittenBytes);
     }
 
     /** The same of one connection. */
-    public static boolean unwritten(Channel ch) {
+    public static boolean hasUnwrittenBytes(Channel ch) {
         ChannelOutboundBuffer out = ch.unsafe().outboundBuffer();
         return out != null && !out.isEmpty();
     }
@@ -197,13 +197,13 @@
         };
     }
 
-    public static byte[] bytes(ByteBuf buf) {
+    public static byte[] toBytes(ByteBuf buf) {
         byte[] out = new byte[buf.readableBytes()];
         buf.readBytes(out);
         return out;
     }
 
-    public static ByteBuf buf(byte[] bytes) {
+    public static ByteBuf toByteBuf(byte[] bytes) {
         return Unpooled.wrappedBuffer(bytes);
     }
 
--- a/src/main/java/dockshed/net/Signals.java
+++ b/src/main/java/dockshed/net/Signals.java
@@ -7,9 +7,9 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The signals: SIGTERM begins the planned end, whose steps {@link PlannedEnd} names; SIGHUP runs what it is given. */
+/** The signals: SIGTERM begins the planned end, whose steps {@link GracefulShutdown} names; SIGHUP runs what it is given. */
 public final class Signals {
-    private static final long LOOK = 10_000;
+    private static final long STEP_INTERVAL_US = 10_000;
     private static final Logger LOG = LoggerFactory.getLogger(Signals.class);
 
     /** What a SIGHUP runs; whether one came before that was known. */
@@ -22,7 +22,7 @@
     private final TimerQueue deadlines;
     private final Broker broker;
     private final long longest;
-    private PlannedEnd end;
+    private GracefulShutdown end;
 
     /** {@code longest}: the longest time that a viewer waits. */
     public Signals(Net net, Clock clock, TimerQueue deadlines, Broker broker, long longest) {
@@ -34,7 +34,7 @@
     }
 
     /** {@code leaving}: run as the planned end begins, on no loop's thread. */
-    public void watch(Runnable leaving) {
+    public void installShutdownHook(Runnable leaving) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -51,7 +51,7 @@
     }
 
     /** From now on a SIGHUP no longer ends the program; one that comes before {@link #onHangUp} waits for it. */
-    public static void expectHangUps() {
+    public static void captureHangUps() {
         SignalHandler inherited = Signal.handle(new Signal("HUP"), signal -> {
             Runnable what;
             synchronized (Signals.class) {
@@ -82,20 +82,20 @@
     }
 
     private void begin(long told) {
-        end = new PlannedEnd(told, longest);
+        end = new GracefulShutdown(told, longest);
         LOG.info("planned end begun: unanswered={} standing={}", broker.unansweredRequests(), broker.activeSessions());
         look(told);
     }
 
     private void look(long due) {
         long now = clock.now();
-        boolean unwritten = net.unwritten();
-        switch (end.step(now, broker.unansweredRequests(), unwritten)) {
+        boolean unwritten = net.hasUnwrittenBytes();
+        switch (end.nextStep(now, broker.unansweredRequests(), unwritten)) {
             case WAIT -> {}
             case TELL -> {
                 LOG.info(
                         "planned end: ms={} unanswered={} standing={} {}",
-                        (now - end.told()) / 1000,
+                        (now - end.signalledAt()) / 1000,
                         broker.unansweredRequests(),
                         broker.activeSessions(),
                         broker.counts());
@@ -108,11 +108,11 @@
             case TELL_AGAIN -> broker.releaseAll(now);
             case HALT -> {
                 if (unwritten) {
-                    LOG.warn("planned end: not everything could be written: ms={}", (now - end.told()) / 1000);
+                    LOG.warn("planned end: not everything could be written: ms={}", (now - end.signalledAt()) / 1000);
                 }
                 Runtime.getRuntime().halt(0);
             }
         }
-        deadlines.schedule(now + LOOK, this::look);
+        deadlines.schedule(now + STEP_INTERVAL_US, this::look);
     }
 }
--- a/src/main/java/dockshed/peers/DatagramPeers.java
+++ b/src/main/java/dockshed/peers/DatagramPeers.java
@@ -14,5 +14,5 @@
     void listen(Net net, InetSocketAddress at, Receiver receiver);
 
     /** To one of them; dropped where the system takes no more. */
-    void tell(int to, byte[] message);
+    void send(int to, byte[] message);
 }
--- a/src/main/java/dockshed/peers/UdpPeers.java
+++ b/src/main/java/dockshed/peers/UdpPeers.java
@@ -15,7 +15,7 @@
 
 /** Datagrams between the brokers of the tier; they may be late or lost, and hold 256 bytes at most. */
 public final class UdpPeers implements Peers, DatagramPeers {
-    static final int LIMIT = 256;
+    static final int MAX_DATAGRAM_BYTES = 256;
     private static final Logger LOG = LoggerFactory.getLogger(UdpPeers.class);
 
     private final List<InetSocketAddress> each;
@@ -33,21 +33,21 @@
     }
 
     /** The number of the broker that sends from there; -1: none does. */
-    public int number(InetSocketAddress sender) {
+    public int brokerNumber(InetSocketAddress sender) {
         return numbers.getOrDefault(sender, -1);
     }
 
     @Override
     public void listen(Net net, InetSocketAddress at, Receiver receiver) {
-        channel = net.datagrams(at, new SimpleChannelInboundHandler<DatagramPacket>() {
+        channel = net.bindDatagrams(at, new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        int from = number(packet.sender());
-                        if (from < 0 || packet.content().readableBytes() > LIMIT) {
+                        int from = brokerNumber(packet.sender());
+                        if (from < 0 || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                             LOG.debug("datagram from nobody known: sender={}", packet.sender());
                             return;
                         }
-                        receiver.receive(from, Net.bytes(packet.content()));
+                        receiver.receive(from, Net.toBytes(packet.content()));
                     }
 
                     @Override
@@ -61,7 +61,7 @@
 
     @Override
     public void broadcast(byte[] message) {
-        if (channel == null || message.length > LIMIT) {
+        if (channel == null || message.length > MAX_DATAGRAM_BYTES) {
             LOG.warn("datagram not sent: bytes={}", message.length);
             return;
         }
@@ -69,15 +69,15 @@
                 ? List.of(all)
                 : each.stream().filter(a -> !a.equals(channel.localAddress())).toList();
         for (InetSocketAddress a : to) {
-            channel.writeAndFlush(new DatagramPacket(Net.buf(message), a));
+            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), a));
         }
     }
 
     /** To one of them; dropped where the system takes no more: a later one tells more anyway. */
     @Override
-    public void tell(int to, byte[] message) {
-        if (channel != null && message.length <= LIMIT && to >= 0 && to < each.size()) {
-            channel.writeAndFlush(new DatagramPacket(Net.buf(message), each.get(to)));
+    public void send(int to, byte[] message) {
+        if (channel != null && message.length <= MAX_DATAGRAM_BYTES && to >= 0 && to < each.size()) {
+            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), each.get(to)));
         }
     }
 }
--- a/src/main/java/dockshed/rollout/host/RolloutHost.java
+++ b/src/main/java/dockshed/rollout/host/RolloutHost.java
@@ -1,6 +1,6 @@
 package dockshed.rollout.host;
 
-import dockshed.config.Fields;
+import dockshed.config.JsonFields;
 import dockshed.config.RolloutDocument;
 import dockshed.fleet.GossipExtension;
 import dockshed.rollout.Configuration;
@@ -91,7 +91,7 @@
                         ? Optional.empty()
                         : Optional.of("configuration-" + configuration.version() + ":" + document.versionLine()
                                 + ": version: expected " + configuration.version() + ", got " + document.version());
-            } catch (Fields.Malformed e) {
+            } catch (JsonFields.InvalidInputException e) {
                 return Optional.of(e.getMessage());
             }
         }
--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -8,8 +8,8 @@
 import dockshed.core.TimerQueue;
 import dockshed.net.ByteHandler;
 import dockshed.net.Clock;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.Net;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -87,7 +87,7 @@
                     c.channel.close();
                 }
             } else if (c.pendingSinceUs >= 0 && now - c.pendingSinceUs > MESSAGE_TIMEOUT_US) {
-                if (c.decoder.midway()) {
+                if (c.decoder.hasPartialMessage()) {
                     c.rejectMalformed("message not finished");
                 } else {
                     c.closeUnused("nothing asked");
@@ -105,8 +105,8 @@
         long now = clock.now();
         for (Connection c : openConnections) {
             boolean fresh = now - c.lastUsedUs < RECENT_USE_US;
-            boolean owed =
-                    !c.openSetUps.isEmpty() || Net.unwritten(c.channel) && now - c.lastUsedUs < LINGER_TIMEOUT_US;
+            boolean owed = !c.openSetUps.isEmpty()
+                    || Net.hasUnwrittenBytes(c.channel) && now - c.lastUsedUs < LINGER_TIMEOUT_US;
             if (!c.closeScheduled
                     && !owed
                     && !(fresh && c.evictionRank() > 0)
@@ -128,7 +128,7 @@
                 chosen.closeScheduled = false;
                 if (chosen.lastUsedUs == unused
                         && chosen.openSetUps.isEmpty()
-                        && !chosen.decoder.midway()
+                        && !chosen.decoder.hasPartialMessage()
                         && !chosen.ending) {
                     chosen.closeUnused("room is needed");
                 }
@@ -140,10 +140,10 @@
     }
 
     /** A set-up as it came. */
-    private record PendingSetUp(SessionRequest request, Headed message) {}
+    private record PendingSetUp(SessionRequest request, HttpStyleMessage message) {}
 
     private final class Connection extends ByteHandler {
-        private final HeadedDecoder decoder = new HeadedDecoder(MAX_MESSAGE_BYTES);
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_MESSAGE_BYTES);
         private final Set<String> openSetUps = new HashSet<>(); // open ones
         /** Read, but not taken before all that has come is read: its viewer may have left behind it. */
         private final Map<String, PendingSetUp> pendingSetUps = new LinkedHashMap<>();
@@ -185,7 +185,7 @@
         }
 
         @Override
-        protected boolean passesOver(int count) {
+        protected boolean discardsInput(int count) {
             if (ending) {
                 discardedBytes += count;
             }
@@ -200,12 +200,12 @@
         }
 
         @Override
-        protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
-            boolean begun = decoder.midway();
+        protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
+            boolean begun = decoder.hasPartialMessage();
             decoder.add(bytes, 0, bytes.length);
             try {
                 boolean whole = false;
-                for (Headed m = decoder.next(); m != null; m = decoder.next()) {
+                for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
                     whole = true;
                     sentRequest = true;
                     lastUsedUs = clock.now();
@@ -214,18 +214,18 @@
                         return;
                     }
                 }
-                if (!decoder.midway()) {
+                if (!decoder.hasPartialMessage()) {
                     pendingSinceUs = sentRequest ? -1 : pendingSinceUs;
                 } else if (sentRequest && (whole || !begun)) {
                     pendingSinceUs = clock.now();
                 }
-            } catch (Headed.Malformed e) {
+            } catch (HttpStyleMessage.MalformedMessageException e) {
                 rejectMalformed(e.getMessage());
             }
         }
 
         @Override
-        protected void caughtUp(ChannelHandlerContext ctx, boolean ended) {
+        protected void onReadComplete(ChannelHandlerContext ctx, boolean ended) {
             if (ended) {
                 refusePending();
             } else {
@@ -253,7 +253,7 @@
          * more, and what is open has its answer at once, before our end of the connection goes.
          */
         @Override
-        protected void inputEnded(ChannelHandlerContext ctx) {
+        protected void onInputEnded(ChannelHandlerContext ctx) {
             LOG.debug("viewer says no more: remote={} open={}", channel.remoteAddress(), openSetUps);
             broker.halfClosed(clock.now(), handle);
             detach();
@@ -265,12 +265,12 @@
 
         /** Told at once: nothing must go out for a viewer that has left, not even what is to be written in this turn. */
         @Override
-        protected void broke() {
+        protected void onConnectionBroken() {
             detach();
         }
 
         /** Counts what was wrong in a message that could be read: a viewer's program does not go on like that. */
-        private void rejectSetUp(String why, Headed m) {
+        private void rejectSetUp(String why, HttpStyleMessage m) {
             LOG.warn("set-up refused: remote={} why={}", channel.remoteAddress(), why);
             reply(channel, 400, "Bad Request", m);
             if (++faultyMessages >= MAX_FAULTY_MESSAGES) {
@@ -288,7 +288,8 @@
         private void closeUnused(String why) {
             LOG.debug("viewer's connection closed: remote={} why={}", channel.remoteAddress(), why);
             if (!ending
-                    && Net.unwritten(channel)) { // a close would throw away what the viewer has not made room for yet
+                    && Net.hasUnwrittenBytes(
+                            channel)) { // a close would throw away what the viewer has not made room for yet
                 closeAfterAnswers();
                 return;
             }
@@ -361,7 +362,7 @@
         }
 
         @Override
-        protected void closed(ChannelHandlerContext ctx, boolean reset) {
+        protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             LOG.debug(
                     "viewer's connection ended: remote={} reset={} open={}",
                     ctx.channel().remoteAddress(),
@@ -372,23 +373,23 @@
 
         /** An error of our own in one message costs that message, not what others on the connection wait for. */
         @Override
-        protected void failed(ChannelHandlerContext ctx) {
+        protected void onInternalError(ChannelHandlerContext ctx) {
             closeAfterAnswers();
         }
     }
 
-    private void handleMessage(Connection c, Headed m) throws Headed.Malformed {
+    private void handleMessage(Connection c, HttpStyleMessage m) throws HttpStyleMessage.MalformedMessageException {
         Channel ch = c.channel;
-        if (m.first().startsWith("RTSP/")) {
+        if (m.startLine().startsWith("RTSP/")) {
             if ("2".equals(m.header("cseq"))) {
                 broker.endConfirmed(c.handle, m.header("session", ""));
             }
             return;
         }
-        if (!m.word(2).equals("RTSP/1.0") || !m.word(1).startsWith("rtsp://")) {
-            throw new Headed.Malformed("first line is no RTSP request");
+        if (!m.startLinePart(2).equals("RTSP/1.0") || !m.startLinePart(1).startsWith("rtsp://")) {
+            throw new HttpStyleMessage.MalformedMessageException("first line is no RTSP request");
         }
-        switch (m.word(0)) {
+        switch (m.startLinePart(0)) {
             case "SETUP" -> handleSetUp(c, m);
             case "TEARDOWN" -> {
                 LOG.debug("torn down by its viewer: session={} reason={}", m.header("session"), m.header("reason"));
@@ -405,7 +406,7 @@
         }
     }
 
-    private void handleSetUp(Connection c, Headed m) {
+    private void handleSetUp(Connection c, HttpStyleMessage m) {
         SetUpMessage f;
         try {
             f = SetUpMessage.parse(m);
@@ -531,7 +532,7 @@
         headers.put("Session", name);
         headers.putAll(more);
         c.channel
-                .writeAndFlush(Net.buf(Headed.encode("RTSP/1.0 " + code + " " + phrase, headers, body)))
+                .writeAndFlush(Net.toByteBuf(HttpStyleMessage.encode("RTSP/1.0 " + code + " " + phrase, headers, body)))
                 .addListener(done -> {
                     if (!done.isSuccess()) {
                         broker.trace().logFailure(name, "answer not written");
@@ -556,12 +557,12 @@
         if (reason != null) {
             headers.put("Reason", reason);
         }
-        c.channel.writeAndFlush(
-                Net.buf(Headed.encode(method + " rtsp://media/" + name + " RTSP/1.0", headers, EMPTY_BODY)));
+        c.channel.writeAndFlush(Net.toByteBuf(
+                HttpStyleMessage.encode(method + " rtsp://media/" + name + " RTSP/1.0", headers, EMPTY_BODY)));
     }
 
     /** Answers a request of the viewer's at once, with its own CSeq and session. */
-    private static void reply(Channel ch, int code, String phrase, Headed to) {
+    private static void reply(Channel ch, int code, String phrase, HttpStyleMessage to) {
         Map<String, String> headers = new LinkedHashMap<>();
         if (to != null) {
             for (String name : List.of("CSeq", "Session")) {
@@ -571,6 +572,7 @@
                 }
             }
         }
-        ch.writeAndFlush(Net.buf(Headed.encode("RTSP/1.0 " + code + " " + phrase, headers, EMPTY_BODY)));
+        ch.writeAndFlush(
+                Net.toByteBuf(HttpStyleMessage.encode("RTSP/1.0 " + code + " " + phrase, headers, EMPTY_BODY)));
     }
 }
--- a/src/main/java/dockshed/rtsp/SetUpMessage.java
+++ b/src/main/java/dockshed/rtsp/SetUpMessage.java
@@ -1,7 +1,7 @@
 package dockshed.rtsp;
 
 import dockshed.core.SessionRequest;
-import dockshed.net.Headed;
+import dockshed.net.HttpStyleMessage;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
@@ -17,15 +17,15 @@
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
 
     /** Throws IllegalArgumentException where something is missing or no number. */
-    static SetUpMessage parse(Headed m) {
+    static SetUpMessage parse(HttpStyleMessage m) {
         String session = m.header("session", "");
         if (session.length() != 16 || !session.chars().allMatch(c -> Character.digit(c, 16) >= 0)) {
             throw new IllegalArgumentException("Session is not 16 hex digits");
         }
-        if (!m.word(1).startsWith(MEDIA_URI_PREFIX)) {
+        if (!m.startLinePart(1).startsWith(MEDIA_URI_PREFIX)) {
             throw new IllegalArgumentException("address names no title");
         }
-        String title = m.word(1).substring(MEDIA_URI_PREFIX.length());
+        String title = m.startLinePart(1).substring(MEDIA_URI_PREFIX.length());
         if (!TITLE_PATTERN.matcher(title).matches()) {
             throw new IllegalArgumentException("title is no word");
         }
@@ -52,7 +52,7 @@
     }
 
     /** The description as text; one that is cut, or no text, is of no use to an edge server. */
-    private static String description(Headed m) {
+    private static String description(HttpStyleMessage m) {
         String text;
         try {
             text = StandardCharsets.UTF_8
@@ -84,7 +84,7 @@
         return out;
     }
 
-    private static long microsFromMillis(Headed m, String header) {
+    private static long microsFromMillis(HttpStyleMessage m, String header) {
         String value = m.header(header);
         if (value == null) {
             return 0;
--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -14,7 +14,7 @@
 import dockshed.Director.Server;
 import dockshed.Director.State;
 import dockshed.choice.Choice;
-import dockshed.config.Fields;
+import dockshed.config.JsonFields;
 import dockshed.config.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -53,7 +53,7 @@
             return 0;
         } catch (JsonProcessingException e) {
             complaints.println("simhost: not JSON: " + e.getOriginalMessage().replace('\n', ' '));
-        } catch (Fields.Malformed | IllegalArgumentException e) {
+        } catch (JsonFields.InvalidInputException | IllegalArgumentException e) {
             complaints.println("simhost: " + e.getMessage());
         } catch (IOException e) {
             complaints.println("simhost: input or output failed: " + e.getMessage());
@@ -95,25 +95,25 @@
             return token == JsonToken.VALUE_TRUE;
         }
         if (token == null) {
-            throw new Fields.Malformed("line ends early");
+            throw new JsonFields.InvalidInputException("line ends early");
         }
         return null;
     }
 
     private String batch(String line) throws IOException {
-        Fields batch;
+        JsonFields batch;
         try (JsonParser parser = JSON.createParser(line)) {
             parser.nextToken();
-            batch = new Fields("batch", read(parser));
+            batch = new JsonFields("batch", read(parser));
         }
-        long now = batch.micros("now");
+        long now = batch.millisAsMicros("now");
         StringWriter reply = new StringWriter();
         out = JSON.createGenerator(reply);
         out.writeStartObject();
         out.writeArrayFieldStart("decisions");
         for (Object arrival : batch.list("arrivals")) {
-            for (Object name : new Fields("event", arrival).names()) {
-                event(now, (String) name, new Fields((String) name, ((Map<?, ?>) arrival).get(name)));
+            for (Object name : new JsonFields("event", arrival).memberNames()) {
+                event(now, (String) name, new JsonFields((String) name, ((Map<?, ?>) arrival).get(name)));
             }
         }
         out.writeEndArray();
@@ -122,7 +122,7 @@
         return reply.append('\n').toString();
     }
 
-    private void event(long now, String name, Fields e) {
+    private void event(long now, String name, JsonFields e) {
         if (name.equals("roster")) {
             rosters.put(e.integer("ref"), servers(e));
             return;
@@ -131,25 +131,27 @@
         switch (name) {
             case "boot" ->
                 instances.put(
-                        id, new Choice(SettingsReader.read(e.object("options")), e.whole("entropy"), new Writer(id)));
+                        id,
+                        new Choice(SettingsReader.read(e.object("options")), e.longInteger("entropy"), new Writer(id)));
             case "halt" -> instances.remove(id);
             default -> {
                 Director d = instances.get(id);
                 if (d == null) {
-                    throw new Fields.Malformed(name + ": member 'director_id' names no instance that runs");
+                    throw new JsonFields.InvalidInputException(
+                            name + ": member 'director_id' names no instance that runs");
                 }
                 deliver(now, name, e, d);
             }
         }
     }
 
-    private void deliver(long now, String name, Fields e, Director d) {
+    private void deliver(long now, String name, JsonFields e, Director d) {
         switch (name) {
             case "view" -> {
                 ListScope scope = scope(e.text("scope"));
                 List<Server> list = scope == ListScope.ERROR ? List.of() : rosters.get(e.integer("ref"));
                 if (list == null) {
-                    throw new Fields.Malformed("view: member 'ref' names no roster");
+                    throw new JsonFields.InvalidInputException("view: member 'ref' names no roster");
                 }
                 d.serversChanged(now, scope, list);
             }
@@ -181,19 +183,19 @@
             case "timed_out_client" -> d.requestCancelled(now, e.text("call"));
             case "alarm" -> d.timer(now, e.text("key_back"));
             case "health" -> d.probed(now, e.text("node"), e.integer("status") == 100, report(e));
-            case "datagram" -> d.peerMessageReceived(now, e.integer("author"), e.bytes("bytes"));
-            default -> throw new Fields.Malformed("unknown event '" + name + "'");
+            case "datagram" -> d.peerMessageReceived(now, e.integer("author"), e.hexBytes("bytes"));
+            default -> throw new JsonFields.InvalidInputException("unknown event '" + name + "'");
         }
     }
 
-    private static Request request(Fields e) {
+    private static Request request(JsonFields e) {
         return new Request(
                 e.text("call"),
                 e.text("kind"),
                 e.text("target_key", ""),
                 e.text("asset", ""),
-                e.micros("budget", 0),
-                e.micros("cost_guess", 0),
+                e.millisAsMicros("budget", 0),
+                e.millisAsMicros("cost_guess", 0),
                 e.integer("home", 0),
                 e.integer("cells_in_row", 0),
                 e.integer("ceiling_rung", 0),
@@ -202,20 +204,21 @@
                 e.flag("came_back"));
     }
 
-    private static LoadReport report(Fields e) {
+    private static LoadReport report(JsonFields e) {
         return e.has("usage") ? new LoadReport(e.numbers("usage")) : LoadReport.NONE;
     }
 
-    private static List<Server> servers(Fields e) {
+    private static List<Server> servers(JsonFields e) {
         List<Server> out = new ArrayList<>();
         for (Object each : e.list("rows_in")) {
-            Fields row = new Fields("roster.rows_in", each);
+            JsonFields row = new JsonFields("roster.rows_in", each);
             State state =
                     switch (row.text("status")) {
                         case "up" -> State.UP;
                         case "draining" -> State.DRAINING;
                         case "removed" -> State.GONE;
-                        default -> throw new Fields.Malformed("roster.rows_in: member 'status' is unknown");
+                        default ->
+                            throw new JsonFields.InvalidInputException("roster.rows_in: member 'status' is unknown");
                     };
             out.add(new Server(
                     row.text("node"),
@@ -224,7 +227,7 @@
                     row.integer("place", 0),
                     state,
                     row.number("weight", 1),
-                    row.micros("up_since", 0)));
+                    row.millisAsMicros("up_since", 0)));
         }
         return out;
     }
@@ -235,7 +238,7 @@
             case "snapshot" -> ListScope.SNAPSHOT;
             case "disk" -> ListScope.DISK;
             case "error" -> ListScope.ERROR;
-            default -> throw new Fields.Malformed("view: member 'scope' is unknown: " + word);
+            default -> throw new JsonFields.InvalidInputException("view: member 'scope' is unknown: " + word);
         };
     }
 
@@ -249,7 +252,7 @@
             case 305 -> Outcome.RESET;
             case 306 -> Outcome.CANCELLED;
             case 307 -> Outcome.MOOT;
-            default -> throw new Fields.Malformed("ended: member 'status' is unknown: " + code);
+            default -> throw new JsonFields.InvalidInputException("ended: member 'status' is unknown: " + code);
         };
     }
 
--- a/src/test/java/dockshed/CapacityTest.java
+++ b/src/test/java/dockshed/CapacityTest.java
@@ -12,7 +12,7 @@
 import dockshed.core.BrokerHarness;
 import dockshed.core.SessionRequest;
 import dockshed.core.TimerQueue;
-import dockshed.edge.Edges;
+import dockshed.edge.EdgeServerConnections;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import dockshed.peers.UdpPeers;
@@ -44,7 +44,7 @@
                             i, i / 250, i % 250 + 1, i % 3));
             peers.append(i == 0 ? "" : ",").append(String.format("\"127.1.%d.%d:7946\"", i / 250, i % 250 + 1));
         }
-        String text = ConfigTest.WHOLE
+        String text = ConfigTest.COMPLETE_CONFIG
                 .replaceFirst(
                         "(?s)\"notices\":.*?}]}}]",
                         "\"notices\":[{\"rev\":1,\"pool\":" + "{\"revision\":1,\"complete\":true,\"members\":["
@@ -59,8 +59,9 @@
     void aListOfSomeHundredsIsReadWholeAndServed() throws Exception {
         for (int count : new int[] {1024, 1025}) {
             Config c = config(count);
-            List<Server> servers =
-                    c.known().get(0).members().stream().map(l -> l.server()).toList();
+            List<Server> servers = c.knownServers().get(0).servers().stream()
+                    .map(l -> l.server())
+                    .toList();
             assertEquals(count, servers.size());
             assertEquals(count, c.peers().size());
             BrokerHarness stage = new BrokerHarness();
@@ -97,24 +98,28 @@
         Net net = new Net();
         try (ServerSocket all = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             BrokerHarness stage = new BrokerHarness();
-            Edges edges = net.call(() -> {
+            EdgeServerConnections edges = net.callOnLoop(() -> {
                 LoopClock clock = new LoopClock(net.loop());
-                TimerQueue deadlines = new TimerQueue(clock::wake);
-                clock.onDue(deadlines::runDue);
-                Edges made = new Edges(
-                        stage.broker, net, clock, deadlines, new Edges.Terms(250_000, 30_000_000, 0, 0, List.of(), 8));
+                TimerQueue deadlines = new TimerQueue(clock::wakeAt);
+                clock.onWakeUp(deadlines::runDue);
+                EdgeServerConnections made = new EdgeServerConnections(
+                        stage.broker,
+                        net,
+                        clock,
+                        deadlines,
+                        new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of(), 8));
                 Map<String, InetSocketAddress> at = new TreeMap<>();
                 for (int i = 0; i < 1025; i++) {
                     at.put("s-" + i, new InetSocketAddress("127.0.0.1", all.getLocalPort()));
                 }
-                made.addresses(at);
+                made.updateAddresses(at);
                 return made;
             });
             for (int i = 0; i < 1025; i++) {
                 String id = "s-" + i;
-                assertTrue((int) net.call(() -> {
+                assertTrue((int) net.callOnLoop(() -> {
                             edges.setHasActiveSessions(id, true);
-                            return edges.lines();
+                            return edges.countConnections();
                         })
                         <= 8);
             }
@@ -130,7 +135,7 @@
             peers.add(new InetSocketAddress("127.1." + i / 250 + "." + (i % 250 + 1), 7946));
         }
         UdpPeers all = new UdpPeers(peers, null);
-        assertEquals(1024, all.number(peers.get(1024)));
-        assertEquals(-1, all.number(new InetSocketAddress("127.9.9.9", 7946)));
+        assertEquals(1024, all.brokerNumber(peers.get(1024)));
+        assertEquals(-1, all.brokerNumber(new InetSocketAddress("127.9.9.9", 7946)));
     }
 }
--- a/src/test/java/dockshed/ProgramTest.java
+++ b/src/test/java/dockshed/ProgramTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockshed.config.ConfigTest;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import java.io.BufferedReader;
 import java.io.InputStream;
 import java.io.InputStreamReader;
@@ -71,13 +71,13 @@
         return Integer.parseInt(line.replaceAll(".*listen=/?[0-9.]+:([0-9]+).*", "$1"));
     }
 
-    private static Headed ask(Socket s, String text) throws Exception {
+    private static HttpStyleMessage ask(Socket s, String text) throws Exception {
         s.setSoTimeout(20_000);
         s.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-        HeadedDecoder d = new HeadedDecoder(1 << 16);
+        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(1 << 16);
         InputStream in = s.getInputStream();
         byte[] buf = new byte[1 << 16];
-        Headed m = null;
+        HttpStyleMessage m = null;
         for (int n = in.read(buf); m == null && n >= 0; n = m == null ? in.read(buf) : -1) {
             d.add(buf, 0, n);
             m = d.next();
@@ -89,7 +89,7 @@
 
     @Test
     void itServesGoesOnAfterSigtermForAWhileAndEndsWithZero() throws Exception {
-        start(ConfigTest.WHOLE, "serve");
+        start(ConfigTest.COMPLETE_CONFIG, "serve");
         int port = port(line("serving:"));
         try (Socket s = new Socket("127.0.0.1", port)) {
             assertEquals(200, ask(s, TEST).status());
@@ -114,7 +114,7 @@
     @Test
     void aTrickleThatDoesNotStopAndASecondSigtermChangeNothingAtThePlannedEnd() throws Exception {
         // It waited for the trickle to end before it told anybody; a set-up of its last moment was taken and lost.
-        start(ConfigTest.WHOLE, "serve");
+        start(ConfigTest.COMPLETE_CONFIG, "serve");
         int port = port(line("serving:"));
         int asked = 0;
         int refused = 0;
@@ -124,7 +124,7 @@
             line("planned end begun");
             process.toHandle().destroy();
             while (true) {
-                Headed answer;
+                HttpStyleMessage answer;
                 try {
                     answer = ask(
                             s,
@@ -138,7 +138,7 @@
                 if (answer == null) {
                     break;
                 }
-                assertTrue(answer.status() == 453 || answer.status() == 503, answer.first());
+                assertTrue(answer.status() == 453 || answer.status() == 503, answer.startLine());
                 refused++;
             }
         }
@@ -153,7 +153,7 @@
         // Without a handler a JVM takes SIGHUP for the planned end.
         try (DatagramSocket first = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket second = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            String named = ConfigTest.WHOLE.replace("\"127.0.0.1:9\"", "\"127.0.0.1:PORT\"");
+            String named = ConfigTest.COMPLETE_CONFIG.replace("\"127.0.0.1:9\"", "\"127.0.0.1:PORT\"");
             Path file = dir.resolve("config.json");
             start(named.replace("PORT", "" + first.getLocalPort()), "serve");
             int port = port(line("serving:"));
@@ -174,7 +174,7 @@
     @Test
     void whoIsStartedWithSighupIgnoredSaysThatItCannotReadTheConfigurationAgain() throws Exception {
         ignoresHangUps = true;
-        start(ConfigTest.WHOLE, "serve");
+        start(ConfigTest.COMPLETE_CONFIG, "serve");
         assertTrue(line("SIGHUP was ignored").contains("needs a restart"));
         line("serving:");
         hangUp();
@@ -206,7 +206,7 @@
                 }
                 // Whoever is turned away in the rush comes again, as clients do.
                 Socket viewer = null;
-                for (Headed passed = null; passed == null; ) {
+                for (HttpStyleMessage passed = null; passed == null; ) {
                     viewer = new Socket("127.0.0.1", port);
                     idle.add(viewer);
                     try {
@@ -251,7 +251,7 @@
 
     /** A configuration with one server, there. */
     private static String served(ServerSocket box) {
-        return ConfigTest.WHOLE
+        return ConfigTest.COMPLETE_CONFIG
                 .replace("127.0.0.1:5080", "127.0.0.1:" + box.getLocalPort())
                 .replace("leaving", "active")
                 .replace("1500}", "0}");
@@ -283,14 +283,14 @@
                     assertEquals(200, ask(one, "").status());
                     // The module may send the others on or refuse them: either way each has its one answer.
                     for (Socket s : List.of(two, three)) {
-                        Headed answer = ask(s, "");
+                        HttpStyleMessage answer = ask(s, "");
                         assertTrue(
                                 answer.status() >= 400 && answer.status() <= 504,
-                                answer.first()); // the box answers only the first
+                                answer.startLine()); // the box answers only the first
                         assertEquals(s == two ? half : late, answer.header("session"));
                     }
-                    Headed end = ask(one, "");
-                    assertEquals("TEARDOWN", end.word(0));
+                    HttpStyleMessage end = ask(one, "");
+                    assertEquals("TEARDOWN", end.startLinePart(0));
                     assertEquals(out, end.header("session"));
                 }
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -318,7 +318,7 @@
         Path file = Files.writeString(
                 dir.resolve("hls.json"),
                 "{\"listen\":\"127.0.0.1:0\",\"servers\":" + "[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"}]}");
-        start(ConfigTest.WHOLE, "serve", "--hls", file.toString());
+        start(ConfigTest.COMPLETE_CONFIG, "serve", "--hls", file.toString());
         try (Socket s = new Socket("127.0.0.1", port(line("serving HLS:")))) {
             assertEquals(404, ask(s, "GET /sessions/0/0.m3u8 HTTP/1.1\r\n\r\n").status());
         }
@@ -326,14 +326,14 @@
 
     @Test
     void theOperatorsFileSwitchesTheStormPartOnAndAFaultyOneEndsIt() throws Exception {
-        start(ConfigTest.WHOLE, "serve", "--conf", "deploy/dockshed.conf");
+        start(ConfigTest.COMPLETE_CONFIG, "serve", "--conf", "deploy/dockshed.conf");
         line("storm part on:");
         try (Socket s = new Socket("127.0.0.1", port(line("serving:")))) {
             assertEquals(200, ask(s, TEST).status());
         }
         stop();
         start(
-                ConfigTest.WHOLE,
+                ConfigTest.COMPLETE_CONFIG,
                 "serve",
                 "--conf",
                 Files.writeString(dir.resolve("x.conf"), "storm {\nhold 2\n}").toString());
@@ -344,7 +344,7 @@
 
     @Test
     void aFaultyConfigurationEndsItWithAWordOnTheKey() throws Exception {
-        start(ConfigTest.WHOLE.replace("\"seed\":\"8c1f30d27a5be964\",", ""), "serve");
+        start(ConfigTest.COMPLETE_CONFIG.replace("\"seed\":\"8c1f30d27a5be964\",", ""), "serve");
         assertTrue(line("dockshed: ").contains("member 'seed' is missing"));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
@@ -354,7 +354,7 @@
     void anAddressInUseEndsItWithAWord() throws Exception {
         try (java.net.ServerSocket taken = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             start(
-                    ConfigTest.WHOLE.replace(
+                    ConfigTest.COMPLETE_CONFIG.replace(
                             "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + taken.getLocalPort() + "\""),
                     "serve");
             line("dockshed: cannot serve");
@@ -366,7 +366,7 @@
     @Test
     void theBuildsRehearsalPlaysASessionAndEnds() throws Exception {
         // A start read all its classes anew, half a second of processor, when viewers had been coming for long.
-        start(ConfigTest.WHOLE, "rehearse", "deploy/rehearsal.json");
+        start(ConfigTest.COMPLETE_CONFIG, "rehearse", "deploy/rehearsal.json");
         assertTrue(line("planned end: ").contains("served=1 "));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
@@ -378,7 +378,7 @@
 
     @Test
     void wrongArgumentsAreToldTheRightOnes() throws Exception {
-        start(ConfigTest.WHOLE, "dance");
+        start(ConfigTest.COMPLETE_CONFIG, "dance");
         assertTrue(line("usage").contains("serve [--hls FILE] [--conf FILE] | simhost | rehearse FILE"));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
--- a/src/test/java/dockshed/capacity/ClientConnection.java
+++ b/src/test/java/dockshed/capacity/ClientConnection.java
@@ -1,8 +1,8 @@
 package dockshed.capacity;
 
 import dockshed.net.ByteHandler;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.Net;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -15,7 +15,7 @@
     interface Listener {
         void up(ClientConnection connection);
 
-        void message(ClientConnection connection, Headed message);
+        void message(ClientConnection connection, HttpStyleMessage message);
 
         /** It could not be opened, or was closed by either side. */
         void closed(ClientConnection connection);
@@ -25,7 +25,7 @@
     private static final int CONNECT_MILLIS = 10_000;
 
     private final Listener listener;
-    private final HeadedDecoder decoder = new HeadedDecoder(MESSAGE_LIMIT);
+    private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MESSAGE_LIMIT);
     private Channel channel;
 
     private ClientConnection(Listener listener) {
@@ -35,7 +35,7 @@
     /** Begins to connect. */
     static ClientConnection open(Net net, InetSocketAddress to, Listener listener) {
         ClientConnection connection = new ClientConnection(listener);
-        net.then(net.connect(to, CONNECT_MILLIS, () -> connection), done -> {
+        net.whenDone(net.connect(to, CONNECT_MILLIS, () -> connection), done -> {
             if (!done.isSuccess()) {
                 listener.closed(connection);
             }
@@ -44,7 +44,7 @@
     }
 
     void write(byte[] request) {
-        channel.writeAndFlush(Net.buf(request));
+        channel.writeAndFlush(Net.toByteBuf(request));
     }
 
     void close() {
@@ -60,19 +60,19 @@
     }
 
     @Override
-    protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+    protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
         decoder.add(bytes, 0, bytes.length);
         try {
-            for (Headed message = decoder.next(); message != null; message = decoder.next()) {
+            for (HttpStyleMessage message = decoder.next(); message != null; message = decoder.next()) {
                 listener.message(this, message);
             }
-        } catch (Headed.Malformed malformed) {
+        } catch (HttpStyleMessage.MalformedMessageException malformed) {
             ctx.close();
         }
     }
 
     @Override
-    protected void closed(ChannelHandlerContext ctx, boolean reset) {
+    protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
         listener.closed(this);
     }
 }
--- a/src/test/java/dockshed/capacity/HlsPlayers.java
+++ b/src/test/java/dockshed/capacity/HlsPlayers.java
@@ -1,6 +1,6 @@
 package dockshed.capacity;
 
-import dockshed.net.Headed;
+import dockshed.net.HttpStyleMessage;
 import dockshed.net.Net;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -87,7 +87,7 @@
         }
 
         @Override
-        public void message(ClientConnection from, Headed message) {
+        public void message(ClientConnection from, HttpStyleMessage message) {
             if (request == null) {
                 begin(from, message);
                 return;
@@ -98,12 +98,12 @@
             }
         }
 
-        private void begin(ClientConnection from, Headed message) {
+        private void begin(ClientConnection from, HttpStyleMessage message) {
             if (message.status() != 200) {
                 net.loop().schedule(() -> up(from), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
-            String media = message.text()
+            String media = message.bodyText()
                     .lines()
                     .filter(line -> !line.startsWith("#"))
                     .findFirst()
--- a/src/test/java/dockshed/capacity/NotedViewers.java
+++ b/src/test/java/dockshed/capacity/NotedViewers.java
@@ -1,6 +1,6 @@
 package dockshed.capacity;
 
-import dockshed.net.Headed;
+import dockshed.net.HttpStyleMessage;
 import dockshed.net.Net;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -39,7 +39,7 @@
                 .mapToObj(number -> String.format("%016x", number + 1))
                 .toList();
         CountDownLatch ready = new CountDownLatch(names.size());
-        net.call(() -> {
+        net.callOnLoop(() -> {
             for (int delivery = 0; delivery < names.size(); delivery++) {
                 deliveries.put(names.get(delivery), delivery);
             }
@@ -87,9 +87,9 @@
         }
 
         @Override
-        public void message(ClientConnection from, Headed message) {
+        public void message(ClientConnection from, HttpStyleMessage message) {
             String session = message.header("session", "");
-            if (message.first().startsWith("TEARDOWN ")) {
+            if (message.startLine().startsWith("TEARDOWN ")) {
                 Integer delivery = deliveries.remove(session);
                 if (delivery != null) {
                     load.delivered(delivery);
--- a/src/test/java/dockshed/capacity/RtspRequests.java
+++ b/src/test/java/dockshed/capacity/RtspRequests.java
@@ -1,6 +1,6 @@
 package dockshed.capacity;
 
-import dockshed.net.Headed;
+import dockshed.net.HttpStyleMessage;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -15,7 +15,7 @@
 
     /** A request that is answered at once; after it a connection may stay open without a word. */
     static byte[] options() {
-        return Headed.encode("OPTIONS rtsp://media/ping RTSP/1.0", Map.of("CSeq", "3"), NOTHING);
+        return HttpStyleMessage.encode("OPTIONS rtsp://media/ping RTSP/1.0", Map.of("CSeq", "3"), NOTHING);
     }
 
     /** A set-up of a lesson under a session's name. */
@@ -26,7 +26,7 @@
         headers.put("Priority-Class", TestbedFiles.SESSION_CLASS);
         headers.put("Expires-Ms", "4000");
         headers.put("P-Trunk-Info", "home:0;copies:3;top:2;viewer:" + session);
-        return Headed.encode("SETUP rtsp://media/lesson RTSP/1.0", headers, DESCRIPTION);
+        return HttpStyleMessage.encode("SETUP rtsp://media/lesson RTSP/1.0", headers, DESCRIPTION);
     }
 
     /** The answer to a note of the broker's that a session is over. */
@@ -34,6 +34,6 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "2");
         headers.put("Session", session);
-        return Headed.encode("RTSP/1.0 200 OK", headers, NOTHING);
+        return HttpStyleMessage.encode("RTSP/1.0 200 OK", headers, NOTHING);
     }
 }
--- a/src/test/java/dockshed/capacity/RtspViewers.java
+++ b/src/test/java/dockshed/capacity/RtspViewers.java
@@ -1,6 +1,6 @@
 package dockshed.capacity;
 
-import dockshed.net.Headed;
+import dockshed.net.HttpStyleMessage;
 import dockshed.net.Net;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
@@ -62,7 +62,7 @@
 
     /** Connections that are open and served. */
     int opened() {
-        return net.call(() -> open.size());
+        return net.callOnLoop(() -> open.size());
     }
 
     int refused() {
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public void message(ClientConnection from, Headed message) {
+        public void message(ClientConnection from, HttpStyleMessage message) {
             if (message.status() == 200) {
                 open.add(this);
                 served.release();
--- a/src/test/java/dockshed/capacity/StandInEdgeServers.java
+++ b/src/test/java/dockshed/capacity/StandInEdgeServers.java
@@ -91,7 +91,7 @@
         }
 
         void write(Channel channel, String message) {
-            channel.writeAndFlush(Net.buf((message + "\n").getBytes(StandardCharsets.UTF_8)));
+            channel.writeAndFlush(Net.toByteBuf((message + "\n").getBytes(StandardCharsets.UTF_8)));
         }
 
         void report() {
@@ -134,7 +134,7 @@
         }
 
         @Override
-        protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+        protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
             for (byte b : bytes) {
                 if (b != '\n') {
                     line.write(b);
@@ -147,7 +147,7 @@
         }
 
         @Override
-        protected void closed(ChannelHandlerContext ctx, boolean reset) {
+        protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             server.lines.remove(ctx.channel());
         }
     }
--- a/src/test/java/dockshed/capacity/StandInPlaylistServers.java
+++ b/src/test/java/dockshed/capacity/StandInPlaylistServers.java
@@ -1,8 +1,8 @@
 package dockshed.capacity;
 
 import dockshed.net.ByteHandler;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.Net;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -67,22 +67,22 @@
     }
 
     private final class Connection extends ByteHandler {
-        private final HeadedDecoder decoder = new HeadedDecoder(REQUEST_LIMIT);
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(REQUEST_LIMIT);
 
         @Override
-        protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+        protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
             decoder.add(bytes, 0, bytes.length);
             try {
-                for (Headed request = decoder.next(); request != null; request = decoder.next()) {
-                    boolean master = request.word(1).endsWith("master.m3u8");
-                    ctx.writeAndFlush(Net.buf(master ? multivariant : media));
+                for (HttpStyleMessage request = decoder.next(); request != null; request = decoder.next()) {
+                    boolean master = request.startLinePart(1).endsWith("master.m3u8");
+                    ctx.writeAndFlush(Net.toByteBuf(master ? multivariant : media));
                 }
-            } catch (Headed.Malformed malformed) {
+            } catch (HttpStyleMessage.MalformedMessageException malformed) {
                 ctx.close();
             }
         }
 
         @Override
-        protected void closed(ChannelHandlerContext ctx, boolean reset) {}
+        protected void onClosed(ChannelHandlerContext ctx, boolean reset) {}
     }
 }
--- a/src/test/java/dockshed/config/ConfFileTest.java
+++ b/src/test/java/dockshed/config/ConfFileTest.java
@@ -20,7 +20,8 @@
     }
 
     private static List<String> faults(String text) {
-        Fields.Malformed e = assertThrows(Fields.Malformed.class, () -> storm(text), text);
+        JsonFields.InvalidInputException e =
+                assertThrows(JsonFields.InvalidInputException.class, () -> storm(text), text);
         return e.getMessage().lines().toList();
     }
 
@@ -83,7 +84,7 @@
             try {
                 Terms t = storm(whole.substring(0, i));
                 assertNull(t, "cut at " + i + ": a section without its end is never in force");
-            } catch (Fields.Malformed e) {
+            } catch (JsonFields.InvalidInputException e) {
                 assertTrue(e.getMessage().startsWith("x.conf:"), e.getMessage());
             }
             if (whole.startsWith("}", i)) {
@@ -99,7 +100,7 @@
             }
             try {
                 storm(text.toString());
-            } catch (Fields.Malformed e) {
+            } catch (JsonFields.InvalidInputException e) {
                 assertTrue(e.getMessage().startsWith("x.conf:"), text + ": " + e.getMessage());
             }
         }
@@ -110,18 +111,18 @@
         Path file = dir.resolve("c.conf");
         byte[] cut = "storm { # ü".getBytes(StandardCharsets.UTF_8);
         Files.write(file, java.util.Arrays.copyOf(cut, cut.length - 1)); // in the midst of a character
-        assertTrue(assertThrows(Fields.Malformed.class, () -> OperatorConfig.load(file.toString()))
+        assertTrue(assertThrows(JsonFields.InvalidInputException.class, () -> OperatorConfig.load(file.toString()))
                 .getMessage()
                 .contains("UTF-8"));
-        Files.write(file, new byte[ConfFile.MOST_BYTES + 1]);
-        assertTrue(assertThrows(Fields.Malformed.class, () -> OperatorConfig.load(file.toString()))
+        Files.write(file, new byte[ConfFile.MAX_FILE_BYTES + 1]);
+        assertTrue(assertThrows(JsonFields.InvalidInputException.class, () -> OperatorConfig.load(file.toString()))
                 .getMessage()
                 .contains("longer"));
         assertThrows(
-                Fields.Malformed.class,
+                JsonFields.InvalidInputException.class,
                 () -> OperatorConfig.load(dir.resolve("none").toString()));
         assertTrue(assertThrows(
-                        Fields.Malformed.class,
+                        JsonFields.InvalidInputException.class,
                         () -> ConfFile.read("x.conf", "a {\n".repeat(20)).check())
                 .getMessage()
                 .contains("sections in sections"));
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -15,7 +15,7 @@
 /** What the program is told: read, checked, and complained of by the key at fault. */
 public class ConfigTest {
     /** A whole configuration; the tests of the program use it too. */
-    public static final String WHOLE = """
+    public static final String COMPLETE_CONFIG = """
             {"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
             "sockets":512},"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:7946"],"peers_all":"127.0.0.1:7947",
             "names":"127.0.0.1:9","known":{"rev":2,"notices":[
@@ -37,26 +37,30 @@
 
     @Test
     void allOfItIsRead() {
-        Config c = read(WHOLE);
+        Config c = read(COMPLETE_CONFIG);
         assertEquals("n3", c.name());
         assertEquals(0x8c1f30d27a5be964L, c.seed());
-        assertEquals(512, c.sockets());
-        assertEquals(9, c.names().getPort());
-        assertEquals(7947, c.peersAll().getPort());
-        assertEquals(20_000_000, c.idleClose());
+        assertEquals(512, c.maxSockets());
+        assertEquals(9, c.nameServer().getPort());
+        assertEquals(7947, c.allPeersAddress().getPort());
+        assertEquals(20_000_000, c.idleTimeout());
         assertEquals(List.of("busy_reqs", "x0"), c.reportFields());
         assertEquals(1_000_000, c.settings().rules().drainGrace());
         assertEquals(1, c.settings().classes().get(0).floor());
-        assertEquals(State.DRAINING, c.known().get(1).members().get(0).server().state());
-        assertEquals(1_500_000, c.known().get(1).members().get(0).server().upSince());
-        assertEquals(ListScope.DISK, Config.scope(c.known().get(0), true));
-        assertEquals(ListScope.CHANGES, Config.scope(c.known().get(1), false));
-        assertEquals(ListScope.SNAPSHOT, Config.scope(c.known().get(0), false));
+        assertEquals(
+                State.DRAINING,
+                c.knownServers().get(1).servers().get(0).server().state());
+        assertEquals(
+                1_500_000, c.knownServers().get(1).servers().get(0).server().upSince());
+        assertEquals(ListScope.DISK, Config.scope(c.knownServers().get(0), true));
+        assertEquals(ListScope.CHANGES, Config.scope(c.knownServers().get(1), false));
+        assertEquals(ListScope.SNAPSHOT, Config.scope(c.knownServers().get(0), false));
     }
 
     @Test
     void whatMayBeAbsentHasADefaultAndTheEnvironmentComesFirst() {
-        String less = WHOLE.replace("\"peer_listen\":\"127.0.0.1:0\",", "")
+        String less = COMPLETE_CONFIG
+                .replace("\"peer_listen\":\"127.0.0.1:0\",", "")
                 .replace("\"peers_all\":\"127.0.0.1:7947\",", "")
                 .replace(",\"idle_close\":20000.0", "")
                 .replace("\"limits\":{\"cores\":1.0,\"memory_mb\":192,\n\"sockets\":512},", "");
@@ -64,14 +68,15 @@
         assertEquals("n9", c.name());
         assertEquals("127.0.0.2", c.listen().getHostString());
         assertNull(c.peerListen());
-        assertNull(c.peersAll());
-        assertEquals(30_000_000, c.idleClose());
-        assertEquals(1024, c.sockets());
+        assertNull(c.allPeersAddress());
+        assertEquals(30_000_000, c.idleTimeout());
+        assertEquals(1024, c.maxSockets());
     }
 
     private static void complains(String from, String to, String key) {
-        assertTrue(WHOLE.contains(from), from);
-        Fields.Malformed e = assertThrows(Fields.Malformed.class, () -> read(WHOLE.replace(from, to)), to);
+        assertTrue(COMPLETE_CONFIG.contains(from), from);
+        JsonFields.InvalidInputException e =
+                assertThrows(JsonFields.InvalidInputException.class, () -> read(COMPLETE_CONFIG.replace(from, to)), to);
         assertTrue(e.getMessage().contains(key), e.getMessage());
     }
 
@@ -98,15 +103,18 @@
         complains("\"lowest_rung\":[1]", "\"lowest_rung\":[]", "'lowest_rung'");
         complains("\"peers\":[\"127.0.0.1:7946\"]", "\"peers\":[3]", "config: member 'peers'");
         complains("{\"name\"", "{,\"name\"", "config: not JSON");
-        assertThrows(Fields.Malformed.class, () -> Config.load(Map.of()));
-        assertThrows(Fields.Malformed.class, () -> Config.load(Map.of("EDGE_CONFIG", "/nowhere/config.json")));
+        assertThrows(JsonFields.InvalidInputException.class, () -> Config.load(Map.of()));
+        assertThrows(
+                JsonFields.InvalidInputException.class,
+                () -> Config.load(Map.of("EDGE_CONFIG", "/nowhere/config.json")));
     }
 
     @Test
     void aClassWithoutWorthIsReadAndOneOfEachFigureMayDiffer() {
         // A customer's class that earns nothing ended the start.
         for (String none : List.of("", ",\"points\":0")) {
-            Config c = read(WHOLE.replace(
+            Config c = read(COMPLETE_CONFIG
+                    .replace(
                             "\"points\":1.0}",
                             "\"points\":7.0},{\"deadline\":900.0,\"effect\":\"idempotent\","
                                     + "\"goal_time\":300.0,\"name\":\"odd one\"" + none + "}")
@@ -127,8 +135,8 @@
     void theFileOfTheHlsFrontIsReadAndChecked() {
         HlsConfig h = hls("{\"listen\":\"127.0.0.1:8080\",\"eureka\":{\"at\":\"127.0.0.1:8761\",\"app\":\"B\"},"
                 + "\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\",\"cell\":2}]}");
-        assertEquals(new HlsConfig.Eureka(h.eureka().at(), "/eureka", "B", 5_000_000), h.eureka());
-        assertEquals(20_000_000, h.idle());
+        assertEquals(new HlsConfig.Eureka(h.eureka().address(), "/eureka", "B", 5_000_000), h.eureka());
+        assertEquals(20_000_000, h.idleTimeout());
         assertEquals(State.UP, h.servers().get(0).server().state());
         for (Map.Entry<String, String> bad : Map.of(
                         "{}",
@@ -140,7 +148,8 @@
                         "{\"listen\":\"127.0.0.1:1\",\"idle_ms\":5,\"eureka\":{\"at\":\"127.0.0.1:1\",\"app\":\"B\"}}",
                         "'idle_ms'")
                 .entrySet()) {
-            Fields.Malformed e = assertThrows(Fields.Malformed.class, () -> hls(bad.getKey()), bad.getKey());
+            JsonFields.InvalidInputException e =
+                    assertThrows(JsonFields.InvalidInputException.class, () -> hls(bad.getKey()), bad.getKey());
             assertTrue(e.getMessage().contains(bad.getValue()), e.getMessage());
         }
     }
@@ -150,15 +159,15 @@
         // A server without a flavor, before an uplink that carries less than its link, took one session and no more.
         HlsConfig h = hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
                 + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
-        assertEquals(1, h.doubts(read(WHOLE).settings()).size());
-        String link = WHOLE.replace("\"weight_kb\":9000.0", "\"weight_kb\":90000.0");
-        List<String> both = h.doubts(read(link).settings());
+        assertEquals(1, h.warnings(read(COMPLETE_CONFIG).settings()).size());
+        String link = COMPLETE_CONFIG.replace("\"weight_kb\":9000.0", "\"weight_kb\":90000.0");
+        List<String> both = h.warnings(read(link).settings());
         assertEquals(2, both.size());
         assertTrue(both.get(0).contains("server a") && both.get(1).contains("uplink_kb"), both.toString());
         // No uplink at all is no doubt.
         assertEquals(
                 1,
-                h.doubts(read(link.replace("\"uplink_kb\":9000.0", "\"uplink_kb\":0"))
+                h.warnings(read(link.replace("\"uplink_kb\":9000.0", "\"uplink_kb\":0"))
                                 .settings())
                         .size());
     }
--- a/src/test/java/dockshed/config/ZoneDirectiveTest.java
+++ b/src/test/java/dockshed/config/ZoneDirectiveTest.java
@@ -16,7 +16,8 @@
     }
 
     private static List<String> faults(String text, int brokers) {
-        Fields.Malformed e = assertThrows(Fields.Malformed.class, () -> read(text, brokers), text);
+        JsonFields.InvalidInputException e =
+                assertThrows(JsonFields.InvalidInputException.class, () -> read(text, brokers), text);
         return e.getMessage().lines().toList();
     }
 
