--- a/src/test/java/dockshed/edge/EdgesTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -31,13 +31,13 @@
 import org.junit.jupiter.api.Test;
 
 /** The lines to edge servers on loopback sockets; the test itself is the edge server, and scripts the module. */
-class EdgesTest {
+class EdgeServerConnectionsTest {
     private final Net net = new Net();
     private final BrokerHarness stage = new BrokerHarness();
     private Director.Actions act;
     private LoopClock clock;
     private Broker broker;
-    private Edges edges;
+    private EdgeServerConnections edges;
     private final BlockingQueue<String> finding = new LinkedBlockingQueue<>();
     private volatile Verdict verdict = Verdict.TRY;
     private final ProbeCoordinator finder = new ProbeCoordinator() {
@@ -73,9 +73,9 @@
     }
 
     private void begin(long idleClose, long tell, int lines) {
-        net.call(() -> {
+        net.callOnLoop(() -> {
             clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wake);
+            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     stage.settings,
                     a -> {
@@ -84,13 +84,13 @@
                     },
                     m -> {},
                     deadlines);
-            clock.onDue(broker::runDueTimers);
-            edges = new Edges(
+            clock.onWakeUp(broker::runDueTimers);
+            edges = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
                     deadlines,
-                    new Edges.Terms(250_000, idleClose, tell, 0, List.of("busy_reqs", "x0"), lines),
+                    new EdgeServerConnections.Options(250_000, idleClose, tell, 0, List.of("busy_reqs", "x0"), lines),
                     finder);
             stage.onRequest = r -> act.send(r.id(), "a", 0);
             stage.onOutcome = id -> act.fail(id);
@@ -100,7 +100,7 @@
                     "names",
                     Director.ListScope.DISK,
                     List.of(new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.addresses(Map.of("a", new InetSocketAddress("127.0.0.1", server.getLocalPort())));
+            edges.updateAddresses(Map.of("a", new InetSocketAddress("127.0.0.1", server.getLocalPort())));
             return null;
         });
     }
@@ -115,7 +115,7 @@
     }
 
     private void ask(String name, String cls) {
-        net.call(() ->
+        net.callOnLoop(() ->
                 broker.request(clock.now(), stage.connection, stage, edges, BrokerHarness.sessionRequest(name, cls)));
     }
 
@@ -127,7 +127,7 @@
 
     private Message read() throws Exception {
         String text = reads.readLine();
-        return text == null ? null : Message.read(text);
+        return text == null ? null : Message.parse(text);
     }
 
     private void say(String text) throws IOException {
@@ -135,7 +135,7 @@
     }
 
     private void say(String type, String id, int cause, Map<String, String> fields) throws IOException {
-        say(new Message(type, id, fields, cause, null).write());
+        say(new Message(type, id, fields, cause, null).encode());
     }
 
     private void play(String name) throws Exception {
@@ -144,7 +144,7 @@
             accept();
         }
         assertEquals("setup", read().type());
-        say(new Message("answer", name, Map.of(), -1, "v=0").write());
+        say(new Message("answer", name, Map.of(), -1, "v=0").encode());
         stage.await("front served " + name);
     }
 
@@ -227,10 +227,10 @@
         Message m = read();
         assertEquals("release v1 16", m.type() + " " + m.id() + " " + m.cause());
         stage.await("module outcome 0 a TIMEOUT");
-        say(new Message("answer", "v1", Map.of(), -1, "late").write());
+        say(new Message("answer", "v1", Map.of(), -1, "late").encode());
         say("ping", "x", 0, Map.of());
         assertEquals("pong", read().type());
-        assertEquals(0, net.call(() -> stage.count("front served")));
+        assertEquals(0, net.callOnLoop(() -> stage.count("front served")));
     }
 
     @Test
@@ -275,7 +275,7 @@
         begin(1, 0); // all of its time is over as soon as anything else has happened
         ask("v1", "safe");
         accept();
-        say(new Message("release", read().id(), Map.of(), 34, null).write());
+        say(new Message("release", read().id(), Map.of(), 34, null).encode());
         stage.await("module outcome 0 a FULL");
         line = null;
         ask("v2", "safe");
@@ -296,8 +296,8 @@
     @Test
     void aRebornServersOlderSessionsAreOver() throws Exception {
         play("v1");
-        net.call(() -> {
-            edges.reborn("a", clock.now() + 1);
+        net.callOnLoop(() -> {
+            edges.serverRestarted("a", clock.now() + 1);
             return null;
         });
         assertEquals("front over v1 RESET", stage.await("front over"));
@@ -317,7 +317,7 @@
             act.send(r.id(), "a", 0);
         };
         play("v1");
-        net.call(() -> {
+        net.callOnLoop(() -> {
             act.setRendition(id[0], 3);
             broker.cancel(clock.now(), "v1");
             return null;
@@ -330,8 +330,8 @@
 
     @Test
     void aServerThatIsNotListedGetsNothing() throws Exception {
-        net.call(() -> {
-            edges.addresses(Map.of());
+        net.callOnLoop(() -> {
+            edges.updateAddresses(Map.of());
             return null;
         });
         ask("v1", "paid");
@@ -353,7 +353,7 @@
     void whatADeathSetsFreeDoesNotGoOutOnLinesThatDiedWithIt() throws Exception {
         // A process died, the system reset all lines to it at once, and in the millisecond until the last was told each
         // further attempt of a request was spent on one of them.
-        net.call(() -> stage.onOutcome = id -> {
+        net.callOnLoop(() -> stage.onOutcome = id -> {
             if (stage.count("module outcome") <= 2) {
                 act.send(id, "a", 0);
             } else {
@@ -366,9 +366,9 @@
         Socket first = line;
         ask("v2", "safe");
         accept();
-        say(new Message("answer", read().id(), Map.of(), -1, "v=0").write());
+        say(new Message("answer", read().id(), Map.of(), -1, "v=0").encode());
         stage.await("front served v2"); // the second line is free now
-        net.call(
+        net.callOnLoop(
                 () -> { // both are gone before the loop looks again, that with the set-up first
                     for (Socket s : List.of(first, line)) {
                         s.setSoLinger(true, 0);
@@ -378,7 +378,7 @@
                 });
         accept();
         assertEquals("setup", read().type());
-        net.call(() -> null);
+        net.callOnLoop(() -> null);
         assertEquals(
                 List.of("module outcome 0 a RESET"),
                 stage.log.stream().filter(l -> l.startsWith("module outcome")).toList());
@@ -404,11 +404,11 @@
         awaitFinding("suspected a true");
         awaitFinding("asked a");
         awaitFinding("asked a");
-        assertEquals(0, net.call(edges::lines));
+        assertEquals(0, net.callOnLoop(edges::countConnections));
         verdict = Verdict.UP;
         accept(); // somebody else found it up: news of the session needs a line
         awaitFinding("suspected a false");
-        assertEquals(1, net.call(broker::activeSessions));
+        assertEquals(1, net.callOnLoop(broker::activeSessions));
     }
 
     @Test
@@ -418,7 +418,7 @@
         verdict = Verdict.DOWN;
         breakOff();
         assertEquals("front over v1 RESET", stage.await("front over v1"));
-        assertEquals(0, net.call(edges::lines));
+        assertEquals(0, net.callOnLoop(edges::countConnections));
         assertTrue(finding.stream().noneMatch(l -> l.startsWith("found")), "it tried itself: " + finding);
     }
 
@@ -440,7 +440,7 @@
         int port = server.getLocalPort();
         server.close();
         line.close();
-        assertEquals(1, net.call(() -> broker.activeSessions()));
+        assertEquals(1, net.callOnLoop(() -> broker.activeSessions()));
         server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(20_000);
         accept();
@@ -459,7 +459,7 @@
         assertEquals("v2", read().id());
         first.getOutputStream().write("{\"type\":\"answer\",\"id\":\"v1\"\n".getBytes(StandardCharsets.UTF_8));
         assertEquals("module outcome 0 a RESET", stage.await("module outcome"));
-        say(new Message("answer", "v2", Map.of(), -1, "v=0").write());
+        say(new Message("answer", "v2", Map.of(), -1, "v=0").encode());
         assertEquals("front served v2 1..1", stage.await("front served"));
     }
 
@@ -470,7 +470,7 @@
         read();
         say("answer", "v1", -1, Map.of());
         assertEquals("module outcome 0 a RESET", stage.await("module outcome"));
-        assertEquals(0, net.call(() -> stage.count("front served")));
+        assertEquals(0, net.callOnLoop(() -> stage.count("front served")));
     }
 
     @Test
@@ -478,13 +478,13 @@
         ask("v1", "safe");
         accept();
         read();
-        say(new Message("answer", "v2", Map.of(), -1, "ahead").write());
-        String answer = new Message("answer", "v1", Map.of(), -1, "v=0").write();
+        say(new Message("answer", "v2", Map.of(), -1, "ahead").encode());
+        String answer = new Message("answer", "v1", Map.of(), -1, "v=0").encode();
         say(answer + answer);
         stage.await("front served v1");
         ask("v2", "safe");
         assertEquals("v2", read().id(), "the line is good still");
-        assertEquals(1, net.call(() -> stage.count("front served")));
+        assertEquals(1, net.callOnLoop(() -> stage.count("front served")));
     }
 
     @Test
@@ -527,7 +527,7 @@
         // Reports stayed out everywhere: 14 brokers closed and renewed 277 lines, and an end on its way was lost.
         begin(30_000_000, 2_000_000); // long enough that none is silent before all play
         List<String> ids = List.of("a", "b", "c", "d");
-        net.call(() -> {
+        net.callOnLoop(() -> {
             broker.serversChanged(
                     clock.now(),
                     "names",
@@ -536,7 +536,7 @@
                             .map(id -> new Director.Server(id, "z", "k", 0, Director.State.UP, 1, 0))
                             .toList());
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", server.getLocalPort());
-            edges.addresses(Map.of("a", at, "b", at, "c", at, "d", at));
+            edges.updateAddresses(Map.of("a", at, "b", at, "c", at, "d", at));
             return null;
         });
         List<Socket> lines = new ArrayList<>();
@@ -547,7 +547,7 @@
             lines.add(line);
         }
         accept(); // the one that is tried
-        assertEquals(5, net.call(() -> edges.lines()));
+        assertEquals(5, net.callOnLoop(() -> edges.countConnections()));
         for (int i = 0; i < lines.size(); i++) {
             line = lines.get(i);
             say("release", "v" + ids.get(i), 16, Map.of());
@@ -560,13 +560,13 @@
         begin(30_000_000, 0, 1);
         ServerSocket b = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         b.setSoTimeout(20_000);
-        net.call(() -> {
+        net.callOnLoop(() -> {
             broker.serversChanged(
                     clock.now(),
                     "names",
                     Director.ListScope.CHANGES,
                     List.of(new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.addresses(Map.of(
+            edges.updateAddresses(Map.of(
                     "a",
                     new InetSocketAddress("127.0.0.1", server.getLocalPort()),
                     "b",
@@ -587,7 +587,7 @@
             ask("0000000000000002", "safe");
             try (Socket other = b.accept()) {
                 assertEquals(null, read(), "the idle line was ended");
-                assertEquals(1, (int) net.call(edges::lines));
+                assertEquals(1, (int) net.callOnLoop(edges::countConnections));
             }
         }
     }
@@ -602,7 +602,7 @@
             stage.onRequest = r -> act.send(r.id(), "b", 0);
             ask("0000000000000002", "safe");
             stage.await("module outcome 0 b MOOT");
-            assertEquals(1, (int) net.call(edges::lines));
+            assertEquals(1, (int) net.callOnLoop(edges::countConnections));
         }
     }
 
@@ -616,10 +616,10 @@
             try (Socket other = b.accept()) {
                 String asked = new BufferedReader(new InputStreamReader(other.getInputStream(), StandardCharsets.UTF_8))
                         .readLine();
-                assertEquals("0000000000000002", Message.read(asked).id());
+                assertEquals("0000000000000002", Message.parse(asked).id());
                 other.getOutputStream()
                         .write(new Message("answer", "0000000000000002", Map.of(), -1, "v=0")
-                                .write()
+                                .encode()
                                 .getBytes(StandardCharsets.UTF_8));
                 stage.await("front served 0000000000000002");
                 accept(); // a's turn again, by itself
@@ -644,16 +644,16 @@
         ask("v1", "safe");
         accept();
         assertEquals("setup", read().type());
-        net.call(() -> {
+        net.callOnLoop(() -> {
             broker.cancel(clock.now(), "v1");
             return take(BrokerHarness.sessionRequest("v1", "safe"));
         });
         assertEquals("release", read().type());
-        say(new Message("answer", "v1", Map.of(), -1, "v=0").write());
+        say(new Message("answer", "v1", Map.of(), -1, "v=0").encode());
         ask("v2", "safe");
         assertEquals("v2", read().id());
-        assertEquals(1, net.call(() -> stage.count("module outcome 0 a MOOT")));
-        assertEquals(0, net.call(() -> stage.count("front served")));
+        assertEquals(1, net.callOnLoop(() -> stage.count("module outcome 0 a MOOT")));
+        assertEquals(0, net.callOnLoop(() -> stage.count("front served")));
     }
 
     // ---- What waits for a line, or on one, when its viewer goes or its server drains.
@@ -669,20 +669,20 @@
 
     @Test
     void whatItsViewerLeavesWhileTheLineComesUpNeverGoesOut() throws Exception {
-        net.call(() -> {
+        net.callOnLoop(() -> {
             take(BrokerHarness.sessionRequest("v1", "paid"));
             broker.cancel(clock.now(), "v1");
             return take(BrokerHarness.sessionRequest("v2", "safe"));
         });
         accept();
         assertEquals("v2", read().id());
-        assertEquals(0, net.call(() -> stage.count("module outcome")));
+        assertEquals(0, net.callOnLoop(() -> stage.count("module outcome")));
     }
 
     @Test
     void whatItsViewerLeavesInTheTurnThatBroughtItNeverGoesOut() throws Exception {
         play("v1");
-        net.call(() -> {
+        net.callOnLoop(() -> {
             take(BrokerHarness.sessionRequest("v2", "paid"));
             broker.disconnected(clock.now(), stage.connection);
             stage.connection = broker.connected(clock.now(), stage, h -> {});
@@ -696,16 +696,16 @@
         ask("v1", "paid");
         accept();
         assertEquals("setup", read().type());
-        net.call(() -> {
+        net.callOnLoop(() -> {
             broker.disconnected(clock.now(), stage.connection);
             return null;
         });
         Message m = read();
         assertEquals("release v1 16", m.type() + " " + m.id() + " " + m.cause());
-        say(new Message("answer", "v1", Map.of(), -1, "v=0").write()); // it crossed
+        say(new Message("answer", "v1", Map.of(), -1, "v=0").encode()); // it crossed
         ask("v2", "safe");
         assertEquals("v2", read().id());
-        assertEquals(0, net.call(() -> stage.count("front")));
+        assertEquals(0, net.callOnLoop(() -> stage.count("front")));
     }
 
     @Test
@@ -713,8 +713,8 @@
         // It went out whenever the line came up, however long after the drain was told.
         Director.Settings s = stage.settings;
         Director.Rules none = new Director.Rules(300_000, 0.4, 12_000_000, 2.5, 2_000_000, 0, 0, 0);
-        net.call(() -> {
-            TimerQueue deadlines = new TimerQueue(clock::wake);
+        net.callOnLoop(() -> {
+            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     new Director.Settings(
                             0,
@@ -733,16 +733,17 @@
                     },
                     m -> {},
                     deadlines);
-            edges = new Edges(
+            edges = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
                     deadlines,
-                    new Edges.Terms(250_000, 30_000_000, 3_000_000, 0, List.of("busy_reqs", "x0"), 256),
+                    new EdgeServerConnections.Options(
+                            250_000, 30_000_000, 3_000_000, 0, List.of("busy_reqs", "x0"), 256),
                     finder);
             stage.connection = broker.connected(clock.now(), stage, h -> {});
             list(Director.State.UP);
-            edges.addresses(Map.of("a", new InetSocketAddress("127.0.0.1", server.getLocalPort())));
+            edges.updateAddresses(Map.of("a", new InetSocketAddress("127.0.0.1", server.getLocalPort())));
             take(BrokerHarness.sessionRequest("v1", "paid"));
             list(Director.State.DRAINING); // its grace is as long as what is kept of it: none is left
             return null;
@@ -750,7 +751,7 @@
         accept();
         stage.await("module outcome 0 a MOOT");
         stage.await("front failed v1");
-        net.call(() -> {
+        net.callOnLoop(() -> {
             list(Director.State.UP);
             return take(BrokerHarness.sessionRequest("v2", "safe"));
         });
@@ -773,12 +774,12 @@
         int last = 0;
         do {
             String name = "v" + ++last;
-            net.call(() -> take(large(name)));
+            net.callOnLoop(() -> take(large(name)));
             assertTrue(last < 4000, "the system takes it all");
-        } while (net.call(() -> stage.count("module outcome"))
+        } while (net.callOnLoop(() -> stage.count("module outcome"))
                 == 0); // one that was held back: the server does not read
         String waits = "v" + (last - 1);
-        net.call(() -> {
+        net.callOnLoop(() -> {
             broker.cancel(clock.now(), waits);
             return null;
         });
@@ -786,7 +787,7 @@
         for (String text = reads.readLine();
                 text != null && text.endsWith("}");
                 text = reads.readLine()) { // or cut off
-            assertTrue(!Message.read(text).id().equals(waits), "it came after all");
+            assertTrue(!Message.parse(text).id().equals(waits), "it came after all");
         }
     }
 }
--- a/src/test/java/dockshed/edge/MessageTest.java
+++ b/src/test/java/dockshed/edge/MessageTest.java
@@ -21,19 +21,19 @@
 class MessageTest {
     @Test
     void theExampleOfThePageIsReadAndWritten() throws Exception {
-        Message m = Message.read("{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{\"class\":\"paid\","
+        Message m = Message.parse("{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{\"class\":\"paid\","
                 + "\"left\":\"1500\"},\"sdp\":\"9d41\\r\\nc=IN\\r\\n\"}");
         assertEquals(
                 new Message(
                         "setup", "9b1f03aa5c7e2d41", Map.of("class", "paid", "left", "1500"), -1, "9d41\r\nc=IN\r\n"),
                 m);
-        assertEquals(m, Message.read(m.write().stripTrailing()));
+        assertEquals(m, Message.parse(m.encode().stripTrailing()));
     }
 
     @Test
     void numbersUnknownMembersAndSpaceAreTaken() throws Exception {
         Message m =
-                Message.read(" { \"new\" : [1, {\"a\":null}, []] , \"cause\" : 34 , \"type\":\"release\",\"id\":\"x\","
+                Message.parse(" { \"new\" : [1, {\"a\":null}, []] , \"cause\" : 34 , \"type\":\"release\",\"id\":\"x\","
                         + "\"fields\":{ \"value\": -0.5e1, \"deep\":{\"a\":[true]}, \"left\":12 }} ");
         assertEquals(34, m.cause());
         assertEquals(Map.of("value", "-0.5e1", "left", "12"), m.fields());
@@ -56,24 +56,24 @@
                 "{\"type\":\"a\",\"id\":\"b\",\"fields\":{\"v\":nan}}",
                 "{\"type\":\"a\",\"id\":\"b\",\"x\":" + "[".repeat(5000) + "}",
                 "{\"type\":\"a\",\"id\":\"\\u12")) {
-            assertThrows(Message.Malformed.class, () -> Message.read(bad), bad);
+            assertThrows(Message.MalformedMessageException.class, () -> Message.parse(bad), bad);
         }
     }
 
     @Property(seed = "20261201", tries = 1000)
     void anyTextSurvivesTheWire(@ForAll String sdp, @ForAll String key, @ForAll String value) throws Exception {
         Message m = new Message("setup", "id", Map.of(key, value), 3, sdp);
-        String line = m.write();
+        String line = m.encode();
         assertEquals(line.length() - 1, line.indexOf('\n'), "one line");
         byte[] wire = line.getBytes(StandardCharsets.UTF_8);
-        assertEquals(m, Message.read(new String(wire, StandardCharsets.UTF_8).stripTrailing()));
+        assertEquals(m, Message.parse(new String(wire, StandardCharsets.UTF_8).stripTrailing()));
     }
 
     @Property(seed = "20261201", tries = 2000)
     void garbageIsMalformedAndNothingWorse(@ForAll("jsonish") String text) {
         try {
-            assertTrue(Message.read(text).type() != null);
-        } catch (Message.Malformed e) {
+            assertTrue(Message.parse(text).type() != null);
+        } catch (Message.MalformedMessageException e) {
             assertTrue(e.getMessage().length() > 0);
         }
     }
@@ -106,7 +106,7 @@
                 .map(l -> String.join("", l));
     }
 
-    private static List<String> lines(int limit, byte[]... parts) throws LineDecoder.Unreadable {
+    private static List<String> lines(int limit, byte[]... parts) throws LineDecoder.InvalidLineException {
         LineDecoder d = new LineDecoder(limit);
         List<String> out = new ArrayList<>();
         for (byte[] part : parts) {
@@ -137,7 +137,7 @@
     @Test
     void aLineWithoutEndIsGivenUp() throws Exception {
         assertEquals(List.of("x".repeat(64)), lines(64, ("x".repeat(64) + "\n").getBytes(StandardCharsets.UTF_8)));
-        assertThrows(LineDecoder.Unreadable.class, () -> lines(64, new byte[60], new byte[5]));
+        assertThrows(LineDecoder.InvalidLineException.class, () -> lines(64, new byte[60], new byte[5]));
     }
 
     @Test
@@ -145,6 +145,6 @@
         // A spoilt answer went on to the viewer with other characters in the place of its noise, as served.
         byte[] spoilt = "{\"sdp\":\"v=0 \"}\n".getBytes(StandardCharsets.UTF_8);
         spoilt[12] = (byte) 0xfe;
-        assertThrows(LineDecoder.Unreadable.class, () -> lines(64, spoilt));
+        assertThrows(LineDecoder.InvalidLineException.class, () -> lines(64, spoilt));
     }
 }
--- a/src/test/java/dockshed/eureka/RegistryTest.java
+++ b/src/test/java/dockshed/eureka/EurekaRegistryTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import dockshed.Director.State;
-import dockshed.names.Listing;
+import dockshed.names.ListedServer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Eureka's answers, whole and by deltas. */
-class RegistryTest {
+class EurekaRegistryTest {
     static String instance(String id, String status, String action) {
         return "{\"instanceId\":\"" + id + "\",\"app\":\"BOXES\",\"ipAddr\":\"127.0.0.1\",\"status\":\"" + status
                 + "\",\"port\":{\"$\":9001,\"@enabled\":\"true\"},\"actionType\":\"" + action
@@ -22,7 +22,7 @@
                 + "\",\"application\":[{\"name\":\"BOXES\",\"instance\":[" + String.join(",", instances) + "]}]}}";
     }
 
-    private static List<String> states(Registry r) throws Registry.Unfit {
+    private static List<String> states(EurekaRegistry r) throws EurekaRegistry.UnusableAnswerException {
         return r.servers("boxes").stream()
                 .map(l -> l.server().id() + " " + l.server().state())
                 .toList();
@@ -30,32 +30,33 @@
 
     @Test
     void theWholeListIsRead() throws Exception {
-        Registry r = new Registry();
-        r.full(apps("OUT_OF_SERVICE_1_UP_1_", instance("a", "UP", "ADDED"), instance("b", "OUT_OF_SERVICE", "ADDED")));
-        Listing a = r.servers("BOXES").get(0);
+        EurekaRegistry r = new EurekaRegistry();
+        r.applyFull(
+                apps("OUT_OF_SERVICE_1_UP_1_", instance("a", "UP", "ADDED"), instance("b", "OUT_OF_SERVICE", "ADDED")));
+        ListedServer a = r.servers("BOXES").get(0);
         assertEquals(
                 "Server[id=a, zone=east, kind=k, cell=2, state=UP, weight=1.5, upSince=5000]",
                 a.server().toString());
-        assertEquals(9001, a.at().getPort());
+        assertEquals(9001, a.address().getPort());
         assertEquals(State.DRAINING, r.servers("BOXES").get(1).server().state());
         assertEquals(List.of(), r.servers("OTHERS"));
     }
 
     @Test
     void aListOfOneMayStandThereAsTheOne() throws Exception {
-        Registry r = new Registry();
-        r.full("{\"applications\":{\"apps__hashcode\":\"UP_1_\",\"application\":{\"name\":\"BOXES\",\"instance\":"
+        EurekaRegistry r = new EurekaRegistry();
+        r.applyFull("{\"applications\":{\"apps__hashcode\":\"UP_1_\",\"application\":{\"name\":\"BOXES\",\"instance\":"
                 + instance("a", "UP", "ADDED") + "}}}");
         assertEquals(List.of("a UP"), states(r));
-        r.full("{\"applications\":{\"apps__hashcode\":\"\",\"application\":[]}}");
+        r.applyFull("{\"applications\":{\"apps__hashcode\":\"\",\"application\":[]}}");
         assertEquals(List.of(), states(r));
     }
 
     @Test
     void deltasAddChangeAndRemove() throws Exception {
-        Registry r = new Registry();
-        r.full(apps("UP_2_", instance("a", "UP", "ADDED"), instance("b", "UP", "ADDED")));
-        r.delta(apps(
+        EurekaRegistry r = new EurekaRegistry();
+        r.applyFull(apps("UP_2_", instance("a", "UP", "ADDED"), instance("b", "UP", "ADDED")));
+        r.applyDelta(apps(
                 "DOWN_1_UP_1_",
                 instance("a", "", "DELETED"),
                 instance("b", "DOWN", "MODIFIED"),
@@ -65,9 +66,11 @@
 
     @Test
     void aDeltaThatDoesNotAddUpChangesNothing() throws Exception {
-        Registry r = new Registry();
-        r.full(apps("UP_1_", instance("a", "UP", "ADDED")));
-        assertThrows(Registry.Unfit.class, () -> r.delta(apps("UP_3_", instance("b", "UP", "ADDED"))));
+        EurekaRegistry r = new EurekaRegistry();
+        r.applyFull(apps("UP_1_", instance("a", "UP", "ADDED")));
+        assertThrows(
+                EurekaRegistry.UnusableAnswerException.class,
+                () -> r.applyDelta(apps("UP_3_", instance("b", "UP", "ADDED"))));
         assertEquals(List.of("a UP"), states(r));
     }
 
@@ -75,13 +78,13 @@
     void whatIsNotEurekasIsUnfit() {
         for (String bad :
                 List.of("", "no", "[]", "{}", "{\"applications\":3}", "{\"applications\":{\"application\":[3]}}")) {
-            assertThrows(Registry.Unfit.class, () -> new Registry().full(bad), bad);
+            assertThrows(EurekaRegistry.UnusableAnswerException.class, () -> new EurekaRegistry().applyFull(bad), bad);
         }
-        Registry r = new Registry();
+        EurekaRegistry r = new EurekaRegistry();
         assertThrows(
-                Registry.Unfit.class,
+                EurekaRegistry.UnusableAnswerException.class,
                 () -> {
-                    r.full(apps("UP_1_", instance("a", "UP", "ADDED").replace("127.0.0.1", "some.host")));
+                    r.applyFull(apps("UP_1_", instance("a", "UP", "ADDED").replace("127.0.0.1", "some.host")));
                     r.servers("BOXES");
                 },
                 "an address, not a name that the system would have to resolve");
--- a/src/test/java/dockshed/hls/HlsEndToEndTest.java
+++ b/src/test/java/dockshed/hls/HlsEndToEndTest.java
@@ -14,9 +14,9 @@
 import dockshed.core.BrokerHarness;
 import dockshed.core.TimerQueue;
 import dockshed.eureka.EurekaClient;
-import dockshed.load.LoadTeller;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.load.LoadReporter;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import io.netty.channel.Channel;
@@ -64,15 +64,15 @@
             while (!socket.isClosed()) {
                 try {
                     Socket s = socket.accept();
-                    Headed m = read(s.getInputStream(), new HeadedDecoder(1 << 16));
-                    requestedPaths.add(m.word(1));
-                    arrivals.add(m.word(1));
-                    String answer = responder.apply(m.word(1));
+                    HttpStyleMessage m = read(s.getInputStream(), new HttpStyleMessageDecoder(1 << 16));
+                    requestedPaths.add(m.startLinePart(1));
+                    arrivals.add(m.startLinePart(1));
+                    String answer = responder.apply(m.startLinePart(1));
                     if (answer != null) {
                         s.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
                         s.close();
                     }
-                } catch (IOException | Headed.Malformed e) {
+                } catch (IOException | HttpStyleMessage.MalformedMessageException e) {
                     arrivals.add("broken");
                 }
             }
@@ -92,9 +92,10 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static Headed read(InputStream in, HeadedDecoder d) throws IOException, Headed.Malformed {
+    private static HttpStyleMessage read(InputStream in, HttpStyleMessageDecoder d)
+            throws IOException, HttpStyleMessage.MalformedMessageException {
         byte[] buf = new byte[4096];
-        for (Headed m = d.next(); ; m = d.next()) {
+        for (HttpStyleMessage m = d.next(); ; m = d.next()) {
             if (m != null) {
                 return m;
             }
@@ -124,9 +125,9 @@
     @BeforeEach
     void start() throws Exception {
         edgeServer = new StubHttpServer(path -> ok(path.endsWith("master.m3u8") ? MASTER : MEDIA));
-        net.call(() -> {
+        net.callOnLoop(() -> {
             clock = new LoopClock(net.loop());
-            deadlines = new TimerQueue(clock::wake);
+            deadlines = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     stage.settings,
                     a -> {
@@ -135,8 +136,8 @@
                     },
                     m -> {},
                     deadlines);
-            clock.onDue(broker::runDueTimers);
-            origins = new HlsEdgeServers(broker, net, clock, 250, new LoadTeller(broker, deadlines, stage.settings));
+            clock.onWakeUp(broker::runDueTimers);
+            origins = new HlsEdgeServers(broker, net, clock, 250, new LoadReporter(broker, deadlines, stage.settings));
             front = new HlsFront(
                     broker, origins, () -> clock.now() + clockOffsetUs, deadlines, stage.settings, 60_000_000, 50, 1);
             stage.onRequest = r -> {
@@ -169,18 +170,18 @@
     }
 
     /** What a player gets. */
-    private Headed fetch(String method, String target) throws Exception {
+    private HttpStyleMessage fetch(String method, String target) throws Exception {
         try (Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort())) {
             s.setSoTimeout(20_000);
             s.getOutputStream()
                     .write((method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.UTF_8));
-            Headed m = read(s.getInputStream(), new HeadedDecoder(1 << 20));
+            HttpStyleMessage m = read(s.getInputStream(), new HttpStyleMessageDecoder(1 << 20));
             assertEquals(m.body().length, Integer.parseInt(m.header("content-length")), "a cut answer would show");
             return m;
         }
     }
 
-    private Headed get(String target) throws Exception {
+    private HttpStyleMessage get(String target) throws Exception {
         return fetch("GET", target);
     }
 
@@ -188,15 +189,15 @@
         return "/lessons/milk%20sensor/master.m3u8?class=" + cls + "&viewer=" + viewer;
     }
 
-    private static List<String> uris(Headed playlist) {
-        return playlist.text().lines().filter(l -> !l.startsWith("#")).toList();
+    private static List<String> uris(HttpStyleMessage playlist) {
+        return playlist.bodyText().lines().filter(l -> !l.startsWith("#")).toList();
     }
 
     /** The class terms, on every playlist that was fetched: the paid class is never offered the lowest rung. */
-    private static void assertWithinClassTerms(Headed playlist) {
+    private static void assertWithinClassTerms(HttpStyleMessage playlist) {
         assertEquals(200, playlist.status());
-        assertFalse(playlist.text().contains("BANDWIDTH=100\n"), playlist.text());
-        assertTrue(playlist.text().contains("BANDWIDTH=900\n"), playlist.text());
+        assertFalse(playlist.bodyText().contains("BANDWIDTH=100\n"), playlist.bodyText());
+        assertTrue(playlist.bodyText().contains("BANDWIDTH=900\n"), playlist.bodyText());
     }
 
     /** A viewer that asks, and waits for as long as its connection is open. */
@@ -219,15 +220,15 @@
         again.close();
         stage.await("module gone");
         paid.close();
-        assertEquals(1, net.call(broker::unansweredRequests));
+        assertEquals(1, net.callOnLoop(broker::unansweredRequests));
         try (Socket back = sendGet(lessonPath("paid", "v"))) {
-            net.call(() -> {
+            net.callOnLoop(() -> {
                 actions.send(held, "a", 0);
                 actions.setRendition(kept, 2);
                 actions.send(kept, "a", 0);
                 return null;
             });
-            assertWithinClassTerms(read(back.getInputStream(), new HeadedDecoder(1 << 20)));
+            assertWithinClassTerms(read(back.getInputStream(), new HttpStyleMessageDecoder(1 << 20)));
         }
         assertEquals(1, edgeServer.requestedPaths.size());
         assertEquals(0, requests.size());
@@ -235,13 +236,13 @@
 
     @Test
     void aPaidLessonIsSetUpOnceAndPlayedThroughItsSession() throws Exception {
-        Headed first = get(lessonPath("paid", "v"));
+        HttpStyleMessage first = get(lessonPath("paid", "v"));
         assertWithinClassTerms(first);
         assertEquals(List.of("/lessons/milk%20sensor/master.m3u8"), edgeServer.requestedPaths);
         List<String> uris = uris(first);
         assertEquals(2, uris.size());
-        Headed media = get(uris.get(0));
-        assertTrue(media.text()
+        HttpStyleMessage media = get(uris.get(0));
+        assertTrue(media.bodyText()
                 .contains("\nhttp://127.0.0.1:" + edgeServer.address().getPort() + "/lessons/milk%20sensor/0.ts\n"));
         // Fetched again by the lesson's or the session's address: the same session, no second set-up.
         assertWithinClassTerms(get(lessonPath("paid", "v")));
@@ -262,11 +263,11 @@
     void aRungChangeReachesTheNextFetch() throws Exception {
         List<String> uris = uris(get(lessonPath("paid", "v")));
         String id = requests.take();
-        net.call(() -> {
+        net.callOnLoop(() -> {
             actions.setRendition(id, 1);
             return null;
         });
-        Headed again = get(lessonPath("paid", "v"));
+        HttpStyleMessage again = get(lessonPath("paid", "v"));
         assertWithinClassTerms(again);
         assertEquals(List.of(uris.get(0)), uris(again));
         edgeServer.requestedPaths.clear();
@@ -289,15 +290,15 @@
     void afterADrainTheBoxHearsNothingNew() throws Exception {
         // The brief's hard case: a playlist fetched again after its box began to drain.
         List<String> uris = uris(get(lessonPath("paid", "v")));
-        String held = get(uris.get(0)).text();
-        net.call(() -> {
+        String held = get(uris.get(0)).bodyText();
+        net.callOnLoop(() -> {
             announceServer(State.DRAINING);
             return null;
         });
         clockOffsetUs = 1_000_000;
         edgeServer.requestedPaths.clear();
         assertWithinClassTerms(get(lessonPath("paid", "v")));
-        assertEquals(held, get(uris.get(0)).text());
+        assertEquals(held, get(uris.get(0)).bodyText());
         assertEquals(410, get(uris.get(1)).status(), "not held: a final error");
         assertEquals(410, get(uris.get(0)).status(), "and the session is over");
         assertEquals(List.of(), edgeServer.requestedPaths);
@@ -317,13 +318,13 @@
         String uri = uris(get(lessonPath("paid", "v"))).get(0);
         assertEquals(204, fetch("DELETE", uri.replaceAll("/[0-9]+\\.m3u8$", "")).status());
         assertEquals(410, get(uri).status());
-        assertEquals(0, (int) net.call(broker::activeSessions));
+        assertEquals(0, (int) net.callOnLoop(broker::activeSessions));
     }
 
     @Test
     void aRefusalTellsWhenToComeBack() throws Exception {
         stage.onRequest = r -> actions.refuse(r.id(), 1_200_000);
-        Headed m = get(lessonPath("paid", "v"));
+        HttpStyleMessage m = get(lessonPath("paid", "v"));
         assertEquals(503, m.status());
         assertEquals("2", m.header("retry-after"));
     }
@@ -383,7 +384,7 @@
                     .write(("GET " + lessonPath("paid", "v") + " HTTP/1.1\r\n\r\nGET /other HTTP/1.1\r\n\r\n"
                                     + "no header line\r\nat all\r\n\r\n")
                             .getBytes(StandardCharsets.UTF_8));
-            HeadedDecoder d = new HeadedDecoder(1 << 20);
+            HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(1 << 20);
             InputStream in = s.getInputStream();
             assertEquals(200, read(in, d).status());
             assertEquals(404, read(in, d).status());
@@ -396,7 +397,7 @@
     void aViewerWhoAsksAgainWhileWaitingSharesTheOneSetUp() throws Exception {
         CompletableFuture<String> may = new CompletableFuture<>();
         edgeServer.responder = path -> may.join();
-        CompletableFuture<Headed> first = CompletableFuture.supplyAsync(() -> {
+        CompletableFuture<HttpStyleMessage> first = CompletableFuture.supplyAsync(() -> {
             try {
                 return get(lessonPath("paid", "v"));
             } catch (Exception e) {
@@ -411,7 +412,7 @@
                     .write(("GET " + lessonPath("paid", "v") + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             assertEquals(404, get("/other").status());
             may.complete(ok(MASTER));
-            assertWithinClassTerms(read(s.getInputStream(), new HeadedDecoder(1 << 20)));
+            assertWithinClassTerms(read(s.getInputStream(), new HttpStyleMessageDecoder(1 << 20)));
         }
         assertWithinClassTerms(first.get(20, TimeUnit.SECONDS));
         assertEquals(1, requests.size());
@@ -421,14 +422,14 @@
     @Test
     void aBoxThatLeavesTheListWhileItAnswersIsABadGateway() throws Exception {
         edgeServer.responder = path -> {
-            net.call(() -> {
+            net.callOnLoop(() -> {
                 origins.setAddresses(Map.of());
                 return null;
             });
             return ok(MASTER);
         };
         assertEquals(502, get(lessonPath("paid", "v")).status());
-        assertEquals(0, (int) net.call(broker::activeSessions));
+        assertEquals(0, (int) net.callOnLoop(broker::activeSessions));
     }
 
     @Test
@@ -439,7 +440,7 @@
         HlsFront f = new HlsFront(broker, origins, () -> at[0], own, stage.settings, 60_000_000, 50, 1);
         EmbeddedChannel ch = new EmbeddedChannel(f.accept());
         at[0] = 20_000_000;
-        ch.writeInbound(Net.buf("GET /other HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
+        ch.writeInbound(Net.toByteBuf("GET /other HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
         at[0] = 31_000_000;
         own.runDue(at[0]);
         assertTrue(ch.isOpen(), "used eleven seconds ago");
@@ -451,7 +452,7 @@
     @Test
     void aLostBoxEndsItsSessions() throws Exception {
         String uri = uris(get(lessonPath("paid", "v"))).get(0);
-        net.call(() -> {
+        net.callOnLoop(() -> {
             broker.serverLost(clock.now(), origins, "a", clock.now() + 1);
             return null;
         });
@@ -468,7 +469,7 @@
         int[] turn = {0};
         try (StubHttpServer eureka =
                 new StubHttpServer(path -> turn[0] < script.size() ? ok(script.get(turn[0]++)) : null)) {
-            net.call(() -> {
+            net.callOnLoop(() -> {
                 new EurekaClient(
                                 new HlsConfig.Eureka(eureka.address(), "/eureka", "BOXES", 1000),
                                 net,
@@ -493,7 +494,7 @@
     void whileEurekaIsOutOfReachTheLastListStands() throws Exception {
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         StubHttpServer eureka = new StubHttpServer(path -> ok(apps("")));
-        net.call(() -> {
+        net.callOnLoop(() -> {
             new EurekaClient(
                             new HlsConfig.Eureka(eureka.address(), "/eureka", "BOXES", 1000),
                             net,
--- a/src/test/java/dockshed/load/LoadTellerTest.java
+++ b/src/test/java/dockshed/load/LoadReporterTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Brokers with the real module before boxes that report nothing, on a virtual clock. */
-class LoadTellerTest {
+class LoadReporterTest {
     private static final long MS = 1000;
     private static final long S = 1_000_000;
     private static final double LINK = 90_000;
@@ -45,7 +45,7 @@
         final Map<String, String> at = new HashMap<>();
         final Settings s;
         final Broker broker;
-        final LoadTeller loads;
+        final LoadReporter loads;
         int served;
         int refused;
         int topped;
@@ -63,12 +63,12 @@
                     new Prices(0, 0, 0, 0),
                     List.of());
             broker = new Broker(s, a -> new Choice(s, 7 + me, a), m -> {}, deadlines);
-            loads = new LoadTeller(broker, deadlines, s);
+            loads = new LoadReporter(broker, deadlines, s);
             List<Server> list = new ArrayList<>();
             for (int i = 0; i < boxes; i++) {
                 list.add(new Server("box" + i, "east", kind, i % 3, State.UP, 1, 0));
             }
-            loads.members(list);
+            loads.updateServers(list);
             broker.serversChanged(now, "eureka", scope, list);
             nodes.add(this);
         }
@@ -111,19 +111,19 @@
                 broker.setUpAnswered(t, server, s.name(), "");
                 at.put(s.name(), server);
                 put(s.name(), server, s.highestRendition());
-                loads.stands(t, server, s.name(), s.className(), s.highestRendition());
+                loads.sessionStarted(t, server, s.name(), s.className(), s.highestRendition());
             });
         }
 
         @Override
         public void setRendition(String server, String name, int rung) {
-            loads.rate(now, name, rung);
+            loads.renditionChanged(now, name, rung);
             put(name, server, rung);
         }
 
         @Override
         public void sessionEnded(String server, String name) {
-            loads.over(now, name);
+            loads.sessionEnded(now, name);
             asked.merge(server, rungs.remove(name) > 0 ? -TOP : -200, Double::sum);
         }
 
@@ -236,10 +236,10 @@
     @Test
     void whatABoxSaysCountsAndAPromiseIsNeverForgotten() {
         Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
-        n.loads.header(now, "box0", "TEXT cpu_utilization=0.1, named_metrics.link=0.95");
+        n.loads.loadHeaderReceived(now, "box0", "TEXT cpu_utilization=0.1, named_metrics.link=0.95");
         come(60);
         assertTrue(n.refused > 0, "the box said that it is full");
-        pass(ReckonedLoads.BELIEVED + S);
+        pass(EstimatedLoads.REPORT_VALIDITY_US + S);
         n.refused = 0;
         come(20);
         assertEquals(0, n.refused, "and said no more for long");
@@ -247,17 +247,17 @@
 
     @Test
     void theAccountOfEndedSessionsIsEmpty() {
-        ReckonedLoads loads = new ReckonedLoads(new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 5, LINK).settings());
-        loads.members(List.of(new Server("a", "east", "std", 0, State.UP, 1, 0)));
-        loads.stands(now, "a", "s", "lesson", 1);
-        loads.stands(now, "a", "s", "lesson", 1); // told twice: counted once
-        assertEquals(TOP / LINK, loads.share(now, "a", now), 1e-9);
-        assertEquals(0, loads.share(now, "a", now - S), 1e-9, "a second ago nothing was asked");
-        loads.rate(now + S, "s", 0);
-        assertEquals(200 / LINK, loads.share(now + S, "a", now + S), 1e-9);
-        loads.over(now + S, "s");
-        loads.over(now + S, "s");
-        assertEquals(0, loads.share(now + S, "a", now + S), 1e-9);
-        assertEquals(List.of(), loads.names());
+        EstimatedLoads loads = new EstimatedLoads(new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 5, LINK).settings());
+        loads.updateServers(List.of(new Server("a", "east", "std", 0, State.UP, 1, 0)));
+        loads.sessionStarted(now, "a", "s", "lesson", 1);
+        loads.sessionStarted(now, "a", "s", "lesson", 1); // told twice: counted once
+        assertEquals(TOP / LINK, loads.linkShare(now, "a", now), 1e-9);
+        assertEquals(0, loads.linkShare(now, "a", now - S), 1e-9, "a second ago nothing was asked");
+        loads.renditionChanged(now + S, "s", 0);
+        assertEquals(200 / LINK, loads.linkShare(now + S, "a", now + S), 1e-9);
+        loads.sessionEnded(now + S, "s");
+        loads.sessionEnded(now + S, "s");
+        assertEquals(0, loads.linkShare(now + S, "a", now + S), 1e-9);
+        assertEquals(List.of(), loads.sessionNames());
     }
 }
--- a/src/test/java/dockshed/load/OrcaReportTest.java
+++ b/src/test/java/dockshed/load/OrcaReportTest.java
@@ -11,15 +11,16 @@
     void theMostParticularFieldCounts() {
         assertEquals(
                 0.4,
-                OrcaReport.link("TEXT cpu_utilization=0.9, application_utilization=0.7,"
+                OrcaReport.linkShare("TEXT cpu_utilization=0.9, application_utilization=0.7,"
                                 + "named_metrics.link=0.5, utilization.link=0.4")
                         .getAsDouble());
         assertEquals(
                 1.25,
-                OrcaReport.link("JSON {\"cpu_utilization\":0.3,\"application_utilization\":0.1,"
+                OrcaReport.linkShare("JSON {\"cpu_utilization\":0.3,\"application_utilization\":0.1,"
                                 + "\"named_metrics\":{\"link_utilization\":1.25}}")
                         .getAsDouble());
-        assertEquals(0.7, OrcaReport.link("TEXT application_utilization=7e-1").getAsDouble());
+        assertEquals(
+                0.7, OrcaReport.linkShare("TEXT application_utilization=7e-1").getAsDouble());
     }
 
     @Test
@@ -39,8 +40,8 @@
                 "TEXT utilization.link=Infinity",
                 "JSON ",
                 "TEXT utilization.link=0.4" + " ".repeat(5000))) {
-            assertTrue(OrcaReport.link(bad).isEmpty(), bad);
+            assertTrue(OrcaReport.linkShare(bad).isEmpty(), bad);
         }
-        assertTrue(OrcaReport.link(null).isEmpty());
+        assertTrue(OrcaReport.linkShare(null).isEmpty());
     }
 }
--- a/src/test/java/dockshed/names/NamesTest.java
+++ b/src/test/java/dockshed/names/DnsDiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dockshed.core.TimerQueue;
-import dockshed.names.DnsTest.Packet;
+import dockshed.names.DnsTest.AnswerBuilder;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import java.net.DatagramPacket;
@@ -18,22 +18,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Asking a name server over UDP; the test itself is the name server. */
-class NamesTest {
+class DnsDiscoveryTest {
     private final Net net = new Net();
     private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
     private DatagramSocket server;
     private DatagramPacket last;
-    private Names names;
+    private DnsDiscovery names;
 
     @BeforeEach
     void start() throws Exception {
         server = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         server.setSoTimeout(20_000);
-        net.call(() -> {
+        net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wake);
-            clock.onDue(deadlines::runDue);
-            names = new Names(
+            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
+            clock.onWakeUp(deadlines::runDue);
+            names = new DnsDiscovery(
                     (scope, servers, addresses) -> news.add(scope + " "
                             + servers.stream()
                                     .map(s -> s.id() + " " + s.state())
@@ -68,8 +68,8 @@
         return news.poll(20, TimeUnit.SECONDS);
     }
 
-    private static Packet list(int id, int serial, String... ids) {
-        Packet p = new Packet(id, Names.SERVICE, Dns.SRV);
+    private static AnswerBuilder list(int id, int serial, String... ids) {
+        AnswerBuilder p = new AnswerBuilder(id, DnsDiscovery.SERVICE_NAME, Dns.SRV);
         for (String s : ids) {
             p.srv(s + ".east.hosts", 0, 10, 80);
         }
@@ -85,8 +85,8 @@
         DatagramSocket old = server;
         server = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         server.setSoTimeout(20_000);
-        net.call(() -> {
-            names.moveTo(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
+        net.callOnLoop(() -> {
+            names.changeServer(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
             return null;
         });
         return old;
@@ -112,7 +112,7 @@
             byte[] bytes = list(id, 9, "x").bytes();
             stranger.send(new DatagramPacket(bytes, bytes.length, last.getSocketAddress()));
         }
-        answer(new Packet(id, "x.east.hosts", Dns.A).a("x.east.hosts", 3).bytes());
+        answer(new AnswerBuilder(id, "x.east.hosts", Dns.A).a("x.east.hosts", 3).bytes());
         answer(list(id, 1, "a").bytes());
         assertEquals("CHANGES [a UP] [a]", news());
     }
@@ -129,14 +129,14 @@
 
     @Test
     void whatTheListLacksIsAskedForByName() throws Exception {
-        answer(new Packet(query(), Names.SERVICE, Dns.SRV)
+        answer(new AnswerBuilder(query(), DnsDiscovery.SERVICE_NAME, Dns.SRV)
                 .srv("a.east.hosts", 1, 10, 80)
                 .soa(1)
                 .bytes());
         for (int i = 0; i < 2; i++) {
             int id = query();
             boolean text = last.getData()[last.getLength() - 3] == Dns.TXT;
-            Packet p = new Packet(id, "a.east.hosts", text ? Dns.TXT : Dns.A);
+            AnswerBuilder p = new AnswerBuilder(id, "a.east.hosts", text ? Dns.TXT : Dns.A);
             answer((text ? p.txt("a.east.hosts", "cell=2") : p.a("a.east.hosts", 7)).bytes());
         }
         assertEquals("CHANGES [a DRAINING] [a]", news());
@@ -157,15 +157,16 @@
     void aNameServerThatWasLeftEndsNobodyByAQuestionThatWasOut() throws Exception {
         answer(list(query(), 1, "a", "b").bytes());
         assertEquals("CHANGES [a UP, b UP] [a, b]", news());
-        answer(list(query(), 2, "a").cut(8000)); // b is left out: its address is asked for
+        answer(list(query(), 2, "a").truncated(8000)); // b is left out: its address is asked for
         int out = query();
         while (last.getData()[last.getLength() - 3] != Dns.A) {
             out = query();
         }
         DatagramPacket asked = last;
         DatagramSocket old = move();
-        byte[] none =
-                new Packet(out, "b.east.hosts", Dns.A).code(Dns.NO_SUCH_NAME).bytes();
+        byte[] none = new AnswerBuilder(out, "b.east.hosts", Dns.A)
+                .responseCode(Dns.NXDOMAIN)
+                .bytes();
         old.send(new DatagramPacket(none, none.length, asked.getSocketAddress()));
         old.close();
         answer(list(query(), 3, "a", "b", "c").bytes());
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -23,24 +23,24 @@
 /** The name server's answers, and what a list changes. */
 class DnsTest {
     /** Lays out an answer as a name server does, names compressed to pointers where they repeat. */
-    static final class Packet {
+    static final class AnswerBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
         private final Map<String, Integer> seen = new HashMap<>();
         private int records;
         private int flags = 0x8400;
 
-        Packet(int id, String question, int type) {
+        AnswerBuilder(int id, String question, int type) {
             u16(id).u16(0x8400).u16(1).u16(0).u16(0).u16(0);
             name(question).u16(type).u16(1);
         }
 
-        Packet u16(int v) {
+        AnswerBuilder u16(int v) {
             out.write(v >> 8);
             out.write(v);
             return this;
         }
 
-        Packet name(String name) {
+        AnswerBuilder name(String name) {
             String rest = name;
             while (!rest.isEmpty()) {
                 if (seen.containsKey(rest)) {
@@ -56,7 +56,7 @@
             return this;
         }
 
-        private Packet record(String name, int type, Runnable data) {
+        private AnswerBuilder record(String name, int type, Runnable data) {
             records++;
             name(name).u16(type).u16(1).u16(0).u16(5);
             int length = out.size();
@@ -71,18 +71,18 @@
             return this;
         }
 
-        Packet srv(String target, int priority, int weight, int port) {
+        AnswerBuilder srv(String target, int priority, int weight, int port) {
             return record(
-                    Names.SERVICE,
+                    DnsDiscovery.SERVICE_NAME,
                     Dns.SRV,
                     () -> u16(priority).u16(weight).u16(port).name(target));
         }
 
-        Packet a(String name, int last) {
+        AnswerBuilder a(String name, int last) {
             return record(name, Dns.A, () -> out.writeBytes(new byte[] {127, 0, 0, (byte) last}));
         }
 
-        Packet txt(String name, String... texts) {
+        AnswerBuilder txt(String name, String... texts) {
             return record(name, Dns.TXT, () -> {
                 for (String t : texts) {
                     out.write(t.length());
@@ -91,7 +91,7 @@
             });
         }
 
-        Packet soa(int serial) {
+        AnswerBuilder soa(int serial) {
             return record(
                     "fleet.local",
                     Dns.SOA,
@@ -109,13 +109,13 @@
                             .u16(1));
         }
 
-        Packet code(int code) {
+        AnswerBuilder responseCode(int code) {
             flags |= code;
             return this;
         }
 
         /** Marked as cut, and so many bytes long at most. */
-        byte[] cut(int limit) {
+        byte[] truncated(int limit) {
             flags |= 0x0200;
             return Arrays.copyOf(bytes(), Math.min(limit, bytes().length));
         }
@@ -131,7 +131,7 @@
     }
 
     private static byte[] fleet() {
-        return new Packet(7, Names.SERVICE, Dns.SRV)
+        return new AnswerBuilder(7, DnsDiscovery.SERVICE_NAME, Dns.SRV)
                 .srv("s-1.east.hosts", 0, 40, 5080)
                 .srv("s-2.west.hosts", 1, 15, 5081)
                 .soa(70_000)
@@ -151,22 +151,22 @@
 
     @Test
     void theFleetIsReadFromCompressedNames() throws Exception {
-        Dns.Answer a = Dns.read(fleet());
+        Dns.Answer a = Dns.parse(fleet());
         assertEquals(7, a.id());
-        assertEquals(70_000, FleetList.serial(a.records()));
-        FleetList list = new FleetList();
-        Survey survey = new Survey(list, Names.SERVICE);
-        assertEquals(2, survey.whole(a).size());
+        assertEquals(70_000, EdgeServerList.serial(a.records()));
+        EdgeServerList list = new EdgeServerList();
+        EdgeServerListUpdater survey = new EdgeServerListUpdater(list, DnsDiscovery.SERVICE_NAME);
+        assertEquals(2, survey.applyListAnswer(a).size());
         assertEquals(
                 List.of(
-                        new Listing(
+                        new ListedServer(
                                 new Server("s-1", "east", "std", 2, State.UP, 4, 0),
                                 new InetSocketAddress("127.0.0.9", 5080)),
-                        new Listing(
+                        new ListedServer(
                                 new Server("s-2", "west", "big", 3, State.DRAINING, 1.5, 1_500_500),
                                 new InetSocketAddress("127.0.0.10", 5081))),
                 list.all());
-        assertNull(survey.next(0), "nothing is lacking");
+        assertNull(survey.nextQuestion(0), "nothing is lacking");
     }
 
     @Test
@@ -174,13 +174,14 @@
         byte[] whole = fleet();
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(Dns.Malformed.class, () -> Dns.read(cut), "cut at " + i);
+            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(cut), "cut at " + i);
         }
-        byte[] loop = new Packet(1, "a", Dns.A).bytes();
+        byte[] loop = new AnswerBuilder(1, "a", Dns.A).bytes();
         loop[12] = (byte) 0xc0;
         loop[13] = 12;
-        assertThrows(Dns.Malformed.class, () -> Dns.read(loop));
-        assertThrows(Dns.Malformed.class, () -> Dns.read(Dns.query(1, "a", Dns.A)), "a query is no answer");
+        assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(loop));
+        assertThrows(
+                Dns.MalformedMessageException.class, () -> Dns.parse(Dns.query(1, "a", Dns.A)), "a query is no answer");
     }
 
     @Property(seed = "20261201", tries = 2000)
@@ -189,34 +190,35 @@
         hurt[Math.floorMod(where, hurt.length)] = what;
         for (byte[] packet : new byte[][] {hurt, garbage}) {
             try {
-                assertTrue(Dns.read(packet).records() != null);
-            } catch (Dns.Malformed e) {
+                assertTrue(Dns.parse(packet).records() != null);
+            } catch (Dns.MalformedMessageException e) {
                 assertTrue(e.getMessage().length() > 0);
             }
         }
     }
 
-    private static Listing listing(String id, State state, long since) {
-        return new Listing(new Server(id, "z", "k", 0, state, 1, since), new InetSocketAddress("127.0.0.1", 1));
+    private static ListedServer listing(String id, State state, long since) {
+        return new ListedServer(new Server(id, "z", "k", 0, state, 1, since), new InetSocketAddress("127.0.0.1", 1));
     }
 
     @Test
     void aWholeListTellsOnlyWhatChangedAndLateAnswersNothing() {
-        FleetList list = new FleetList();
-        list.known(
+        EdgeServerList list = new EdgeServerList();
+        list.applyConfigured(
                 3,
                 ListScope.DISK,
                 List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0)));
         assertEquals(
                 List.of(),
-                list.whole(3, List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0))),
+                list.replaceAll(
+                        3, List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0))),
                 "the same list again changes nothing");
-        List<Server> changed = list.whole(5, List.of(listing("a", State.DRAINING, 0), listing("c", State.UP, 9)));
+        List<Server> changed = list.replaceAll(5, List.of(listing("a", State.DRAINING, 0), listing("c", State.UP, 9)));
         assertEquals(
                 List.of("b GONE", "a DRAINING", "c UP"),
                 changed.stream().map(s -> s.id() + " " + s.state()).toList());
         assertEquals(List.of("a", "c"), List.copyOf(list.addresses().keySet()));
         // An answer that was overtaken on its way must not bring a drained server back.
-        assertNull(list.whole(4, List.of(listing("a", State.UP, 0))));
+        assertNull(list.replaceAll(4, List.of(listing("a", State.UP, 0))));
     }
 }
--- a/src/test/java/dockshed/names/SurveyTest.java
+++ b/src/test/java/dockshed/names/EdgeServerListUpdaterTest.java
@@ -9,7 +9,7 @@
 import dockshed.Director.ListScope;
 import dockshed.Director.Server;
 import dockshed.Director.State;
-import dockshed.names.DnsTest.Packet;
+import dockshed.names.DnsTest.AnswerBuilder;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Lists of some hundreds of servers, of which an answer of 8,000 bytes can tell but a part. */
-class SurveyTest {
+class EdgeServerListUpdaterTest {
     private static final int LIMIT = 8000;
-    private final FleetList list = new FleetList();
-    private final Survey survey = new Survey(list, Names.SERVICE);
+    private final EdgeServerList list = new EdgeServerList();
+    private final EdgeServerListUpdater survey = new EdgeServerListUpdater(list, DnsDiscovery.SERVICE_NAME);
     private long now = 10_000_000;
 
     private static String target(int i) {
@@ -28,17 +28,17 @@
     }
 
     private void known(int count) {
-        List<Listing> listings = new ArrayList<>();
+        List<ListedServer> listings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            listings.add(new Listing(
+            listings.add(new ListedServer(
                     new Server(String.format("s-%08x", i), "east", "std", i % 7, State.UP, 4, 0),
                     new InetSocketAddress("127.0.0.1", 5000)));
         }
-        list.known(5, ListScope.DISK, listings);
+        list.applyConfigured(5, ListScope.DISK, listings);
     }
 
-    private static Packet services(int from, int to, int serial, int draining) {
-        Packet p = new Packet(1, Names.SERVICE, Dns.SRV);
+    private static AnswerBuilder services(int from, int to, int serial, int draining) {
+        AnswerBuilder p = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV);
         p.soa(serial);
         for (int i = from; i < to; i++) {
             p.srv(target(i), i == draining ? 1 : 0, 40, 5000);
@@ -51,32 +51,33 @@
     }
 
     /** The questions put within one look. */
-    private List<Survey.Question> questions() {
-        List<Survey.Question> out = new ArrayList<>();
-        for (Survey.Question q = survey.next(now); q != null; q = survey.next(now)) {
+    private List<EdgeServerListUpdater.Question> questions() {
+        List<EdgeServerListUpdater.Question> out = new ArrayList<>();
+        for (EdgeServerListUpdater.Question q = survey.nextQuestion(now); q != null; q = survey.nextQuestion(now)) {
             out.add(q);
         }
         return out;
     }
 
-    private List<Server> reply(Survey.Question q, String... texts) throws Exception {
-        Packet p = new Packet(1, q.target(), q.type());
-        return survey.reply(q, Dns.read((q.type() == Dns.A ? p.a(q.target(), 9) : p.txt(q.target(), texts)).bytes()));
+    private List<Server> reply(EdgeServerListUpdater.Question q, String... texts) throws Exception {
+        AnswerBuilder p = new AnswerBuilder(1, q.target(), q.type());
+        return survey.applyRecordAnswer(
+                q, Dns.parse((q.type() == Dns.A ? p.a(q.target(), 9) : p.txt(q.target(), texts)).bytes()));
     }
 
     @Test
     void aCutAnswerTellsItsDrainsAndEndsNobody() throws Exception {
         // A cut answer was dropped whole: beyond some 200 servers the broker never heard of a drain again.
         known(1024);
-        byte[] cut = services(0, 1024, 6, 3).cut(LIMIT);
-        assertEquals("[s-00000003 DRAINING]", told(survey.whole(Dns.read(cut))));
+        byte[] cut = services(0, 1024, 6, 3).truncated(LIMIT);
+        assertEquals("[s-00000003 DRAINING]", told(survey.applyListAnswer(Dns.parse(cut))));
         assertEquals(1024, list.all().size());
         assertEquals(6, list.serial());
         for (int i = 20; i < cut.length; i += 97) { // cut anywhere, also within a record
-            byte[] shorter = services(0, 1024, 6, 3).cut(i);
+            byte[] shorter = services(0, 1024, 6, 3).truncated(i);
             try {
-                survey.whole(Dns.read(shorter));
-            } catch (Dns.Malformed e) {
+                survey.applyListAnswer(Dns.parse(shorter));
+            } catch (Dns.MalformedMessageException e) {
                 assertTrue(i < 100, "nothing but a header: " + i);
             }
             assertEquals(1024, list.all().size());
@@ -86,19 +87,21 @@
     @Test
     void whomACutAnswerLeavesOutIsAskedForByNameAFewALook() throws Exception {
         known(300);
-        survey.whole(Dns.read(services(0, 100, 6, -1).cut(LIMIT)));
+        survey.applyListAnswer(Dns.parse(services(0, 100, 6, -1).truncated(LIMIT)));
         ArrayDeque<String> gone = new ArrayDeque<>();
         int asked = 0;
         int looks = 0;
         for (; looks < 200 && gone.isEmpty(); looks++) {
-            List<Survey.Question> put = questions();
-            assertTrue(put.size() <= Survey.REFRESHED, "a few a look: " + put.size());
+            List<EdgeServerListUpdater.Question> put = questions();
+            assertTrue(put.size() <= EdgeServerListUpdater.MAX_REFRESHES_PER_LIST, "a few a look: " + put.size());
             asked += put.size();
-            for (Survey.Question q : put) {
+            for (EdgeServerListUpdater.Question q : put) {
                 if (q.target().equals(target(200))) {
-                    gone.add(told(survey.reply(
+                    gone.add(told(survey.applyRecordAnswer(
                             q,
-                            Dns.read(new Packet(1, q.target(), q.type()).code(3).bytes()))));
+                            Dns.parse(new AnswerBuilder(1, q.target(), q.type())
+                                    .responseCode(3)
+                                    .bytes()))));
                 } else {
                     assertEquals(
                             List.of(),
@@ -109,7 +112,7 @@
                                     "started=0"));
                 }
             }
-            survey.whole(Dns.read(services(0, 100, 6, -1).cut(LIMIT)));
+            survey.applyListAnswer(Dns.parse(services(0, 100, 6, -1).truncated(LIMIT)));
         }
         assertEquals("[s-000000c8 GONE]", gone.peek());
         assertTrue(asked <= 300, "each once: " + asked);
@@ -120,17 +123,17 @@
     void aCutAnswerOfTheSameNumberThatShowsOthersStillTellsTheirDrains() throws Exception {
         // Once all questions were answered, whatever came under that number was passed over.
         known(300);
-        survey.whole(Dns.read(services(0, 100, 6, -1).cut(LIMIT)));
-        for (List<Survey.Question> put = questions(); !put.isEmpty(); put = questions()) {
-            for (Survey.Question q : put) {
+        survey.applyListAnswer(Dns.parse(services(0, 100, 6, -1).truncated(LIMIT)));
+        for (List<EdgeServerListUpdater.Question> put = questions(); !put.isEmpty(); put = questions()) {
+            for (EdgeServerListUpdater.Question q : put) {
                 reply(q, "kind=std", "cell=" + Integer.parseInt(q.target().substring(2, 10), 16) % 7, "started=0");
             }
-            survey.whole(Dns.read(services(0, 100, 6, -1).cut(LIMIT)));
+            survey.applyListAnswer(Dns.parse(services(0, 100, 6, -1).truncated(LIMIT)));
         }
-        assertTrue(survey.settled());
+        assertTrue(survey.isSettled());
         assertEquals(
                 "[s-00000078 DRAINING]",
-                told(survey.whole(Dns.read(services(100, 200, 6, 120).cut(LIMIT)))));
+                told(survey.applyListAnswer(Dns.parse(services(100, 200, 6, 120).truncated(LIMIT)))));
     }
 
     @Test
@@ -138,28 +141,33 @@
         known(3);
         assertEquals(
                 "[s-00000001 DRAINING]",
-                told(survey.whole(Dns.read(services(0, 3, 6, 1).bytes()))));
-        Packet undated = new Packet(1, Names.SERVICE, Dns.SRV);
+                told(survey.applyListAnswer(Dns.parse(services(0, 3, 6, 1).bytes()))));
+        AnswerBuilder undated = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV);
         undated.srv(target(1), 0, 40, 5000).srv(target(2), 1, 40, 5000);
-        assertEquals("[s-00000002 DRAINING]", told(survey.whole(Dns.read(undated.cut(LIMIT)))));
-        Packet whole = new Packet(1, Names.SERVICE, Dns.SRV).srv(target(1), 0, 40, 5000);
-        assertThrows(Dns.Malformed.class, () -> survey.whole(Dns.read(whole.bytes())), "not cut: it has to have one");
+        assertEquals("[s-00000002 DRAINING]", told(survey.applyListAnswer(Dns.parse(undated.truncated(LIMIT)))));
+        AnswerBuilder whole = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV).srv(target(1), 0, 40, 5000);
+        assertThrows(
+                Dns.MalformedMessageException.class,
+                () -> survey.applyListAnswer(Dns.parse(whole.bytes())),
+                "not cut: it has to have one");
     }
 
     @Test
     void newServersWithoutRecordsAreAskedForFewAtATimeAndNotAfreshEachLook() throws Exception {
         // Every look, 250 ms apart, put one query a target and type at once and forgot what the last had gathered.
-        assertEquals(List.of(), survey.whole(Dns.read(services(0, 300, 9, -1).bytes())));
+        assertEquals(
+                List.of(),
+                survey.applyListAnswer(Dns.parse(services(0, 300, 9, -1).bytes())));
         int asked = 0;
         for (int look = 0; look < 100 && list.all().size() < 300; look++) {
-            List<Survey.Question> put = questions();
-            assertTrue(put.size() <= Survey.AT_ONCE, "at once: " + put.size());
+            List<EdgeServerListUpdater.Question> put = questions();
+            assertTrue(put.size() <= EdgeServerListUpdater.MAX_OPEN_QUESTIONS, "at once: " + put.size());
             asked += put.size();
-            for (Survey.Question q : put) {
+            for (EdgeServerListUpdater.Question q : put) {
                 reply(q, "kind=std", "cell=4", "started=0");
             }
-            survey.whole(
-                    Dns.read(services(0, 300, look < 50 ? 9 + look : 60, -1).bytes()));
+            survey.applyListAnswer(
+                    Dns.parse(services(0, 300, look < 50 ? 9 + look : 60, -1).bytes()));
         }
         assertEquals(300, list.all().size());
         assertEquals(4, list.all().get(299).server().cell());
@@ -171,25 +179,26 @@
         known(4);
         assertEquals(
                 "[s-00000002 DRAINING]",
-                told(survey.whole(Dns.read(services(0, 4, 6, 2).bytes()))),
+                told(survey.applyListAnswer(Dns.parse(services(0, 4, 6, 2).bytes()))),
                 "a drain needs no further record");
-        List<Survey.Question> put = questions();
+        List<EdgeServerListUpdater.Question> put = questions();
         assertTrue(put.stream().allMatch(q -> q.type() == Dns.TXT), put.toString());
         List<Server> news = reply(put.get(0), "kind=std", "cell=0", "started=1500");
         assertEquals(1_500_000, news.get(0).upSince());
-        now += Survey.PATIENCE + 1;
+        now += EdgeServerListUpdater.QUESTION_TIMEOUT_US + 1;
         assertEquals(3, questions().size(), "those unanswered once more, and no other");
-        for (Survey.Question q : put.subList(1, 4)) {
+        for (EdgeServerListUpdater.Question q : put.subList(1, 4)) {
             reply(q, "kind=std", "cell=" + Integer.parseInt(q.target().substring(2, 10), 16), "started=0");
         }
-        assertEquals(List.of(), survey.whole(Dns.read(services(0, 4, 6, 2).bytes())));
-        assertNull(survey.next(now), "nothing is left to ask");
+        assertEquals(
+                List.of(), survey.applyListAnswer(Dns.parse(services(0, 4, 6, 2).bytes())));
+        assertNull(survey.nextQuestion(now), "nothing is left to ask");
     }
 
     @Test
     void serialsThatGoBackChangeNothing() throws Exception {
         known(2);
-        assertNull(survey.whole(Dns.read(services(0, 1, 4, 0).bytes())));
+        assertNull(survey.applyListAnswer(Dns.parse(services(0, 1, 4, 0).bytes())));
         assertEquals(2, list.all().size());
         assertFalse(list.all().get(0).server().state() == State.DRAINING);
     }
--- a/src/test/java/dockshed/net/AcceptingTest.java
+++ b/src/test/java/dockshed/net/AcceptErrorHandlerTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a listener does when the system gives it no descriptor for a connection. */
-class AcceptingTest {
+class AcceptErrorHandlerTest {
     @Test
     void itLetsADescriptorGoAndTriesAgainSoon() {
         // Netty's own answer is to accept nobody for a second.
         int[] full = {0};
-        EmbeddedChannel listener = new EmbeddedChannel(new Net.Accepting(() -> full[0]++));
+        EmbeddedChannel listener = new EmbeddedChannel(new Net.AcceptErrorHandler(() -> full[0]++));
         listener.freezeTime();
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
--- a/src/test/java/dockshed/net/HeadedDecoderTest.java
+++ b/src/test/java/dockshed/net/HttpStyleMessageDecoderTest.java
@@ -15,28 +15,30 @@
 import org.junit.jupiter.api.Test;
 
 /** RTSP's and HTTP's messages, however the stream of bytes is cut. */
-class HeadedDecoderTest {
+class HttpStyleMessageDecoderTest {
     private static final String THREE = "SETUP rtsp://media/ab RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 5\r\n\r\nhallo"
             + "\r\nOPTIONS rtsp://media/ping RTSP/1.0\nCSeq:3\n\n"
             + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n"
             + "LAST x y\r\n\r\n";
 
-    private static List<Headed> all(HeadedDecoder d) throws Headed.Malformed {
-        List<Headed> out = new ArrayList<>();
-        for (Headed m = d.next(); m != null; m = d.next()) {
+    private static List<HttpStyleMessage> all(HttpStyleMessageDecoder d)
+            throws HttpStyleMessage.MalformedMessageException {
+        List<HttpStyleMessage> out = new ArrayList<>();
+        for (HttpStyleMessage m = d.next(); m != null; m = d.next()) {
             out.add(m);
         }
         return out;
     }
 
-    private static List<Headed> read(int limit, byte[]... parts) throws Headed.Malformed {
-        HeadedDecoder d = new HeadedDecoder(limit);
-        List<Headed> out = new ArrayList<>();
+    private static List<HttpStyleMessage> read(int limit, byte[]... parts)
+            throws HttpStyleMessage.MalformedMessageException {
+        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(limit);
+        List<HttpStyleMessage> out = new ArrayList<>();
         for (byte[] part : parts) {
             d.add(part, 0, part.length);
             out.addAll(all(d));
         }
-        assertFalse(d.midway(), "all of it was taken");
+        assertFalse(d.hasPartialMessage(), "all of it was taken");
         return out;
     }
 
@@ -44,13 +46,13 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static void isThree(List<Headed> got) {
+    private static void isThree(List<HttpStyleMessage> got) {
         assertEquals(
                 List.of("hallo", "", "abcde", ""),
-                got.stream().map(Headed::text).toList());
+                got.stream().map(HttpStyleMessage::bodyText).toList());
         assertEquals("3", got.get(1).header("cseq"));
         assertEquals(200, got.get(2).status());
-        assertEquals("x", got.get(3).word(1));
+        assertEquals("x", got.get(3).startLinePart(1));
     }
 
     @Test
@@ -78,7 +80,7 @@
                 "A b c\r\n folded: x\r\n\r\n",
                 "A b c\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                 "A b c\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabcd")) {
-            assertThrows(Headed.Malformed.class, () -> read(400, bytes(bad)), bad);
+            assertThrows(HttpStyleMessage.MalformedMessageException.class, () -> read(400, bytes(bad)), bad);
         }
     }
 
@@ -86,25 +88,26 @@
     void aMessageLongerThanTheLimitIsRefusedBeforeItIsWhole() throws Exception {
         String head = "A b c\r\nContent-Length: 40\r\n\r\n";
         assertEquals(1, read(head.length() + 40, bytes(head + "x".repeat(40))).size());
-        assertThrows(Headed.Malformed.class, () -> read(head.length() + 39, bytes(head)));
-        assertThrows(Headed.Malformed.class, () -> read(100, bytes("A".repeat(101))));
+        assertThrows(HttpStyleMessage.MalformedMessageException.class, () -> read(head.length() + 39, bytes(head)));
+        assertThrows(HttpStyleMessage.MalformedMessageException.class, () -> read(100, bytes("A".repeat(101))));
         assertThrows(
-                Headed.Malformed.class, () -> read(100, bytes("A b c\r\nTransfer-Encoding: chunked\r\n\r\nfff\r\n")));
+                HttpStyleMessage.MalformedMessageException.class,
+                () -> read(100, bytes("A b c\r\nTransfer-Encoding: chunked\r\n\r\nfff\r\n")));
     }
 
     @Test
     void halfAMessageIsKeptForLater() throws Exception {
-        HeadedDecoder d = new HeadedDecoder(400);
+        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(400);
         d.add(bytes(THREE), 0, 20);
         assertNull(d.next());
-        assertTrue(d.midway());
+        assertTrue(d.hasPartialMessage());
     }
 
     @Test
     void whatIsEncodedIsReadBack() throws Exception {
-        byte[] wire = Headed.encode("RTSP/1.0 200 OK", Map.of("Session", "ab"), bytes("body"));
-        Headed m = read(400, wire).get(0);
-        assertEquals("body", m.text());
+        byte[] wire = HttpStyleMessage.encode("RTSP/1.0 200 OK", Map.of("Session", "ab"), bytes("body"));
+        HttpStyleMessage m = read(400, wire).get(0);
+        assertEquals("body", m.bodyText());
         assertEquals("ab", m.header("session"));
         assertEquals("4", m.header("content-length"));
         assertEquals(200, m.status());
@@ -113,13 +116,13 @@
     /** Garbage is taken as messages or as malformed, never as another kind of failure. */
     @Property(seed = "20261201", tries = 2000)
     void garbageNeverDoesHarm(@ForAll byte[] garbage, @ForAll("pieces") String text) {
-        HeadedDecoder d = new HeadedDecoder(300);
+        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(300);
         try {
             d.add(garbage, 0, garbage.length);
             all(d);
             d.add(bytes(text), 0, text.length());
             all(d);
-        } catch (Headed.Malformed e) {
+        } catch (HttpStyleMessage.MalformedMessageException e) {
             assertTrue(e.getMessage().length() > 0);
         }
     }
--- a/src/test/java/dockshed/net/SignalsTest.java
+++ b/src/test/java/dockshed/net/SignalsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockshed.net.PlannedEnd.Step;
+import dockshed.net.GracefulShutdown.Step;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -16,10 +16,10 @@
 class SignalsTest {
     /** The steps with their times, looked for every 10 ms. */
     private static List<String> steps(long longest, IntPredicate unanswered, IntPredicate unwritten) {
-        PlannedEnd end = new PlannedEnd(0, longest * 1000);
+        GracefulShutdown end = new GracefulShutdown(0, longest * 1000);
         List<String> out = new ArrayList<>();
         for (int ms = 0; ms < 10_000; ms += 10) {
-            Step step = end.step(ms * 1000L, unanswered.test(ms) ? 1 : 0, unwritten.test(ms));
+            Step step = end.nextStep(ms * 1000L, unanswered.test(ms) ? 1 : 0, unwritten.test(ms));
             if (step != Step.WAIT) {
                 out.add(ms + " " + step);
             }
@@ -66,7 +66,7 @@
     @Test
     void aHangUpThatComesBeforeItIsKnownWhatToDoWaitsForThat() throws Exception {
         // In the first moments of a start it ended the program: a broker restarted while the list moved never came up.
-        Signals.expectHangUps();
+        Signals.captureHangUps();
         Signal.raise(new Signal("HUP"));
         CountDownLatch heard = new CountDownLatch(1);
         Signals.onHangUp(heard::countDown);
--- a/src/test/java/dockshed/peers/UdpPeersTest.java
+++ b/src/test/java/dockshed/peers/UdpPeersTest.java
@@ -41,7 +41,7 @@
             UdpPeers peers = new UdpPeers(List.of(own, other), null);
             peers.listen(net, own, (from, message) -> stage.broker.peerMessageReceived(stage.now, from, message));
 
-            net.call(() -> {
+            net.callOnLoop(() -> {
                 peers.broadcast(new byte[257]); // would void the run
                 peers.broadcast(new byte[] {1, 2});
                 return null;
@@ -54,7 +54,7 @@
             peer.send(new DatagramPacket(new byte[300], 300, own));
             peer.send(new DatagramPacket(new byte[] {7}, 1, own));
             assertEquals("module told 1", stage.await("module told"));
-            assertEquals(1, net.call(() -> stage.count("module told")));
+            assertEquals(1, net.callOnLoop(() -> stage.count("module told")));
         }
     }
 }
--- a/src/test/java/dockshed/rig/EndingsTest.java
+++ b/src/test/java/dockshed/rig/EndingsTest.java
@@ -7,10 +7,10 @@
 import dockshed.core.Broker;
 import dockshed.core.BrokerHarness;
 import dockshed.core.TimerQueue;
-import dockshed.edge.Edges;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
-import dockshed.net.HeldLoop;
+import dockshed.edge.EdgeServerConnections;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
+import dockshed.net.LoopBlocker;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import dockshed.rtsp.RtspFront;
@@ -96,7 +96,7 @@
 
     private static final class Viewer implements AutoCloseable {
         final Socket socket;
-        private final HeadedDecoder decoder = new HeadedDecoder(1 << 16);
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
 
         Viewer(InetSocketAddress at) throws IOException {
             socket = new Socket(at.getAddress(), at.getPort());
@@ -119,9 +119,9 @@
         /** The next message, as "200 1 ID" or "TEARDOWN 2 ID"; "end" where none comes any more. */
         String hear() throws Exception {
             byte[] buf = new byte[4096];
-            for (Headed m = decoder.next(); ; m = decoder.next()) {
+            for (HttpStyleMessage m = decoder.next(); ; m = decoder.next()) {
                 if (m != null) {
-                    String what = m.first().startsWith("RTSP/") ? m.word(1) : m.word(0);
+                    String what = m.startLine().startsWith("RTSP/") ? m.startLinePart(1) : m.startLinePart(0);
                     return what + " " + m.header("cseq") + " " + m.header("session");
                 }
                 int n = socket.getInputStream().read(buf);
@@ -162,9 +162,9 @@
     void start() throws Exception {
         a = new Box();
         b = new Box();
-        RtspFront front = net.call(() -> {
+        RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wake);
+            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     module.settings,
                     actions -> {
@@ -173,13 +173,13 @@
                     },
                     m -> {},
                     deadlines);
-            clock.onDue(broker::runDueTimers);
-            Edges edges = new Edges(
+            clock.onWakeUp(broker::runDueTimers);
+            EdgeServerConnections edges = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
                     deadlines,
-                    new Edges.Terms(250_000, 30_000_000, 0, 0, List.of("busy_reqs", "x0"), 256));
+                    new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of("busy_reqs", "x0"), 256));
             module.onRequest = r -> act.send(r.id(), "a", 0);
             module.onOutcome = id -> act.send(id, "b", 0);
             broker.serversChanged(
@@ -189,7 +189,7 @@
                     List.of(
                             new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0),
                             new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.addresses(Map.of("a", (InetSocketAddress) a.at.getLocalSocketAddress(), "b", (InetSocketAddress)
+            edges.updateAddresses(Map.of("a", (InetSocketAddress) a.at.getLocalSocketAddress(), "b", (InetSocketAddress)
                     b.at.getLocalSocketAddress()));
             return new RtspFront(broker, edges, clock, deadlines, 10);
         });
@@ -210,7 +210,7 @@
     }
 
     private void empty() {
-        assertEquals(0, net.call(() -> broker.unansweredRequests() + broker.activeSessions()));
+        assertEquals(0, net.callOnLoop(() -> broker.unansweredRequests() + broker.activeSessions()));
     }
 
     private void out(String id, String cls) throws Exception {
@@ -243,7 +243,7 @@
             try (Viewer leaves = new Viewer(at)) {
                 leaves.setUp(id, cls);
                 assertEquals("setup " + id, a.setUp());
-                CountDownLatch go = HeldLoop.hold(net);
+                CountDownLatch go = LoopBlocker.block(net);
                 a.release(id, 34); // it never ran: another attempt would be in order
                 leaves.close();
                 go.countDown();
@@ -264,7 +264,7 @@
     @Test
     void anAnswerThatCrossesItsGivingUpIsNeitherHeardNorLeftStanding() throws Exception {
         out(ID, "paid");
-        CountDownLatch go = HeldLoop.hold(net);
+        CountDownLatch go = LoopBlocker.block(net);
         a.answer(ID);
         viewer.tearDown(ID);
         go.countDown();
@@ -285,7 +285,7 @@
         a.release(ID, 34);
         b.accept();
         assertEquals("setup " + ID, b.read());
-        CountDownLatch go = HeldLoop.hold(net);
+        CountDownLatch go = LoopBlocker.block(net);
         b.answer(ID);
         b.answer(ID);
         a.answer(ID);
--- a/src/test/java/dockshed/rig/Fabric.java
+++ b/src/test/java/dockshed/rig/Fabric.java
@@ -39,12 +39,12 @@
     }
 
     private Channel open(int a, int b) {
-        return net.datagrams(
+        return net.bindDatagrams(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         new SimpleChannelInboundHandler<DatagramPacket>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-                                carry(a, b, Net.bytes(p.content()));
+                                carry(a, b, Net.toBytes(p.content()));
                             }
 
                             @Override
@@ -67,7 +67,7 @@
 
     /** Cuts the links that the predicate holds for, from the first broker to the second, and joins all others. */
     public void cutWhere(BiPredicate<Integer, Integer> where) {
-        net.call(() -> {
+        net.callOnLoop(() -> {
             for (int a = 0; a < cut.length; a++) {
                 for (int b = 0; b < cut.length; b++) {
                     cut[a][b] = where.test(a, b);
@@ -84,7 +84,7 @@
         }
         int times = random.nextDouble() < twice ? 2 : 1;
         for (int i = 0; i < times; i++) {
-            Runnable deliver = () -> from[b][a].writeAndFlush(new DatagramPacket(Net.buf(datagram), listens[b]));
+            Runnable deliver = () -> from[b][a].writeAndFlush(new DatagramPacket(Net.toByteBuf(datagram), listens[b]));
             if (mostMillis > 0) {
                 net.loop().schedule(deliver, random.nextInt(mostMillis + 1), TimeUnit.MILLISECONDS);
             } else {
@@ -95,7 +95,7 @@
 
     /** Cuts, or joins again, what goes from any of some brokers to any of others: one way only. */
     void cut(int[] from, int[] to, boolean is) {
-        net.call(() -> {
+        net.callOnLoop(() -> {
             for (int a : from) {
                 for (int b : to) {
                     cut[a][b] = is;
@@ -107,7 +107,7 @@
 
     /** Whether what a broker sends reaches anybody; what is sent to it does all the same. */
     void mute(int broker, boolean is) {
-        net.call(() -> {
+        net.callOnLoop(() -> {
             for (int to = 0; to < cut.length; to++) {
                 cut[broker][to] = is;
             }
--- a/src/test/java/dockshed/rig/FleetRig.java
+++ b/src/test/java/dockshed/rig/FleetRig.java
@@ -1,8 +1,8 @@
 package dockshed.rig;
 
 import dockshed.fleet.ByzantinePeer;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.Net;
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -88,22 +88,22 @@
             h.put("Expires-Ms", "3000");
             h.put("P-Trunk-Info", "home:0;copies:3;top:2;viewer:" + session);
             s.getOutputStream()
-                    .write(Headed.encode(
+                    .write(HttpStyleMessage.encode(
                             "SETUP rtsp://media/lesson RTSP/1.0", h, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
-            HeadedDecoder decoder = new HeadedDecoder(1 << 16);
+            HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
             byte[] room = new byte[4096];
             for (int n = s.getInputStream().read(room);
                     n >= 0;
                     n = s.getInputStream().read(room)) {
                 decoder.add(room, 0, n);
-                Headed m = decoder.next();
+                HttpStyleMessage m = decoder.next();
                 if (m != null) {
                     (m.status() == 200 ? answered : failed).incrementAndGet();
                     return m.status();
                 }
             }
             return 0;
-        } catch (Headed.Malformed e) {
+        } catch (HttpStyleMessage.MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/dockshed/rig/ReadyBench.java
+++ b/src/test/java/dockshed/rig/ReadyBench.java
@@ -49,7 +49,8 @@
                 }
                 Path config = Files.writeString(
                         dir.resolve(i + ".json"),
-                        ConfigTest.WHOLE.replace("\"127.0.0.1:0\",\"seed\"", "\"127.0.0.1:" + port + "\",\"seed\""));
+                        ConfigTest.COMPLETE_CONFIG.replace(
+                                "\"127.0.0.1:0\",\"seed\"", "\"127.0.0.1:" + port + "\",\"seed\""));
                 ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", run.replaceFirst("exec ", "exec " + cores))
                         .directory(new File("."))
                         .redirectErrorStream(true)
--- a/src/test/java/dockshed/rig/SocketStorm.java
+++ b/src/test/java/dockshed/rig/SocketStorm.java
@@ -3,8 +3,8 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import dockshed.net.ByteHandler;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import io.netty.channel.Channel;
@@ -98,7 +98,7 @@
             }
 
             @Override
-            protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+            protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
                 for (byte b : bytes) {
                     if (b != '\n') {
                         held.write(b);
@@ -168,11 +168,11 @@
                 if (sdp != null) {
                     m.addProperty("sdp", sdp);
                 }
-                channel.writeAndFlush(Net.buf((m + "\n").getBytes(StandardCharsets.UTF_8)));
+                channel.writeAndFlush(Net.toByteBuf((m + "\n").getBytes(StandardCharsets.UTF_8)));
             }
 
             @Override
-            protected void closed(ChannelHandlerContext ctx, boolean reset) {
+            protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
                 // A broker that died takes its sessions along.
                 List<String> gone = lineOf.entrySet().stream()
                         .filter(e -> e.getValue() == this)
@@ -293,45 +293,45 @@
             if (channel == null) {
                 early.writeBytes(bytes);
             } else {
-                channel.writeAndFlush(Net.buf(bytes));
+                channel.writeAndFlush(Net.toByteBuf(bytes));
             }
         }
 
         ByteHandler handler() {
             return new ByteHandler() {
-                private final HeadedDecoder decoder = new HeadedDecoder(1 << 16);
+                private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
 
                 @Override
                 public void channelActive(ChannelHandlerContext ctx) {
                     channel = ctx.channel();
-                    channel.writeAndFlush(Net.buf(early.toByteArray()));
+                    channel.writeAndFlush(Net.toByteBuf(early.toByteArray()));
                 }
 
                 @Override
-                protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+                protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
                     decoder.add(bytes, 0, bytes.length);
                     try {
-                        for (Headed m = decoder.next(); m != null; m = decoder.next()) {
+                        for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
                             Viewer v = Viewer.of(viewers, m.header("session", ""));
-                            if (v != null && m.first().startsWith("RTSP/")) {
+                            if (v != null && m.startLine().startsWith("RTSP/")) {
                                 v.answered(m);
-                            } else if (v != null && !m.word(0).equals("SET_PARAMETER")) {
+                            } else if (v != null && !m.startLinePart(0).equals("SET_PARAMETER")) {
                                 send(
                                         null,
-                                        Headed.encode(
+                                        HttpStyleMessage.encode(
                                                 "RTSP/1.0 200 OK",
                                                 Map.of("CSeq", "2", "Session", v.name),
                                                 new byte[0]));
                                 v.cut();
                             }
                         }
-                    } catch (Headed.Malformed e) {
+                    } catch (HttpStyleMessage.MalformedMessageException e) {
                         throw new IllegalStateException(e);
                     }
                 }
 
                 @Override
-                protected void closed(ChannelHandlerContext ctx, boolean reset) {
+                protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
                     gone();
                 }
             };
@@ -416,7 +416,8 @@
             String asked = name;
             node.send(
                     this,
-                    Headed.encode("SETUP rtsp://media/lesson RTSP/1.0", h, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
+                    HttpStyleMessage.encode(
+                            "SETUP rtsp://media/lesson RTSP/1.0", h, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
             in.after(patience + 300, () -> {
                 if (asked.equals(name) && !plays) {
                     in.unanswered += node.up() ? 1 : 0;
@@ -425,7 +426,7 @@
             });
         }
 
-        void answered(Headed m) {
+        void answered(HttpStyleMessage m) {
             if (m.status() == 200) {
                 plays = true;
                 in.after((until - in.clock.now()) / 1000, this::over);
@@ -541,7 +542,7 @@
     }
 
     private double[] play(int seconds, double perSecond, int killAt, int backAt) throws Exception {
-        clock = net.call(() -> new LoopClock(net.loop()));
+        clock = net.callOnLoop(() -> new LoopClock(net.loop()));
         List<Integer> peerPorts = new ArrayList<>();
         for (int i = 0; i < BOXES; i++) {
             Box b = new Box();
@@ -560,7 +561,7 @@
             n.begin(peerPorts);
         }
         Thread.sleep(2500); // a measurement, no test: the brokers come up
-        net.call(() -> {
+        net.callOnLoop(() -> {
             for (Node n : nodes) { // starting costs the same each time, and is no part of the overhead
                 used = used.minus(n.process.info().totalCpuDuration().orElse(Duration.ZERO));
             }
@@ -582,7 +583,7 @@
             return null;
         });
         Thread.sleep(seconds * 1000L + 200);
-        double[] out = net.call(() -> {
+        double[] out = net.callOnLoop(() -> {
             double worst = 1;
             double asked = 0;
             double got = 0;
--- a/src/test/java/dockshed/rtsp/LingeringCloseTest.java
+++ b/src/test/java/dockshed/rtsp/LingeringCloseTest.java
@@ -22,10 +22,10 @@
         // Closing at once resets the connection, and what the sender had not read by then was lost with it.
         Net net = new Net();
         BrokerHarness stage = new BrokerHarness();
-        RtspFront front = net.call(() -> {
+        RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wake);
-            clock.onDue(deadlines::runDue);
+            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
+            clock.onWakeUp(deadlines::runDue);
             return new RtspFront(stage.broker, stage, clock, deadlines, 10);
         });
         InetSocketAddress at = (InetSocketAddress)
--- a/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
+++ b/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
@@ -5,7 +5,7 @@
 
 import dockshed.core.BrokerHarness;
 import dockshed.core.TimerQueue;
-import dockshed.net.HeldLoop;
+import dockshed.net.LoopBlocker;
 import dockshed.net.LoopClock;
 import dockshed.net.Net;
 import java.io.InputStream;
@@ -27,10 +27,10 @@
 
     @BeforeEach
     void start() throws Exception {
-        RtspFront front = net.call(() -> {
+        RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wake);
-            clock.onDue(deadlines::runDue);
+            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
+            clock.onWakeUp(deadlines::runDue);
             return new RtspFront(stage.broker, stage, clock, deadlines, 10);
         });
         address = (InetSocketAddress)
@@ -71,19 +71,19 @@
     }
 
     private long attempts() {
-        return net.call(() -> stage.count("box a setUp"));
+        return net.callOnLoop(() -> stage.count("box a setUp"));
     }
 
     /** What is left of all requests and connections; the last test's own connection may still be on its way out. */
     private int unanswered() {
-        assertTrue(net.call(net::connections) <= 1, "connections left open");
-        return net.call(stage.broker::unansweredRequests);
+        assertTrue(net.callOnLoop(net::connectionCount) <= 1, "connections left open");
+        return net.callOnLoop(stage.broker::unansweredRequests);
     }
 
     @Test
     void whoClosesInTheSameReadAsItsSetUpIsNotTried() throws Exception {
         try (Socket s = connect()) {
-            CountDownLatch go = HeldLoop.hold(net);
+            CountDownLatch go = LoopBlocker.block(net);
             send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
             s.close();
             go.countDown();
@@ -95,7 +95,7 @@
 
     @Test
     void whoClosesBeforeItsConnectionIsAcceptedIsNotTried() throws Exception {
-        CountDownLatch go = HeldLoop.hold(net);
+        CountDownLatch go = LoopBlocker.block(net);
         try (Socket s = connect()) {
             send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
         }
@@ -109,21 +109,21 @@
     @Test
     void whoBreaksOffInTheSameReadLeavesNothingBehind() throws Exception {
         try (Socket s = connect()) {
-            CountDownLatch go = HeldLoop.hold(net);
+            CountDownLatch go = LoopBlocker.block(net);
             send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
             s.setSoLinger(true, 0);
             s.close();
             go.countDown();
             awaitEarlierReads();
             assertEquals(0, unanswered());
-            assertEquals(attempts(), net.call(() -> stage.count("box a giveUp")));
+            assertEquals(attempts(), net.callOnLoop(() -> stage.count("box a giveUp")));
         }
     }
 
     @Test
     void whoGivesUpInTheSameReadIsNotTried() throws Exception {
         try (Socket s = connect()) {
-            CountDownLatch go = HeldLoop.hold(net);
+            CountDownLatch go = LoopBlocker.block(net);
             send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
             send(
                     s,
@@ -149,7 +149,7 @@
                     RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), "").replace("Class: safe", "Class: paid")
                             + RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(2), ""));
             stage.await("box a setUp " + RtspFrontTest.sessionId(2));
-            CountDownLatch go = HeldLoop.hold(net);
+            CountDownLatch go = LoopBlocker.block(net);
             send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(3), ""));
             s.shutdownOutput();
             go.countDown();
@@ -166,7 +166,7 @@
             }
             awaitEarlierReads();
             assertEquals(2, attempts());
-            assertEquals(2, net.call(() -> stage.count("box a giveUp")));
+            assertEquals(2, net.callOnLoop(() -> stage.count("box a giveUp")));
             assertEquals(0, unanswered());
         }
     }
--- a/src/test/java/dockshed/scale/FaultyPeers.java
+++ b/src/test/java/dockshed/scale/FaultyPeers.java
@@ -53,13 +53,13 @@
     }
 
     @Override
-    public void tell(int to, byte[] message) {
+    public void send(int to, byte[] message) {
         if (dead) {
             return;
         }
         counts.bytesSent.addAndGet(message.length);
         if (!faults.get().drops(me, to, random.nextDouble())) {
-            peers.tell(to, message);
+            peers.send(to, message);
         }
     }
 }
--- a/src/test/java/dockshed/scale/HeldConnections.java
+++ b/src/test/java/dockshed/scale/HeldConnections.java
@@ -1,8 +1,8 @@
 package dockshed.scale;
 
 import dockshed.net.ByteHandler;
-import dockshed.net.Headed;
-import dockshed.net.HeadedDecoder;
+import dockshed.net.HttpStyleMessage;
+import dockshed.net.HttpStyleMessageDecoder;
 import dockshed.net.Net;
 import io.netty.channel.ChannelHandlerContext;
 import java.net.InetSocketAddress;
@@ -70,7 +70,7 @@
 
     private final class Viewer extends ByteHandler {
         private final int viewer;
-        private final HeadedDecoder decoder = new HeadedDecoder(MOST_ANSWER_BYTES);
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MOST_ANSWER_BYTES);
         private int asked;
 
         Viewer(int viewer) {
@@ -95,26 +95,26 @@
             headers.put("Priority-Class", "refresher");
             headers.put("Expires-Ms", "3000");
             headers.put("P-Trunk-Info", "home:0;copies:3;top:2;viewer:" + session);
-            byte[] request = Headed.encode(
+            byte[] request = HttpStyleMessage.encode(
                     "SETUP rtsp://media/lesson RTSP/1.0", headers, "v=0\r\n".getBytes(StandardCharsets.UTF_8));
-            ctx.writeAndFlush(Net.buf(request));
+            ctx.writeAndFlush(Net.toByteBuf(request));
             ctx.channel().eventLoop().schedule(() -> ask(ctx), ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
-        protected void bytes(ChannelHandlerContext ctx, byte[] bytes) {
+        protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
             decoder.add(bytes, 0, bytes.length);
             try {
                 while (decoder.next() != null) {
                     answers.incrementAndGet();
                 }
-            } catch (Headed.Malformed e) {
+            } catch (HttpStyleMessage.MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
         }
 
         @Override
-        protected void closed(ChannelHandlerContext ctx, boolean reset) {
+        protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             open.decrementAndGet();
             again(viewer);
         }
