--- a/src/main/java/dockshed/core/RequestTrace.java
+++ b/src/main/java/dockshed/core/RequestTrace.java
@@ -11,7 +11,7 @@
     /** Steps kept: at some tens of requests a second and eight steps each, those of the last ten seconds. */
     static final int MAX_STEPS = 4096;
 
-    private static final Logger LOG = LoggerFactory.getLogger(RequestTrace.class);
+    private static final Logger LOG = LoggerFactory.getLogger("dockshed.core.Trail");
 
     private final long[] at = new long[MAX_STEPS];
     private final String[] names = new String[MAX_STEPS];
--- a/src/main/java/dockshed/core/TimerQueue.java
+++ b/src/main/java/dockshed/core/TimerQueue.java
@@ -27,7 +27,7 @@
         }
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
+    private static final Logger LOG = LoggerFactory.getLogger("dockshed.core.Deadlines");
 
     private final TreeSet<Timer> ordered = new TreeSet<>();
     private final LongConsumer wake;
