--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -26,92 +26,101 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The broker without its wires: carries requests, attempts and outcomes between fronts, the decision module and
- * servers, and keeps the rules whichever of them errs. Every call brings the time, in microseconds; all come from
- * one thread. What the module asks for takes effect at once, but what follows from it reaches the module only after
- * its own call has returned.
+ * The broker's state machine, free of I/O: passes requests, attempts and outcomes between the fronts, the decision
+ * module and the server adapters, and enforces the rules of the protocol even where one of them breaks them.
+ *
+ * <p>Not thread-safe: all calls come from one thread. Every call is given the current time; all times and durations
+ * are in microseconds. An action of the decision module takes effect at once, but the events that follow from it are
+ * queued and reach the module only after its current call has returned.
  */
 public final class Broker implements Director.Actions {
-    /** The answer to a viewer goes out this long before its time is up, so that it still arrives. */
+    /** Time before the client deadline at which the answer is sent at the latest, so that it still arrives in time. */
     static final long ANSWER_MARGIN_US = 10_000;
-    /** Of the grace for drains, what is kept for the way to the server. */
+    /** Part of a draining server's grace period that is reserved for the transmission of a set-up to the server. */
     static final long DRAIN_MARGIN_US = 300_000;
-    /** A viewer's time may be this many times its class's deadline at most: more is no viewer's figure. */
+    /** Most that a client deadline may be, as a multiple of its class's deadline; no real viewer asks for more. */
     private static final int MAX_CLIENT_DEADLINE_RATIO = 2;
-    /** How long an end that no connection could carry is kept for the next one. */
+    /** Time for which an end notice that no connection could carry is kept for the next connection. */
     static final long END_NOTICE_VALIDITY_US = 8_000_000;
-    /** A connection that closes so soon after an end was written to it may not have carried it. */
+    /** An unconfirmed end notice is sent again if its connection closes within this time: it may not have arrived. */
     static final long END_NOTICE_RESEND_WINDOW_US = 300_000;
 
-    /** A server that is gone is forgotten after this: no attempt lasts so long. */
+    /** Time after which a server that is gone is removed from the table; no attempt lasts that long. */
     private static final long GONE_SERVER_RETENTION_US = 60_000_000;
 
-    /** Notes on a set-up that are kept until its answer comes. */
+    /** Most metrics that are kept for one set-up until its answer arrives; further ones are discarded. */
     private static final int MAX_EARLY_METRICS = 8;
 
-    /** Lines a second on viewers that left unanswered: enough to find one request, too few to hurt in a flood. */
+    /** Most log lines a second on cancelled requests: enough to find a single one, few enough to be safe in a flood. */
     private static final int MAX_CANCEL_LOG_LINES_PER_S = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(Broker.class);
 
-    /** A request, then the session that it became. */
+    /** A request and, once a server has answered its set-up, the session that it became. */
     private static final class BrokerSession {
         long handle;
         String id;
-        final SessionRequest wish;
+        final SessionRequest request;
         final Front front;
-        final ServerAdapter via;
-        final SessionClass cls;
-        final long came;
+        final ServerAdapter adapter;
+        final SessionClass sessionClass;
+        final long receivedAt;
         long connection;
-        ServerEntry box; // where an attempt is out or the session stands
+        ServerEntry server; // of the pending or latest attempt, or of the active session; null before the first
         int attempts;
-        boolean out;
-        boolean stands;
-        boolean ran;
+        boolean attemptPending;
+        boolean active;
+        boolean mayHaveRun;
         boolean answered;
-        int rung;
-        int rungSent;
-        long stoodSince;
-        Timer attemptEnds;
-        Timer patienceEnds;
-        final List<LongConsumer> early = new ArrayList<>(1); // notes that came before the answer
+        int rendition;
+        int sentRendition;
+        long activeSince;
+        Timer attemptTimer;
+        Timer clientDeadlineTimer;
+        final List<LongConsumer> earlyMetrics = new ArrayList<>(1); // received before the answer to the set-up
 
         BrokerSession(
-                SessionRequest wish, Front front, ServerAdapter via, SessionClass cls, long connection, long now) {
-            this.wish = wish;
+                SessionRequest request,
+                Front front,
+                ServerAdapter adapter,
+                SessionClass sessionClass,
+                long connection,
+                long now) {
+            this.request = request;
             this.front = front;
-            this.via = via;
-            this.cls = cls;
+            this.adapter = adapter;
+            this.sessionClass = sessionClass;
             this.connection = connection;
-            came = now;
-            rung = cls.floor();
+            receivedAt = now;
+            rendition = sessionClass.floor();
         }
     }
 
-    /** A server as the broker knows it. */
+    /** What the broker knows of a server. */
     private static final class ServerEntry {
         final String id;
-        final Map<ServerAdapter, Integer> standing = new HashMap<>();
-        final Map<String, Server> listings = new LinkedHashMap<>();
-        Server info;
-        long closedSince = TimerQueue.NEVER; // told to drain or to be gone
+        final Map<ServerAdapter, Integer> activeSessions = new HashMap<>(); // number of sessions by adapter
+        final Map<String, Server> listings = new LinkedHashMap<>(); // latest entry by source of the list
+        Server mergedListing;
+        long notUpSince = TimerQueue.NEVER; // when it was first listed as draining or gone; NEVER: it is up
 
         ServerEntry(String id) {
             this.id = id;
         }
     }
 
-    /** An end of a session that its viewer has still to hear of. */
-    private record EndNotice(Front front, String name, Outcome outcome, long until) {}
+    /** The end of a session, of which its viewer has yet to be notified; discarded at {@code validUntil}. */
+    private record EndNotice(Front front, String name, Outcome outcome, long validUntil) {}
 
-    private record SentNotice(EndNotice owed, long at) {}
+    /** An end notice that was written to a connection and has not been confirmed. */
+    private record SentNotice(EndNotice notice, long sentAt) {}
 
+    /** A connection from viewers. */
     private static final class Connection {
         final Front front;
-        final ArrayDeque<SentNotice> told = new ArrayDeque<>();
-        long askedAt = -1; // when it last brought a set-up; -1: never
-        boolean proved; // it carried a session, or confirmed an end: a viewer reads it
+        final ArrayDeque<SentNotice> sentNotices = new ArrayDeque<>();
+        long lastSetUpAt = -1; // time of the last set-up received on it; -1: none yet
+        boolean knownRead; // it carried a session or confirmed an end notice, so a viewer reads from it
 
         Connection(Front front) {
             this.front = front;
@@ -121,34 +130,44 @@
     private final Settings settings;
     private final Director director;
     private final Peers peers;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final Map<String, SessionClass> classes = new HashMap<>();
-    private final SlotTable<BrokerSession> calls = new SlotTable<>();
+    private final SlotTable<BrokerSession> sessions = new SlotTable<>();
     private final SlotTable<Connection> connections = new SlotTable<>();
-    private final Map<String, BrokerSession> byName = new HashMap<>();
-    private final LinkedHashMap<String, ServerEntry> boxes = new LinkedHashMap<>();
-    private final ArrayDeque<EndNotice> owed = new ArrayDeque<>();
-    private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
-    private boolean busy;
-    private boolean ending;
-    private long now;
-    private long leftSecond; // the second in which lines on leaving viewers are counted
-    private int leftLines;
+    private final Map<String, BrokerSession> sessionsByName = new HashMap<>();
+    private final LinkedHashMap<String, ServerEntry> servers = new LinkedHashMap<>();
+    private final ArrayDeque<EndNotice> pendingNotices = new ArrayDeque<>();
+    private final ArrayDeque<LongConsumer> eventQueue = new ArrayDeque<>();
+    private boolean dispatching;
+    private boolean shuttingDown;
+    private long currentTime;
+    private long cancelLogSecond; // the second of currentTime to which cancelLogLines applies
+    private int cancelLogLines;
     private int unansweredRequests;
     private final Counts counts = new Counts();
     private final RequestTrace trace = new RequestTrace();
 
-    /** What has happened since the start, for the log. */
+    /** Numbers of events since the start, for the log; each field has the name of its key in the log line. */
     public static final class Counts {
+        /** Requests accepted, including those refused because of a shutdown. */
         public long requests;
+        /** Requests answered with a session. */
         public long served;
+        /** Requests refused without being served. */
         public long refused;
+        /** Requests answered with an error. */
         public long failed;
+        /** Requests whose viewer cancelled, or closed or half-closed its connection, before the answer. */
         public long gone;
+        /** Sessions adopted that were already playing. */
         public long opened;
+        /** Sessions ended, for whichever reason. */
         public long over;
+        /** Sessions ended with the outcome RESET; counted in {@link #over} as well. */
         public long reset;
+        /** Sessions taken off their servers by the decision module, to be requested again. */
         public long moved;
+        /** Actions of the decision module that broke a rule. */
         public long breaches;
 
         @Override
@@ -159,534 +178,585 @@
         }
     }
 
-    public Broker(Settings settings, Function<Director.Actions, Director> module, Peers peers, TimerQueue deadlines) {
+    /** Builds the decision module with this broker as its actions; {@code timers} run in {@link #runDueTimers}. */
+    public Broker(Settings settings, Function<Director.Actions, Director> module, Peers peers, TimerQueue timers) {
         this.settings = settings;
         this.peers = peers;
-        this.deadlines = deadlines;
-        for (SessionClass c : settings.classes()) {
-            classes.put(c.name(), c);
+        this.timers = timers;
+        for (SessionClass sessionClass : settings.classes()) {
+            classes.put(sessionClass.name(), sessionClass);
         }
         director = module.apply(this);
     }
 
-    /** Runs an event, or keeps it until the one in hand is over. */
-    private void event(long at, LongConsumer what) {
-        events.add(what);
-        if (busy) {
+    /** Handles an event now, or queues it while another one is being handled. */
+    private void dispatch(long eventTime, LongConsumer event) {
+        eventQueue.add(event);
+        if (dispatching) {
             return;
         }
-        busy = true;
+        dispatching = true;
         try {
-            now = Math.max(now, at);
-            for (LongConsumer next = events.poll(); next != null; next = events.poll()) {
+            currentTime = Math.max(currentTime, eventTime);
+            for (LongConsumer next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
                 try {
-                    next.accept(now);
-                } catch (RuntimeException e) { // one request's trouble must not become every viewer's
-                    LOG.error("internal error, gone on after it", e);
+                    next.accept(currentTime);
+                } catch (RuntimeException e) { // an error on one request must not affect the other viewers
+                    LOG.error("internal error while handling an event; continuing with the next one", e);
                 }
             }
         } finally {
-            busy = false;
+            dispatching = false;
         }
     }
 
-    // ---- From the fronts.
+    // ---- Events from the fronts.
 
-    /** A connection from viewers has come up; {@code known} hears its handle before anything is sent on it. */
-    public long connected(long at, Front front, LongConsumer known) {
+    /** A connection from viewers has been opened; {@code onHandle} gets its handle before anything is sent on it. */
+    public long connected(long now, Front front, LongConsumer onHandle) {
         long handle = connections.add(new Connection(front));
-        known.accept(handle);
-        event(at, director::connected);
+        onHandle.accept(handle);
+        dispatch(now, director::connected);
         return handle;
     }
 
-    /** A connection has brought a set-up, so viewers use it: it can also carry the ends that wait for one. */
-    private void asks(long at, long connection, boolean proved) {
-        Connection c = connections.get(connection);
-        if (c == null) {
+    /** Records a set-up on a connection. Viewers use that connection, so it is also sent the pending end notices. */
+    private void recordSetUp(long now, long handle, boolean knownRead) {
+        Connection connection = connections.get(handle);
+        if (connection == null) {
             return;
         }
-        c.askedAt = at;
-        c.proved |= proved;
-        if (!owed.isEmpty()) {
-            event(at, t -> {
-                List<EndNotice> waiting = new ArrayList<>(owed);
-                owed.clear();
-                for (EndNotice o : waiting) {
-                    if (o.until() > t) {
-                        tellEnd(o, 0);
+        connection.lastSetUpAt = now;
+        connection.knownRead |= knownRead;
+        if (!pendingNotices.isEmpty()) {
+            dispatch(now, eventTime -> {
+                List<EndNotice> waiting = new ArrayList<>(pendingNotices);
+                pendingNotices.clear();
+                for (EndNotice notice : waiting) {
+                    if (notice.validUntil() > eventTime) {
+                        notifyEnd(notice, 0);
                     }
                 }
             });
         }
     }
 
-    /** A connection is gone: whoever waited on it for an answer has left. */
-    public void disconnected(long at, long connection) {
-        Connection c = connections.remove(connection);
-        if (c == null) {
+    /** A connection has been closed: cancels the requests that waited for an answer on it. */
+    public void disconnected(long now, long connection) {
+        Connection closed = connections.remove(connection);
+        if (closed == null) {
             return;
         }
-        event(at, t -> {
-            calls(call -> call.connection == connection && !call.stands).forEach(this::abandon);
-            for (SentNotice told : c.told) {
-                if (t - told.at() < END_NOTICE_RESEND_WINDOW_US) {
-                    tellEnd(told.owed(), 0);
+        dispatch(now, eventTime -> {
+            sessionsWhere(session -> session.connection == connection && !session.active)
+                    .forEach(this::cancelRequest);
+            for (SentNotice sent : closed.sentNotices) {
+                if (eventTime - sent.sentAt() < END_NOTICE_RESEND_WINDOW_US) {
+                    notifyEnd(sent.notice(), 0);
                 }
             }
         });
     }
 
     /**
-     * A connection brings nothing more, though what is written to it may still be read: what is unanswered on it gets its
-     * answer now, and nothing further is tried for it. It carries no ends from now on.
+     * The viewer's side has closed its half of a connection; what is written to it may still be read. Unanswered
+     * requests on it are answered now, without further attempts. It must carry no end notices from now on: the front
+     * calls {@link #disconnected} next.
      */
-    public void halfClosed(long at, long connection) {
-        event(at, t -> {
-            for (BrokerSession call : calls(c -> c.connection == connection && !c.answered)) {
-                left(call, "half-closed");
-                boolean mayHaveRun = call.out || call.ran;
-                finish(call);
+    public void halfClosed(long now, long connection) {
+        dispatch(now, eventTime -> {
+            for (BrokerSession session :
+                    sessionsWhere(candidate -> candidate.connection == connection && !candidate.answered)) {
+                logCancellation(session, "half-closed");
+                boolean mayHaveRun = session.attemptPending || session.mayHaveRun;
+                closeRequest(session);
                 counts.gone++;
-                if (mayHaveRun && call.cls.effect() != Effect.SAFE) {
-                    call.front.failed(connection, call.wish.name(), false);
+                if (mayHaveRun && session.sessionClass.effect() != Effect.SAFE) {
+                    session.front.failed(connection, session.request.name(), false);
                 } else {
-                    call.front.refused(connection, call.wish.name(), maxRetryAfter());
+                    session.front.refused(connection, session.request.name(), maxRetryAfter());
                 }
-                director.requestCancelled(t, call.id);
+                director.requestCancelled(eventTime, session.id);
             }
         });
     }
 
-    /** The viewer has confirmed that it heard of an end. */
-    public void endConfirmed(long connection, String name) {
-        Connection c = connections.get(connection);
-        if (c != null) {
-            c.proved |= c.told.removeIf(t -> t.owed().name().equals(name));
+    /** The viewer has confirmed the end notice of the session {@code name}. */
+    public void endConfirmed(long handle, String name) {
+        Connection connection = connections.get(handle);
+        if (connection != null) {
+            connection.knownRead |=
+                    connection.sentNotices.removeIf(sent -> sent.notice().name().equals(name));
         }
     }
 
-    /** A viewer's request; false where a session or request of that name is held already, or a figure is no good. */
-    public boolean request(long at, long connection, Front front, ServerAdapter via, SessionRequest wish) {
-        SessionClass cls = classes.get(wish.className());
-        if (cls == null
-                || byName.containsKey(wish.name())
-                || !inRange(wish)
-                || wish.clientDeadline() <= 0
-                || wish.clientDeadline() > MAX_CLIENT_DEADLINE_RATIO * cls.deadline()) {
+    /**
+     * Accepts a viewer's request for a session. While shutting down, accepts it and refuses it at once.
+     *
+     * @return false if it is rejected: its class is unknown, its name is that of a present request or session, or one
+     *     of its values is out of range
+     */
+    public boolean request(long now, long connection, Front front, ServerAdapter adapter, SessionRequest request) {
+        SessionClass sessionClass = classes.get(request.className());
+        if (sessionClass == null
+                || sessionsByName.containsKey(request.name())
+                || !inRange(request)
+                || request.clientDeadline() <= 0
+                || request.clientDeadline() > MAX_CLIENT_DEADLINE_RATIO * sessionClass.deadline()) {
             return false;
         }
-        if (ending) {
+        if (shuttingDown) {
             counts.requests++;
             counts.refused++;
-            front.refused(connection, wish.name(), maxRetryAfter());
+            front.refused(connection, request.name(), maxRetryAfter());
             return true;
         }
-        BrokerSession call = add(new BrokerSession(wish, front, via, cls, connection, at));
+        BrokerSession session = add(new BrokerSession(request, front, adapter, sessionClass, connection, now));
         unansweredRequests++;
         counts.requests++;
-        asks(at, connection, false);
-        event(at, t -> {
-            call.patienceEnds = deadlines.schedule(answerDue(call), due -> event(due, x -> patienceOver(call)));
-            director.request(t, wish.toDirectorRequest(call.id));
+        recordSetUp(now, connection, false);
+        dispatch(now, eventTime -> {
+            session.clientDeadlineTimer = timers.schedule(
+                    answerDue(session), dueAt -> dispatch(dueAt, dueTime -> clientDeadlineReached(session)));
+            director.request(eventTime, request.toDirectorRequest(session.id));
         });
         return true;
     }
 
-    /** Whether the figures are ones that the site has: what can't be so, a server would take all the same. */
-    private boolean inRange(SessionRequest w) {
-        return w.homeCell() >= 0
-                && w.homeCell() < settings.ladder().cells()
-                && w.copies() >= 0
-                && w.copies() <= settings.ladder().cells()
-                && w.highestRendition() >= 0
-                && w.highestRendition() < settings.ladder().rates().size();
+    /** Whether cells and rendition exist at this site; servers do not check them, and would accept any value. */
+    private boolean inRange(SessionRequest request) {
+        return request.homeCell() >= 0
+                && request.homeCell() < settings.ladder().cells()
+                && request.copies() >= 0
+                && request.copies() <= settings.ladder().cells()
+                && request.highestRendition() >= 0
+                && request.highestRendition() < settings.ladder().rates().size();
     }
 
     /**
-     * A session that plays already, as its viewer tells; one that is held already stays as it is. False where it names
-     * no server that is known, or says what cannot be.
+     * Takes over a session that is already playing, as reported by its viewer. A session that is already present stays
+     * unchanged.
+     *
+     * @return false if it is rejected: its class or server is unknown, or one of its values is out of range
      */
     public boolean adoptSession(
-            long at, long connection, Front front, ServerAdapter via, SessionRequest wish, String server) {
-        SessionClass cls = classes.get(wish.className());
-        ServerEntry told = boxes.get(server);
-        if (cls == null || told == null || told.info == null || !inRange(wish)) {
+            long now, long connection, Front front, ServerAdapter adapter, SessionRequest request, String server) {
+        SessionClass sessionClass = classes.get(request.className());
+        ServerEntry entry = servers.get(server);
+        if (sessionClass == null || entry == null || entry.mergedListing == null || !inRange(request)) {
             return false;
         }
-        if (byName.containsKey(wish.name())) {
+        if (sessionsByName.containsKey(request.name())) {
             return true;
         }
-        BrokerSession call = add(new BrokerSession(wish, front, via, cls, connection, at));
-        asks(at, connection, true);
-        call.box = told;
-        call.attempts = 1;
-        call.rung = cls.floor();
-        call.rungSent = cls.floor();
-        call.answered = true;
+        BrokerSession session = add(new BrokerSession(request, front, adapter, sessionClass, connection, now));
+        recordSetUp(now, connection, true);
+        session.server = entry;
+        session.attempts = 1;
+        session.rendition = sessionClass.floor();
+        session.sentRendition = sessionClass.floor();
+        session.answered = true;
         counts.opened++;
-        event(at, t -> {
-            stand(call, t);
-            director.adoptSession(t, wish.toDirectorRequest(call.id), server);
+        dispatch(now, eventTime -> {
+            activate(session, eventTime);
+            director.adoptSession(eventTime, request.toDirectorRequest(session.id), server);
         });
         return true;
     }
 
-    /** The viewer has given its request up, or has ended its session. */
-    public void cancel(long at, String name) {
-        event(at, t -> {
-            BrokerSession call = byName.get(name);
-            if (call != null && call.stands) {
-                call.via.release(call.box.id, name);
-                end(call, Outcome.CANCELLED, LoadReport.NONE);
-            } else if (call != null) {
-                abandon(call);
+    /** The viewer has cancelled its request or ended its session; unknown names are ignored. */
+    public void cancel(long now, String name) {
+        dispatch(now, eventTime -> {
+            BrokerSession session = sessionsByName.get(name);
+            if (session != null && session.active) {
+                session.adapter.release(session.server.id, name);
+                endSession(session, Outcome.CANCELLED, LoadReport.NONE);
+            } else if (session != null) {
+                cancelRequest(session);
             }
         });
     }
 
-    /** A session that stands has come to its natural end, as its front found out. */
-    public void sessionCompleted(long at, String name) {
-        event(at, t -> {
-            BrokerSession call = byName.get(name);
-            if (call != null && call.stands) {
-                call.via.release(call.box.id, name);
-                end(call, Outcome.OK, LoadReport.NONE);
+    /** An active session has come to its natural end, as detected by its front. */
+    public void sessionCompleted(long now, String name) {
+        dispatch(now, eventTime -> {
+            BrokerSession session = sessionsByName.get(name);
+            if (session != null && session.active) {
+                session.adapter.release(session.server.id, name);
+                endSession(session, Outcome.OK, LoadReport.NONE);
             }
         });
     }
 
-    /** An answer could not be passed on whole: the session has nobody to play to. */
-    public void answerUndelivered(long at, String name) {
-        cancel(at, name);
+    /** An answer could not be delivered completely to the viewer, so the session has no player: ends it. */
+    public void answerUndelivered(long now, String name) {
+        cancel(now, name);
     }
 
-    // ---- From the servers.
+    // ---- Events from the server adapters.
 
-    /** A set-up has been answered: the session stands. */
-    public void setUpAnswered(long at, String server, String name, String description) {
-        event(at, t -> {
-            BrokerSession call = byName.get(name);
-            if (call == null || !call.out || !call.box.id.equals(server)) {
-                return; // given up before
+    /** A server has answered a set-up: the session is now active. An answer to a cancelled attempt is ignored. */
+    public void setUpAnswered(long now, String server, String name, String description) {
+        dispatch(now, eventTime -> {
+            BrokerSession session = sessionsByName.get(name);
+            if (session == null || !session.attemptPending || !session.server.id.equals(server)) {
+                return; // cancelled before
             }
-            call.out = false;
-            deadlines.cancel(call.attemptEnds);
-            deadlines.cancel(call.patienceEnds);
-            answer(call);
+            session.attemptPending = false;
+            timers.cancel(session.attemptTimer);
+            timers.cancel(session.clientDeadlineTimer);
+            markAnswered(session);
             counts.served++;
-            Connection own = connections.get(call.connection);
-            if (own != null) {
-                own.proved = true;
+            Connection connection = connections.get(session.connection);
+            if (connection != null) {
+                connection.knownRead = true;
             }
-            stand(call, t);
-            call.front.served(call.connection, name, new Front.Grant(server, description, call.cls.floor(), call.rung));
-            if (call.rung != call.rungSent) {
-                setRung(call); // set while the answer was on its way
+            activate(session, eventTime);
+            session.front.served(
+                    session.connection,
+                    name,
+                    new Front.Grant(server, description, session.sessionClass.floor(), session.rendition));
+            if (session.rendition != session.sentRendition) {
+                applyRendition(session); // set while the set-up was pending
             }
-            director.sessionStarted(t, call.id, call.attempts - 1, server);
-            call.early.forEach(told -> told.accept(t));
-            call.early.clear();
+            director.sessionStarted(eventTime, session.id, session.attempts - 1, server);
+            session.earlyMetrics.forEach(metric -> metric.accept(eventTime));
+            session.earlyMetrics.clear();
         });
     }
 
-    /** A set-up has ended unanswered, or a session that stood is over. */
-    public void ended(long at, String server, String name, Outcome outcome, LoadReport report) {
-        event(at, t -> {
-            BrokerSession call = byName.get(name);
-            if (call == null || call.box == null || !call.box.id.equals(server)) {
+    /** An attempt has ended without an answer, or an active session has ended at its server. */
+    public void ended(long now, String server, String name, Outcome outcome, LoadReport report) {
+        dispatch(now, eventTime -> {
+            BrokerSession session = sessionsByName.get(name);
+            if (session == null || session.server == null || !session.server.id.equals(server)) {
                 return;
             }
-            if (call.out) {
-                attemptOver(call, outcome, report);
-            } else if (call.stands) {
+            if (session.attemptPending) {
+                attemptEnded(session, outcome, report);
+            } else if (session.active) {
                 Outcome end = outcome == Outcome.OK || outcome == Outcome.CANCELLED ? outcome : Outcome.RESET;
                 if (end != Outcome.CANCELLED) {
-                    tellEnd(new EndNotice(call.front, name, end, t + END_NOTICE_VALIDITY_US), call.connection);
+                    notifyEnd(
+                            new EndNotice(session.front, name, end, eventTime + END_NOTICE_VALIDITY_US),
+                            session.connection);
                 }
-                end(call, end, report);
+                endSession(session, end, report);
             }
         });
     }
 
-    /** A figure about a session that stands. */
-    public void metricReceived(long at, String server, String name, Metric topic, double value) {
-        event(at, t -> {
-            BrokerSession call = byName.get(name);
-            if (call != null && call.out && call.box.id.equals(server)) {
-                if (call.early.size() < MAX_EARLY_METRICS) { // the server's word on a set-up may come before its answer
-                    call.early.add(later -> metricReceived(later, server, name, topic, value));
+    /** A server has reported a metric of a session; its unit depends on {@code metric}. */
+    public void metricReceived(long now, String server, String name, Metric metric, double value) {
+        dispatch(now, eventTime -> {
+            BrokerSession session = sessionsByName.get(name);
+            if (session != null && session.attemptPending && session.server.id.equals(server)) {
+                // A server may report a metric before it answers the set-up.
+                if (session.earlyMetrics.size() < MAX_EARLY_METRICS) {
+                    session.earlyMetrics.add(later -> metricReceived(later, server, name, metric, value));
                 }
-            } else if (call != null && call.stands && call.box.id.equals(server)) {
-                if (topic == Metric.RENDITION && (value < call.cls.floor() || value > call.cls.top())) {
+            } else if (session != null && session.active && session.server.id.equals(server)) {
+                if (metric == Metric.RENDITION
+                        && (value < session.sessionClass.floor() || value > session.sessionClass.top())) {
                     return;
                 }
-                if (topic == Metric.RENDITION) {
-                    call.rung = (int) value; // in force when the server wrote it
+                if (metric == Metric.RENDITION) {
+                    session.rendition = (int) value; // was in force when the server sent this
                 }
-                director.metricReceived(t, call.id, server, topic, value);
+                director.metricReceived(eventTime, session.id, server, metric, value);
             }
         });
     }
 
-    /** The server's process is gone, and its sessions of this adapter that began before {@code since} with it. */
-    public void serverLost(long at, ServerAdapter via, String server, long since) {
-        event(at, t -> {
-            List<BrokerSession> broken = calls(
-                    call -> call.stands && call.via == via && call.box.id.equals(server) && call.stoodSince < since);
-            if (!broken.isEmpty()) {
-                LOG.warn("server lost: id={} sessions={}", server, broken.size());
+    /** A server's process has ended, and with it this adapter's sessions that became active before {@code before}. */
+    public void serverLost(long now, ServerAdapter adapter, String server, long before) {
+        dispatch(now, eventTime -> {
+            List<BrokerSession> lost = sessionsWhere(session -> session.active
+                    && session.adapter == adapter
+                    && session.server.id.equals(server)
+                    && session.activeSince < before);
+            if (!lost.isEmpty()) {
+                LOG.warn("server process lost, ending its sessions: id={} sessions={}", server, lost.size());
             }
-            for (BrokerSession call : broken) {
-                tellEnd(
-                        new EndNotice(call.front, call.wish.name(), Outcome.RESET, t + END_NOTICE_VALIDITY_US),
-                        call.connection);
-                end(call, Outcome.RESET, LoadReport.NONE);
+            for (BrokerSession session : lost) {
+                notifyEnd(
+                        new EndNotice(
+                                session.front,
+                                session.request.name(),
+                                Outcome.RESET,
+                                eventTime + END_NOTICE_VALIDITY_US),
+                        session.connection);
+                endSession(session, Outcome.RESET, LoadReport.NONE);
             }
         });
     }
 
-    // ---- From the lists, the peers and the clock.
+    // ---- Events from server lists, peers and the clock.
 
-    /** News of the servers from one of the lists; a server on several counts by the worst that is told of it. */
-    public void serversChanged(long at, String source, ListScope scope, List<Server> servers) {
-        event(at, t -> {
+    /**
+     * A list of servers has been received from one of several sources. A server on several lists counts with the worst
+     * of its states, except that GONE counts only if every list says so.
+     *
+     * @param source name of the list's source
+     * @param scope  whether {@code listed} is complete or holds only what changed
+     */
+    public void serversChanged(long now, String source, ListScope scope, List<Server> listed) {
+        dispatch(now, eventTime -> {
             List<Server> merged = new ArrayList<>();
             if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
-                Set<String> named = servers.stream().map(Server::id).collect(Collectors.toSet());
-                for (ServerEntry b : boxes.values()) {
-                    if (b.listings.containsKey(source) && !named.contains(b.id)) {
-                        b.listings.remove(source);
-                        merged.add(merge(t, b));
+                Set<String> listedIds = listed.stream().map(Server::id).collect(Collectors.toSet());
+                for (ServerEntry entry : servers.values()) {
+                    if (entry.listings.containsKey(source) && !listedIds.contains(entry.id)) {
+                        entry.listings.remove(source);
+                        merged.add(mergeListings(eventTime, entry));
                     }
                 }
             }
-            for (Server s : servers) {
-                ServerEntry b = boxes.computeIfAbsent(s.id(), ServerEntry::new);
-                b.listings.put(source, s);
-                merged.add(merge(t, b));
+            for (Server server : listed) {
+                ServerEntry entry = servers.computeIfAbsent(server.id(), ServerEntry::new);
+                entry.listings.put(source, server);
+                merged.add(mergeListings(eventTime, entry));
             }
-            boolean alone = boxes.values().stream()
-                    .allMatch(b -> b.listings.keySet().stream().allMatch(source::equals));
-            ListScope told = scope == ListScope.SNAPSHOT && !alone ? ListScope.CHANGES : scope;
-            director.serversChanged(t, told, merged);
-            boxes.values()
-                    .removeIf(b -> b.closedSince < t - GONE_SERVER_RETENTION_US
-                            && b.info.state() == State.GONE
-                            && b.standing.values().stream().allMatch(n -> n == 0));
+            boolean onlySource = servers.values().stream()
+                    .allMatch(entry -> entry.listings.keySet().stream().allMatch(source::equals));
+            ListScope reportedScope = scope == ListScope.SNAPSHOT && !onlySource ? ListScope.CHANGES : scope;
+            director.serversChanged(eventTime, reportedScope, merged);
+            servers.values()
+                    .removeIf(entry -> entry.notUpSince < eventTime - GONE_SERVER_RETENTION_US
+                            && entry.mergedListing.state() == State.GONE
+                            && entry.activeSessions.values().stream().allMatch(count -> count == 0));
         });
     }
 
-    private Server merge(long t, ServerEntry b) {
+    /** Merges the entries of all lists on a server; one that is on no list any more is GONE. */
+    private Server mergeListings(long now, ServerEntry entry) {
         Server worst = null;
-        for (Server s : b.listings.values()) {
+        for (Server listing : entry.listings.values()) {
             worst = worst == null
-                            || s.state().compareTo(worst.state()) > 0 && s.state() != State.GONE
+                            || listing.state().compareTo(worst.state()) > 0 && listing.state() != State.GONE
                             || worst.state() == State.GONE
-                    ? s
+                    ? listing
                     : worst;
         }
         if (worst == null) {
-            Server was = b.info;
-            worst = new Server(was.id(), was.zone(), was.kind(), was.cell(), State.GONE, was.weight(), was.upSince());
+            Server last = entry.mergedListing;
+            worst = new Server(
+                    last.id(), last.zone(), last.kind(), last.cell(), State.GONE, last.weight(), last.upSince());
         }
-        b.info = worst;
+        entry.mergedListing = worst;
         if (worst.state() == State.UP) {
-            b.closedSince = TimerQueue.NEVER;
-        } else if (b.closedSince == TimerQueue.NEVER) {
-            b.closedSince = t;
+            entry.notUpSince = TimerQueue.NEVER;
+        } else if (entry.notUpSince == TimerQueue.NEVER) {
+            entry.notUpSince = now;
         }
         return worst;
     }
 
-    public void peerMessageReceived(long at, int from, byte[] message) {
-        event(at, t -> director.peerMessageReceived(t, from, message));
+    /** A message from the decision module of the broker with the number {@code from} has been received. */
+    public void peerMessageReceived(long now, int from, byte[] message) {
+        dispatch(now, eventTime -> director.peerMessageReceived(eventTime, from, message));
     }
 
-    /** Does what has come due. */
-    public void runDueTimers(long at) {
-        now = Math.max(now, at);
-        deadlines.runDue(now);
+    /** Runs the timers that are due. */
+    public void runDueTimers(long now) {
+        currentTime = Math.max(currentTime, now);
+        timers.runDue(currentTime);
     }
 
-    /** Whether something new may still go to the server. */
-    public boolean acceptsSetUp(long at, String server) {
-        ServerEntry b = boxes.get(server);
-        return b != null
-                && b.info != null
-                && (b.closedSince == TimerQueue.NEVER
-                        || at - b.closedSince < settings.rules().drainGrace() - DRAIN_MARGIN_US);
+    /** Whether a set-up may still be sent to the server: it is up, or its grace period for draining is not over. */
+    public boolean acceptsSetUp(long now, String server) {
+        ServerEntry entry = servers.get(server);
+        return entry != null
+                && entry.mergedListing != null
+                && (entry.notUpSince == TimerQueue.NEVER
+                        || now - entry.notUpSince < settings.rules().drainGrace() - DRAIN_MARGIN_US);
     }
 
-    /** The longest time that a viewer may be told to stay away; 0: none may be told. */
+    /** The longest retry-after time that a viewer may be given, in microseconds; 0: none may be given. */
     public long maxRetryAfter() {
         return settings.limits().maxRetryAfter();
     }
 
-    /** Whether a session of that name stands. */
+    /** Whether there is an active session of that name. */
     public boolean isActive(String name) {
-        BrokerSession call = byName.get(name);
-        return call != null && call.stands;
+        BrokerSession session = sessionsByName.get(name);
+        return session != null && session.active;
     }
 
-    /** Requests taken that have no final answer yet. */
+    /** Number of accepted requests without a final answer. */
     public int unansweredRequests() {
         return unansweredRequests;
     }
 
-    /** Sessions that stand. */
+    /** Number of active sessions. */
     public int activeSessions() {
-        return calls.size() - unansweredRequests;
+        return sessions.size() - unansweredRequests;
     }
 
+    /** The counters since the start; they continue to change. */
     public Counts counts() {
         return counts;
     }
 
-    /** Where adapters book the steps of a request. */
+    /** The trace to which fronts and adapters add the steps of a request. */
     public RequestTrace trace() {
         return trace;
     }
 
     /**
-     * At a planned end: takes nothing more (what comes is turned away at once), and tells every viewer and server that
-     * its session is over. What is unanswered goes on; called again, it tells what has come to stand meanwhile.
+     * Begins a graceful shutdown: refuses new requests at once, ends all active sessions and notifies their viewers and
+     * servers. Unanswered requests continue; a further call ends the sessions that became active since.
      */
-    public void releaseAll(long at) {
-        event(at, t -> {
-            ending = true;
-            for (BrokerSession call : calls(c -> c.stands)) {
-                call.via.release(call.box.id, call.wish.name());
-                tellEnd(
-                        new EndNotice(call.front, call.wish.name(), Outcome.RESET, t + END_NOTICE_VALIDITY_US),
-                        call.connection);
-                end(call, Outcome.RESET, LoadReport.NONE);
+    public void releaseAll(long now) {
+        dispatch(now, eventTime -> {
+            shuttingDown = true;
+            for (BrokerSession session : sessionsWhere(candidate -> candidate.active)) {
+                session.adapter.release(session.server.id, session.request.name());
+                notifyEnd(
+                        new EndNotice(
+                                session.front,
+                                session.request.name(),
+                                Outcome.RESET,
+                                eventTime + END_NOTICE_VALIDITY_US),
+                        session.connection);
+                endSession(session, Outcome.RESET, LoadReport.NONE);
             }
         });
     }
 
-    /** At the very end: whoever still waits is told that its request has failed, rather than nothing. */
-    public void failAll(long at) {
-        event(at, t -> {
-            for (BrokerSession call : calls(c -> !c.answered)) {
-                fail(call.id);
-                director.requestCancelled(t, call.id);
+    /** Last step of a shutdown: fails the unanswered requests, so that no viewer waits for an answer in vain. */
+    public void failAll(long now) {
+        dispatch(now, eventTime -> {
+            for (BrokerSession session : sessionsWhere(candidate -> !candidate.answered)) {
+                fail(session.id);
+                director.requestCancelled(eventTime, session.id);
             }
         });
     }
 
-    // ---- The module's actions.
+    // ---- Actions of the decision module.
 
     @Override
-    public void send(String request, String server, long allow) {
-        BrokerSession call = call(request);
-        ServerEntry box = boxes.get(server);
-        if (call == null || call.answered || call.out) {
-            breach("send", request, call == null ? "unknown request" : call.out ? "attempt out" : "answered");
+    public void send(String request, String server, long timeout) {
+        BrokerSession session = session(request);
+        ServerEntry entry = servers.get(server);
+        if (session == null || session.answered || session.attemptPending) {
+            recordViolation(
+                    "send",
+                    request,
+                    session == null
+                            ? "unknown request"
+                            : session.attemptPending ? "an attempt is pending" : "answered");
             return;
         }
-        call.attempts++;
-        int attempt = call.attempts - 1;
-        String why = box == null
+        session.attempts++;
+        int attempt = session.attempts - 1;
+        String violation = entry == null
                 ? "unknown server"
-                : !acceptsSetUp(now, server)
-                        ? "server drains or is gone"
-                        : call.ran && call.cls.effect() != Effect.SAFE
+                : !acceptsSetUp(currentTime, server)
+                        ? "server is draining or gone"
+                        : session.mayHaveRun && session.sessionClass.effect() != Effect.SAFE
                                 ? "may have run already"
-                                : call.attempts > settings.limits().attempts() ? "too many attempts" : null;
-        long left = Math.max(0, answerDue(call) - now);
-        if (why != null || left == 0) {
-            if (why != null) {
-                breach("send", request, why);
+                                : session.attempts > settings.limits().attempts() ? "too many attempts" : null;
+        long timeLeft = Math.max(0, answerDue(session) - currentTime);
+        if (violation != null || timeLeft == 0) {
+            if (violation != null) {
+                recordViolation("send", request, violation);
             }
-            events.add(
-                    t -> director.outcome(t, call.id, attempt, server, Outcome.MOOT, call.answered, LoadReport.NONE));
+            eventQueue.add(eventTime -> director.outcome(
+                    eventTime, session.id, attempt, server, Outcome.MOOT, session.answered, LoadReport.NONE));
             return;
         }
-        long wait = allow > 0 ? Math.min(allow, left) : left;
-        call.out = true;
-        call.early.clear();
-        call.box = box;
-        call.rungSent = call.rung;
-        call.attemptEnds = deadlines.schedule(now + wait, due -> event(due, t -> attemptTimedOut(call)));
-        call.via.setUp(
+        long attemptTimeout = timeout > 0 ? Math.min(timeout, timeLeft) : timeLeft;
+        session.attemptPending = true;
+        session.earlyMetrics.clear();
+        session.server = entry;
+        session.sentRendition = session.rendition;
+        session.attemptTimer = timers.schedule(
+                currentTime + attemptTimeout, dueAt -> dispatch(dueAt, eventTime -> attemptTimedOut(session)));
+        session.adapter.setUp(
                 server,
                 new ServerAdapter.SetUp(
-                        call.wish.name(),
-                        call.wish.className(),
-                        call.wish.title(),
-                        wait,
-                        call.cls.floor(),
-                        call.rung,
-                        call.wish.description()));
+                        session.request.name(),
+                        session.request.className(),
+                        session.request.title(),
+                        attemptTimeout,
+                        session.sessionClass.floor(),
+                        session.rendition,
+                        session.request.description()));
     }
 
     @Override
-    public void refuse(String request, long comeBack) {
-        BrokerSession call = call(request);
-        if (call == null || call.answered) {
-            breach("refuse", request, "answered already");
+    public void refuse(String request, long retryAfter) {
+        BrokerSession session = session(request);
+        if (session == null || session.answered) {
+            recordViolation("refuse", request, "answered already");
             return;
         }
-        if (call.out || call.ran && call.cls.effect() != Effect.SAFE) {
-            breach("refuse", request, "may have run");
+        if (session.attemptPending || session.mayHaveRun && session.sessionClass.effect() != Effect.SAFE) {
+            recordViolation("refuse", request, "may have run");
             fail(request);
             return;
         }
-        finish(call);
+        closeRequest(session);
         counts.refused++;
-        call.front.refused(call.connection, call.wish.name(), comeBack);
+        session.front.refused(session.connection, session.request.name(), retryAfter);
     }
 
     @Override
     public void fail(String request) {
-        BrokerSession call = call(request);
-        if (call == null || call.answered) {
-            return; // the module also fails what has ended by itself
+        BrokerSession session = session(request);
+        if (session == null || session.answered) {
+            return; // the module may fail a request that was answered meanwhile
         }
-        boolean late = now >= answerDue(call);
-        finish(call);
+        boolean late = currentTime >= answerDue(session);
+        closeRequest(session);
         counts.failed++;
-        call.front.failed(call.connection, call.wish.name(), late);
+        session.front.failed(session.connection, session.request.name(), late);
     }
 
     @Override
-    public void setRendition(String request, int rung) {
-        BrokerSession call = call(request);
-        if (call == null) {
+    public void setRendition(String request, int rendition) {
+        BrokerSession session = session(request);
+        if (session == null) {
             return;
         }
-        int kept = Math.max(call.cls.floor(), Math.min(rung, Math.min(call.wish.highestRendition(), call.cls.top())));
-        if (kept != rung) {
-            breach("rate", request, "rung " + rung + " outside the class");
+        int clamped = Math.max(
+                session.sessionClass.floor(),
+                Math.min(rendition, Math.min(session.request.highestRendition(), session.sessionClass.top())));
+        if (clamped != rendition) {
+            recordViolation("rate", request, "rendition " + rendition + " is outside the range of class and request");
         }
-        call.rung = kept;
-        if (call.stands) {
-            setRung(call);
+        session.rendition = clamped;
+        if (session.active) {
+            applyRendition(session);
         }
     }
 
     @Override
     public void move(String request) {
-        BrokerSession call = call(request);
-        if (call == null || !call.stands) {
-            breach("move", request, "does not stand");
+        BrokerSession session = session(request);
+        if (session == null || !session.active) {
+            recordViolation("move", request, "session is not active");
             return;
         }
         counts.moved++;
-        long connection = anyConnection(call.front, call.connection);
-        if (connection != 0 || !call.front.needsConnection()) {
-            call.front.moved(connection, call.wish.name());
+        long connection = findConnection(session.front, session.connection);
+        if (connection != 0 || !session.front.needsConnection()) {
+            session.front.moved(connection, session.request.name());
         } else {
-            tellEnd(new EndNotice(call.front, call.wish.name(), Outcome.RESET, now + END_NOTICE_VALIDITY_US), 0);
+            notifyEnd(
+                    new EndNotice(
+                            session.front, session.request.name(), Outcome.RESET, currentTime + END_NOTICE_VALIDITY_US),
+                    0);
         }
-        call.via.release(call.box.id, call.wish.name());
-        events.add(t -> end(call, Outcome.CANCELLED, LoadReport.NONE));
+        session.adapter.release(session.server.id, session.request.name());
+        eventQueue.add(eventTime -> endSession(session, Outcome.CANCELLED, LoadReport.NONE));
     }
 
     @Override
     public void probe(String server) {
-        breach("probe", server, "probes are not allowed");
+        recordViolation("probe", server, "probes are not allowed");
     }
 
     @Override
@@ -697,209 +767,227 @@
     }
 
     @Override
-    public void timer(String key, long at) {
-        deadlines.schedule(at, due -> event(due, t -> director.timer(t, key)));
+    public void timer(String key, long time) {
+        timers.schedule(time, dueAt -> dispatch(dueAt, eventTime -> director.timer(eventTime, key)));
     }
 
     @Override
     public long retryAfterUnit(String request) {
-        BrokerSession call = call(request);
-        return call == null ? 1000 : call.front.retryAfterUnit();
+        BrokerSession session = session(request);
+        return session == null ? 1000 : session.front.retryAfterUnit();
     }
 
-    // ---- Inside.
+    // ---- Internals.
 
-    private BrokerSession add(BrokerSession call) {
-        call.handle = calls.add(call);
-        call.id = Long.toHexString(call.handle);
-        byName.put(call.wish.name(), call);
-        return call;
+    /** Stores a new session and gives it its handle and id. */
+    private BrokerSession add(BrokerSession session) {
+        session.handle = sessions.add(session);
+        session.id = Long.toHexString(session.handle);
+        sessionsByName.put(session.request.name(), session);
+        return session;
     }
 
-    /** Those that meet a condition, copied: what is done with one may remove it. */
-    private List<BrokerSession> calls(Predicate<BrokerSession> which) {
-        List<BrokerSession> out = new ArrayList<>();
-        calls.forEach(call -> {
-            if (which.test(call)) {
-                out.add(call);
+    /** Copies the sessions that meet a condition, as the caller may remove sessions while it iterates. */
+    private List<BrokerSession> sessionsWhere(Predicate<BrokerSession> condition) {
+        List<BrokerSession> matching = new ArrayList<>();
+        sessions.forEach(session -> {
+            if (condition.test(session)) {
+                matching.add(session);
             }
         });
-        return out;
+        return matching;
     }
 
-    /** When the viewer must have its answer at the latest, so that it still arrives in its time. */
-    private static long answerDue(BrokerSession call) {
-        return call.came + Math.max(0, call.wish.clientDeadline() - ANSWER_MARGIN_US);
+    /** Time at which the answer has to be sent at the latest, to arrive before the client deadline. */
+    private static long answerDue(BrokerSession session) {
+        return session.receivedAt + Math.max(0, session.request.clientDeadline() - ANSWER_MARGIN_US);
     }
 
-    private BrokerSession call(String id) {
-        return calls.get(Long.parseUnsignedLong(id, 16));
+    /** The session with an id that the decision module knows; null if it is over. */
+    private BrokerSession session(String id) {
+        return sessions.get(Long.parseUnsignedLong(id, 16));
     }
 
-    private void breach(String action, String what, String why) {
+    /** Counts and logs an action of the decision module that broke a rule. */
+    private void recordViolation(String action, String target, String why) {
         counts.breaches++;
-        LOG.warn("rule kept against the module: action={} of={} why={}", action, what, why);
+        LOG.warn("action of the decision module broke a rule: action={} of={} why={}", action, target, why);
     }
 
-    private void answer(BrokerSession call) {
-        call.answered = true;
+    /** Records that the request has had its final answer. */
+    private void markAnswered(BrokerSession session) {
+        session.answered = true;
         unansweredRequests--;
     }
 
-    /** Books the final answer of a request that is not served, and forgets it. */
-    private void finish(BrokerSession call) {
-        if (call.out) {
-            call.out = false;
-            call.via.cancelSetUp(call.box.id, call.wish.name());
+    /** Records the final answer of a request that is not served and removes it, cancelling its pending attempt. */
+    private void closeRequest(BrokerSession session) {
+        if (session.attemptPending) {
+            session.attemptPending = false;
+            session.adapter.cancelSetUp(session.server.id, session.request.name());
         }
-        answer(call);
-        forget(call);
+        markAnswered(session);
+        removeSession(session);
     }
 
-    private void forget(BrokerSession call) {
-        deadlines.cancel(call.attemptEnds);
-        deadlines.cancel(call.patienceEnds);
-        calls.remove(call.handle);
-        byName.remove(call.wish.name());
+    /** Removes a request or session with its timers. */
+    private void removeSession(BrokerSession session) {
+        timers.cancel(session.attemptTimer);
+        timers.cancel(session.clientDeadlineTimer);
+        sessions.remove(session.handle);
+        sessionsByName.remove(session.request.name());
     }
 
-    private void stand(BrokerSession call, long t) {
-        call.stands = true;
-        call.stoodSince = t;
-        if (call.box.standing.merge(call.via, 1, Integer::sum) == 1) {
-            call.via.setHasActiveSessions(call.box.id, true);
+    /** Makes a request an active session. */
+    private void activate(BrokerSession session, long now) {
+        session.active = true;
+        session.activeSince = now;
+        if (session.server.activeSessions.merge(session.adapter, 1, Integer::sum) == 1) {
+            session.adapter.setHasActiveSessions(session.server.id, true);
         }
     }
 
-    /** A session that stood is over. */
-    private void end(BrokerSession call, Outcome outcome, LoadReport report) {
-        if (!call.stands) {
+    /** Ends an active session, notifying adapter and decision module but not the viewer. */
+    private void endSession(BrokerSession session, Outcome outcome, LoadReport report) {
+        if (!session.active) {
             return;
         }
-        call.stands = false;
-        call.via.sessionEnded(call.box.id, call.wish.name());
-        if (call.box.standing.merge(call.via, -1, Integer::sum) == 0) {
-            call.via.setHasActiveSessions(call.box.id, false);
+        session.active = false;
+        session.adapter.sessionEnded(session.server.id, session.request.name());
+        if (session.server.activeSessions.merge(session.adapter, -1, Integer::sum) == 0) {
+            session.adapter.setHasActiveSessions(session.server.id, false);
         }
-        forget(call);
+        removeSession(session);
         counts.over++;
         if (outcome == Outcome.RESET) {
             counts.reset++;
         }
-        director.outcome(now, call.id, call.attempts - 1, call.box.id, outcome, true, report);
+        director.outcome(currentTime, session.id, session.attempts - 1, session.server.id, outcome, true, report);
     }
 
     /**
-     * The viewer left before its answer. One whose time was up before is owed it all the same: the loop was late, and read
-     * of its leaving before it came to what was due.
+     * Cancels a request whose viewer has left before the answer. If the answer was already due, the request is failed
+     * instead: the event loop was late and read of the cancellation before it ran the timer of the client deadline.
      */
-    private void abandon(BrokerSession call) {
-        if (call.answered) {
+    private void cancelRequest(BrokerSession session) {
+        if (session.answered) {
             return;
         }
-        if (now >= answerDue(call)) {
-            trace.logFailure(call.wish.name(), "left unanswered when its time was up");
-            patienceOver(call);
+        if (currentTime >= answerDue(session)) {
+            trace.logFailure(session.request.name(), "cancelled unanswered after its answer was due");
+            clientDeadlineReached(session);
             return;
         }
-        left(call, "gave up or closed");
-        finish(call);
+        logCancellation(session, "cancelled or disconnected");
+        closeRequest(session);
         counts.gone++;
-        call.front.requestCancelled(call.connection, call.wish.name());
-        director.requestCancelled(now, call.id);
+        session.front.requestCancelled(session.connection, session.request.name());
+        director.requestCancelled(currentTime, session.id);
     }
 
-    /** Writes down who left unanswered: a request that nobody heard the end of can be told from one that was given up. */
-    private void left(BrokerSession call, String how) {
-        if (now / 1_000_000 != leftSecond) {
-            leftSecond = now / 1_000_000;
-            leftLines = 0;
+    /** Logs a request cancelled unanswered, so that it can be told from one whose answer was lost. */
+    private void logCancellation(BrokerSession session, String how) {
+        if (currentTime / 1_000_000 != cancelLogSecond) {
+            cancelLogSecond = currentTime / 1_000_000;
+            cancelLogLines = 0;
         }
-        if (leftLines++ < MAX_CANCEL_LOG_LINES_PER_S) {
+        if (cancelLogLines++ < MAX_CANCEL_LOG_LINES_PER_S) {
             LOG.info(
-                    "viewer left unanswered: session={} how={} ms={} of={} attempts={} out={}",
-                    call.wish.name(),
+                    "request cancelled unanswered: session={} how={} ms={} of={} attempts={} out={}",
+                    session.request.name(),
                     how,
-                    (now - call.came) / 1000,
-                    call.wish.clientDeadline() / 1000,
-                    call.attempts,
-                    call.out);
+                    (currentTime - session.receivedAt) / 1000,
+                    session.request.clientDeadline() / 1000,
+                    session.attempts,
+                    session.attemptPending);
         }
     }
 
-    private void attemptTimedOut(BrokerSession call) {
-        if (call.out) {
-            call.via.cancelSetUp(call.box.id, call.wish.name());
-            attemptOver(call, Outcome.TIMEOUT, LoadReport.NONE);
+    /** The time of a pending attempt is over: cancels it at the server. */
+    private void attemptTimedOut(BrokerSession session) {
+        if (session.attemptPending) {
+            session.adapter.cancelSetUp(session.server.id, session.request.name());
+            attemptEnded(session, Outcome.TIMEOUT, LoadReport.NONE);
         }
     }
 
-    private void attemptOver(BrokerSession call, Outcome outcome, LoadReport report) {
-        call.out = false;
-        deadlines.cancel(call.attemptEnds);
-        boolean proof = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
-        call.ran |= !proof;
-        director.outcome(now, call.id, call.attempts - 1, call.box.id, outcome, false, report);
+    /** A pending attempt has ended without a session. */
+    private void attemptEnded(BrokerSession session, Outcome outcome, LoadReport report) {
+        session.attemptPending = false;
+        timers.cancel(session.attemptTimer);
+        boolean provenNotRun = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
+        session.mayHaveRun |= !provenNotRun;
+        director.outcome(currentTime, session.id, session.attempts - 1, session.server.id, outcome, false, report);
     }
 
-    private void patienceOver(BrokerSession call) {
-        if (call.answered) {
+    /** The answer is due: ends a pending attempt and, unless the decision module then answers, fails the request. */
+    private void clientDeadlineReached(BrokerSession session) {
+        if (session.answered) {
             return;
         }
-        boolean tried = call.out;
-        if (tried) {
-            attemptTimedOut(call);
+        boolean hadAttempt = session.attemptPending;
+        if (hadAttempt) {
+            attemptTimedOut(session);
         }
-        if (!call.answered) { // the module holds it still, or has no time left to try again
-            if (!tried) {
-                trace.logFailure(call.wish.name(), "held by the module until its time was up");
+        if (!session.answered) { // the module still holds it, or has no time left for a retry
+            if (!hadAttempt) {
+                trace.logFailure(session.request.name(), "held by the decision module until its answer was due");
             }
-            fail(call.id);
-            director.requestCancelled(now, call.id);
+            fail(session.id);
+            director.requestCancelled(currentTime, session.id);
         }
     }
 
-    private void setRung(BrokerSession call) {
-        call.rungSent = call.rung;
-        call.via.setRendition(call.box.id, call.wish.name(), call.rung);
-        call.front.renditionChanged(call.wish.name(), call.rung);
+    /** Tells server and front of the rendition of an active session. */
+    private void applyRendition(BrokerSession session) {
+        session.sentRendition = session.rendition;
+        session.adapter.setRendition(session.server.id, session.request.name(), session.rendition);
+        session.front.renditionChanged(session.request.name(), session.rendition);
     }
 
-    /** Tells a viewer of its session's end: on its own connection, on any other, or on the next that comes. */
-    private void tellEnd(EndNotice o, long own) {
-        if (!o.front().needsConnection()) {
-            o.front().sessionEnded(0, o.name(), o.outcome());
+    /**
+     * Notifies a viewer of the end of its session: on the connection {@code own} if it is still open, else on another,
+     * else on the next one that brings a set-up.
+     */
+    private void notifyEnd(EndNotice notice, long own) {
+        if (!notice.front().needsConnection()) {
+            notice.front().sessionEnded(0, notice.name(), notice.outcome());
             return;
         }
-        long connection = anyConnection(o.front(), own);
-        if (connection == 0) {
-            owed.add(o);
+        long handle = findConnection(notice.front(), own);
+        if (handle == 0) {
+            pendingNotices.add(notice);
             return;
         }
-        Connection c = connections.get(connection);
-        while (!c.told.isEmpty() && now - c.told.peekFirst().at() > END_NOTICE_RESEND_WINDOW_US) {
-            c.told.removeFirst();
+        Connection connection = connections.get(handle);
+        while (!connection.sentNotices.isEmpty()
+                && currentTime - connection.sentNotices.peekFirst().sentAt() > END_NOTICE_RESEND_WINDOW_US) {
+            connection.sentNotices.removeFirst();
         }
-        c.told.add(new SentNotice(o, now));
-        o.front().sessionEnded(connection, o.name(), o.outcome());
+        connection.sentNotices.add(new SentNotice(notice, currentTime));
+        notice.front().sessionEnded(handle, notice.name(), notice.outcome());
     }
 
     /**
-     * The session's own connection, else the one that was last asked on, of those known to be read before others. One
-     * that never brought a set-up is no viewer's way to hear of sessions: it may be held by something that reads no more.
+     * The connection {@code own} if it is still open, else that with the latest set-up, preferring those known to be
+     * read; 0 if there is none. A connection that never brought a set-up is not used: it may be held open by a
+     * program that does not read from it.
      */
-    private long anyConnection(Front front, long own) {
+    private long findConnection(Front front, long own) {
         if (connections.get(own) != null) {
             return own;
         }
         long[] found = {0};
         Connection[] best = {null};
-        connections.forEachWithHandle((handle, c) -> {
-            if (c.front == front
-                    && c.askedAt >= 0
-                    && (best[0] == null || (c.proved == best[0].proved ? c.askedAt >= best[0].askedAt : c.proved))) {
+        connections.forEachWithHandle((handle, connection) -> {
+            if (connection.front == front
+                    && connection.lastSetUpAt >= 0
+                    && (best[0] == null
+                            || (connection.knownRead == best[0].knownRead
+                                    ? connection.lastSetUpAt >= best[0].lastSetUpAt
+                                    : connection.knownRead))) {
                 found[0] = handle;
-                best[0] = c;
+                best[0] = connection;
             }
         });
         return found[0];
