--- a/src/main/java/dockshed/core/Peers.java
+++ b/src/main/java/dockshed/core/Peers.java
@@ -1,6 +1,7 @@
 package dockshed.core;
 
-/** The other brokers of the tier. */
+/** The other brokers. */
 public interface Peers {
+    /** Sends a message to every other broker. */
     void broadcast(byte[] message);
 }
--- a/src/main/java/dockshed/core/ProbeCoordinator.java
+++ b/src/main/java/dockshed/core/ProbeCoordinator.java
@@ -1,8 +1,14 @@
 package dockshed.core;
 
-/** Who finds out about a server that is suspect, mute or coming back: this broker now, another one, or nobody any more. */
+/**
+ * Decides which broker probes a server that is suspected to have failed: this broker now, another one, or none any more
+ * because others have established the server's state. Times are in microseconds.
+ */
 public interface ProbeCoordinator {
-    /** TRY: this broker, now. WAIT: another's word is on its way. UP, DOWN: as others found lately. */
+    /**
+     * What this broker has to do about a suspect server. TRY: probe it now. WAIT: another broker is to probe it; decide
+     * again later. UP, DOWN: take this as its state, which other brokers have found lately.
+     */
     enum Verdict {
         TRY,
         WAIT,
@@ -10,10 +16,10 @@
         DOWN
     }
 
-    /** This broker alone finds out about all. */
+    /** For a broker without a fleet: probes every suspect server itself. */
     ProbeCoordinator STANDALONE = new ProbeCoordinator() {
         @Override
-        public Verdict decide(long now, String server, Suspicion s) {
+        public Verdict decide(long now, String server, Suspicion suspicion) {
             return Verdict.TRY;
         }
 
@@ -21,24 +27,25 @@
         public void probeFinished(String server, boolean up) {}
 
         @Override
-        public void suspicionChanged(String server, boolean is) {}
+        public void suspicionChanged(String server, boolean suspected) {}
     };
 
     /**
-     * What this broker knows of a suspect server; times in microseconds.
+     * What this broker knows of a suspect server.
      *
-     * @param suspectedSince    when it became suspect
-     * @param lastSignOfLife   when it last gave a sign of life
-     * @param lastProbedAt  when this broker last tried it
-     * @param consecutiveFailures own trials in a row that did not come up
+     * @param suspectedSince      when it became suspect
+     * @param lastSignOfLife      when this broker last received anything from it
+     * @param lastProbedAt        when this broker last tried to connect to it
+     * @param consecutiveFailures number of this broker's latest probes that failed in a row
      */
     record Suspicion(long suspectedSince, long lastSignOfLife, long lastProbedAt, int consecutiveFailures) {}
 
-    Verdict decide(long now, String server, Suspicion s);
+    /** What this broker has to do about the server now. */
+    Verdict decide(long now, String server, Suspicion suspicion);
 
-    /** An own trial has come up, or has not. */
+    /** A probe of this broker has succeeded ({@code up}) or failed. */
     void probeFinished(String server, boolean up);
 
-    /** A server has become suspect, or is so no more. */
-    void suspicionChanged(String server, boolean is);
+    /** A server has become suspect, or is no longer. */
+    void suspicionChanged(String server, boolean suspected);
 }
--- a/src/main/java/dockshed/core/ServerAdapter.java
+++ b/src/main/java/dockshed/core/ServerAdapter.java
@@ -1,10 +1,18 @@
 package dockshed.core;
 
-/** The servers behind one adapter. What comes of a call is reported to the broker, at once or later. */
+/**
+ * The adapter for the servers of one protocol. The result of a call is reported to the broker, at once or later.
+ * {@code server} is the id of a server, {@code name} the name of a session.
+ */
 public interface ServerAdapter {
     /**
-     * A set-up as it goes out; {@code left}: microseconds for which its answer is waited for; from {@code floor} to
-     * {@code rung}: the rungs that the session may be given.
+     * A set-up that is sent to a server.
+     *
+     * @param name             name of the session
+     * @param answerTimeout    microseconds within which the answer has to arrive
+     * @param lowestRendition  index of the lowest rendition that the session may be given
+     * @param highestRendition index of the highest one
+     * @param description      the viewer's description of the session, passed on unread
      */
     record SetUp(
             String name,
@@ -15,19 +23,21 @@
             int highestRendition,
             String description) {}
 
+    /** Sends a set-up to a server. */
     void setUp(String server, SetUp setUp);
 
-    /** Gives up a set-up that is out. */
+    /** Cancels a set-up that has not been answered. */
     void cancelSetUp(String server, String name);
 
-    /** Ends a session that stands. */
+    /** Ends an active session at its server. */
     void release(String server, String name);
 
-    void setRendition(String server, String name, int rung);
+    /** Sets the rendition of an active session. */
+    void setRendition(String server, String name, int rendition);
 
-    /** A session that stood is over, however it ended. */
+    /** An active session has ended, for whichever reason. */
     default void sessionEnded(String server, String name) {}
 
-    /** Whether sessions stand at the server, of which news may come at any time. */
-    void setHasActiveSessions(String server, boolean sessions);
+    /** Whether the server has active sessions of this adapter, for which it may send messages at any time. */
+    void setHasActiveSessions(String server, boolean hasActiveSessions);
 }
--- a/src/main/java/dockshed/core/SessionRequest.java
+++ b/src/main/java/dockshed/core/SessionRequest.java
@@ -3,8 +3,21 @@
 import dockshed.Director;
 
 /**
- * What a front asks of the broker for a viewer. {@code name} is the session's name outside; {@code description}
- * passes through to the server unread. Times are microseconds.
+ * A viewer's request for a session. Durations are in microseconds.
+ *
+ * @param name             name of the session, as known to viewer and server
+ * @param className        name of the session's class
+ * @param viewer           id of the viewer
+ * @param title            the title to be played
+ * @param clientDeadline   time within which the viewer needs its answer
+ * @param expectedDuration estimated duration of the session; 0: unknown
+ * @param homeCell         the first of the consecutive cells that hold the title
+ * @param copies           number of those cells
+ * @param highestRendition index of the highest rendition that the viewer can play
+ * @param retry            whether the viewer repeats an earlier request
+ * @param afterMove        whether the session was taken off its server and is requested again
+ * @param afterRefusal     whether the viewer comes back after a refusal
+ * @param description      the viewer's description of the session, passed to the server unread
  */
 public record SessionRequest(
         String name,
@@ -21,6 +34,7 @@
         boolean afterRefusal,
         String description) {
 
+    /** This request as the decision module is given it, under the broker's id of it. */
     Director.Request toDirectorRequest(String id) {
         return new Director.Request(
                 id,
--- a/src/main/java/dockshed/core/TimerQueue.java
+++ b/src/main/java/dockshed/core/TimerQueue.java
@@ -5,70 +5,87 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Everything that is to happen at a time, in the order of those times; equal times keep the order of asking. */
+/**
+ * Timers in the order of their due times; timers with the same due time run in the order in which they were scheduled.
+ * Times are in microseconds. Not thread-safe.
+ */
 public final class TimerQueue {
+    /** A time, in microseconds, that is never reached. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    /** One thing to be done; good for cancelling it. */
+    /** A scheduled action; the handle to cancel it by. */
     public static final class Timer implements Comparable<Timer> {
-        private final long at;
+        private final long dueAt;
         private final long serial;
-        private final LongConsumer what;
+        private final LongConsumer action;
 
-        private Timer(long at, long serial, LongConsumer what) {
-            this.at = at;
+        private Timer(long dueAt, long serial, LongConsumer action) {
+            this.dueAt = dueAt;
             this.serial = serial;
-            this.what = what;
+            this.action = action;
         }
 
         @Override
-        public int compareTo(Timer o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(serial, o.serial);
+        public int compareTo(Timer other) {
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(serial, other.serial);
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger("dockshed.core.Deadlines");
 
-    private final TreeSet<Timer> ordered = new TreeSet<>();
-    private final LongConsumer wake;
-    private long serials;
+    private final TreeSet<Timer> timers = new TreeSet<>();
+    private final LongConsumer wakeUpAt;
+    private long nextSerial;
 
-    /** {@code wake} is told the earliest time whenever that has come nearer. */
-    public TimerQueue(LongConsumer wake) {
-        this.wake = wake;
+    /**
+     * Creates an empty queue.
+     *
+     * @param wakeUpAt given the earliest due time whenever an earlier timer is scheduled and after each run that leaves
+     *     timers; the caller has to call {@link #runDue} at that time
+     */
+    public TimerQueue(LongConsumer wakeUpAt) {
+        this.wakeUpAt = wakeUpAt;
     }
 
-    public Timer schedule(long when, LongConsumer what) {
-        Timer d = new Timer(when, serials++, what);
-        ordered.add(d);
-        if (ordered.first() == d) {
-            wake.accept(when);
+    /**
+     * Schedules an action.
+     *
+     * @param dueAt  time at which it is to run; one in the past is run at the next {@link #runDue}
+     * @param action given the time of the run
+     */
+    public Timer schedule(long dueAt, LongConsumer action) {
+        Timer timer = new Timer(dueAt, nextSerial++, action);
+        timers.add(timer);
+        if (timers.first() == timer) {
+            wakeUpAt.accept(dueAt);
         }
-        return d;
+        return timer;
     }
 
-    public void cancel(Timer d) {
-        if (d != null) {
-            ordered.remove(d);
+    /** Cancels a timer; does nothing for null or for one that has run or was cancelled before. */
+    public void cancel(Timer timer) {
+        if (timer != null) {
+            timers.remove(timer);
         }
     }
 
+    /** The earliest due time, or {@link #NEVER}. */
     public long nextDue() {
-        return ordered.isEmpty() ? NEVER : ordered.first().at;
+        return timers.isEmpty() ? NEVER : timers.first().dueAt;
     }
 
-    /** Does what is due; what is asked for meanwhile waits for the next run, so no run is endless. */
+    /** Runs the timers that are due. Timers scheduled meanwhile wait for the next run, so that every run ends. */
     public void runDue(long now) {
-        long before = serials;
-        while (!ordered.isEmpty() && ordered.first().at <= now && ordered.first().serial < before) {
+        long firstNewSerial = nextSerial;
+        while (!timers.isEmpty() && timers.first().dueAt <= now && timers.first().serial < firstNewSerial) {
             try {
-                ordered.pollFirst().what.accept(now);
+                timers.pollFirst().action.accept(now);
             } catch (RuntimeException e) {
-                LOG.error("internal error in what was due, gone on after it", e);
+                LOG.error("internal error in a timer's action; continuing with the next timer", e);
             }
         }
-        if (!ordered.isEmpty()) {
-            wake.accept(ordered.first().at);
+        if (!timers.isEmpty()) {
+            wakeUpAt.accept(timers.first().dueAt);
         }
     }
 }
--- a/src/main/java/dockshed/core/package-info.java
+++ b/src/main/java/dockshed/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The broker without I/O: sessions, attempts, outcomes, deadlines, and the rules that hold whatever the module decides.
+ * The broker without I/O: sessions, attempts, outcomes, timers, and the rules that it enforces on the decision module.
  *
- * <p>Time is an argument everywhere. Fronts and server adapters are reached through the interfaces of this package.
+ * <p>The current time is passed as an argument. Fronts and server adapters implement interfaces of this package.
  */
 package dockshed.core;
