--- a/src/test/java/dockshed/core/BrokerHarness.java
+++ b/src/test/java/dockshed/core/BrokerHarness.java
@@ -20,30 +20,43 @@
 import java.util.function.Consumer;
 
 /**
- * A broker on a virtual clock, between a front and servers that only write down what they are told and a module that
- * does what the test says. Lines of {@link #log} are such as "front served v1 1..3", "box a setUp v1 left=990".
+ * A broker on a virtual clock, with a front and servers that only record the calls to them and a decision module that
+ * the test scripts. Records are lines in {@link #log} such as "front served v1 1..3" or "box a setUp v1 left=990"; "box"
+ * stands for an edge server, and times are in milliseconds.
  */
 public final class BrokerHarness implements Front, ServerAdapter, Director {
+    /** Microseconds of a millisecond. */
     public static final long MILLISECOND_US = 1000;
+    /** Microseconds of a second. */
     public static final long SECOND_US = 1_000_000;
 
+    /** The calls to front, servers, decision module and peers, in order. */
     public final List<String> log = new ArrayList<>();
-    /** The connections on which ends of sessions were told. */
+    /** The connections on which viewers were notified of ends of sessions. */
     public final List<Long> endNoticeConnections = new ArrayList<>();
 
-    private final BlockingQueue<String> live = new LinkedBlockingQueue<>();
-    /** What the module does when a request comes, when an attempt ends unanswered, and when its timer comes. */
-    public Consumer<Request> onRequest = r -> this.actions.send(r.id(), "a", 0);
+    private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
+    /** What the decision module does on a request; default: sends it to server a. */
+    public Consumer<Request> onRequest = request -> this.actions.send(request.id(), "a", 0);
 
+    /** What the decision module does with the id of a request whose attempt ended unanswered; default: fails it. */
     public Consumer<String> onOutcome = id -> this.actions.fail(id);
+    /** Whether viewers poll, so that the front needs no connection for an end notice. */
     public boolean frontPolls;
+    /** The virtual time in microseconds. */
     public long now = 1_000 * SECOND_US;
-    public final TimerQueue timers = new TimerQueue(at -> {});
+    /** The broker's timers, which {@link #advance} runs. */
+    public final TimerQueue timers = new TimerQueue(dueAt -> {});
+    /** What the decision module acts through. */
     public Director.Actions actions;
+    /** Settings with the classes "safe" (deadline 3 s) and "paid" (at most once, deadline 4 s, no rendition 0). */
     public final Settings settings;
+    /** The broker under test. */
     public final Broker broker;
+    /** The connection on which {@link #sendRequest} sends. */
     public long connection;
 
+    /** A broker with the servers a and b, both up, and one open connection. */
     public BrokerHarness() {
         Rules rules = new Rules(1 * SECOND_US, 0.4, 12 * SECOND_US, 2.5, 2 * SECOND_US, 0, 0, 0);
         settings = new Settings(
@@ -61,17 +74,18 @@
                 List.of());
         broker = new Broker(
                 settings,
-                a -> {
-                    actions = a;
+                brokerActions -> {
+                    actions = brokerActions;
                     return this;
                 },
-                message -> say("peers " + message.length),
+                message -> addLine("peers " + message.length),
                 timers);
         updateServers(ListScope.DISK, State.UP, "a", "b");
-        connection = broker.connected(now, this, h -> {});
+        connection = broker.connected(now, this, handle -> {});
         log.clear();
     }
 
+    /** Gives the broker a list from the source "names" on which all servers are in one state. */
     public void updateServers(ListScope scope, State state, String... ids) {
         List<Server> servers = new ArrayList<>();
         for (String id : ids) {
@@ -80,22 +94,26 @@
         broker.serversChanged(now, "names", scope, servers);
     }
 
-    public static SessionRequest sessionRequest(String name, String cls) {
-        return new SessionRequest(name, cls, "viewer", "title", 3 * SECOND_US, 0, 0, 3, 4, false, false, false, "sdp");
+    /** A request with a client deadline of 3 s. */
+    public static SessionRequest sessionRequest(String name, String className) {
+        return new SessionRequest(
+                name, className, "viewer", "title", 3 * SECOND_US, 0, 0, 3, 4, false, false, false, "sdp");
     }
 
-    public void sendRequest(String name, String cls) {
-        broker.request(now, connection, this, this, sessionRequest(name, cls));
+    /** Sends the broker a request. */
+    public void sendRequest(String name, String className) {
+        broker.request(now, connection, this, this, sessionRequest(name, className));
     }
 
-    /** A session that stands at server a. */
-    public void startSession(String name, String cls) {
-        sendRequest(name, cls);
+    /** Sends a request and has server a answer it, so that the session is active. */
+    public void startSession(String name, String className) {
+        sendRequest(name, className);
         broker.setUpAnswered(now, "a", name, "answer");
     }
 
-    public void advance(long micros) {
-        long end = now + micros;
+    /** Advances the clock and runs the timers that become due. */
+    public void advance(long durationUs) {
+        long end = now + durationUs;
         while (timers.nextDue() <= end) {
             now = Math.max(now, timers.nextDue());
             broker.runDueTimers(now);
@@ -104,54 +122,58 @@
         broker.runDueTimers(now);
     }
 
+    /** Has a server report the end of an attempt or a session, without a load report. */
     public void ended(String server, String name, Outcome outcome) {
         broker.ended(now, server, name, outcome, LoadReport.NONE);
     }
 
-    private void say(String line) {
+    private void addLine(String line) {
         log.add(line);
-        live.add(line);
+        unreadLines.add(line);
     }
 
-    /** Waits for a line that begins so, passing over others; for tests on real sockets. */
+    /** Waits for a line with a prefix, up to 20 s for each line, skipping others; for tests on real sockets. */
     public String await(String prefix) throws InterruptedException {
-        for (String line = live.poll(20, TimeUnit.SECONDS); line != null; line = live.poll(20, TimeUnit.SECONDS)) {
+        for (String line = unreadLines.poll(20, TimeUnit.SECONDS);
+                line != null;
+                line = unreadLines.poll(20, TimeUnit.SECONDS)) {
             if (line.startsWith(prefix)) {
                 return line;
             }
         }
-        throw new AssertionError("never came: " + prefix);
+        throw new AssertionError("no line for 20 s while waiting for one that begins with: " + prefix);
     }
 
+    /** Number of lines in {@link #log} with a prefix. */
     public long count(String prefix) {
-        return log.stream().filter(l -> l.startsWith(prefix)).count();
+        return log.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
     // ---- Front.
     @Override
-    public void served(long on, String name, Grant g) {
-        say("front served " + name + " " + g.lowestRendition() + ".." + g.highestRendition());
+    public void served(long connection, String name, Grant grant) {
+        addLine("front served " + name + " " + grant.lowestRendition() + ".." + grant.highestRendition());
     }
 
     @Override
-    public void refused(long on, String name, long comeBack) {
-        say("front refused " + name + " " + comeBack / MILLISECOND_US);
+    public void refused(long connection, String name, long retryAfter) {
+        addLine("front refused " + name + " " + retryAfter / MILLISECOND_US);
     }
 
     @Override
-    public void failed(long on, String name, boolean late) {
-        say("front failed " + name + (late ? " late" : ""));
+    public void failed(long connection, String name, boolean late) {
+        addLine("front failed " + name + (late ? " late" : ""));
     }
 
     @Override
-    public void sessionEnded(long on, String name, Outcome outcome) {
-        endNoticeConnections.add(on);
-        say("front over " + name + " " + outcome);
+    public void sessionEnded(long connection, String name, Outcome outcome) {
+        endNoticeConnections.add(connection);
+        addLine("front over " + name + " " + outcome);
     }
 
     @Override
-    public void moved(long on, String name) {
-        say("front moved " + name);
+    public void moved(long connection, String name) {
+        addLine("front moved " + name);
     }
 
     @Override
@@ -159,52 +181,52 @@
         return !frontPolls;
     }
 
-    // ---- Servers.
+    // ---- Server adapter.
     @Override
-    public void setUp(String server, SetUp s) {
-        say("box " + server + " setUp " + s.name() + " left=" + s.answerTimeout() / MILLISECOND_US);
+    public void setUp(String server, SetUp setUp) {
+        addLine("box " + server + " setUp " + setUp.name() + " left=" + setUp.answerTimeout() / MILLISECOND_US);
     }
 
     @Override
     public void cancelSetUp(String server, String name) {
-        say("box " + server + " giveUp " + name);
+        addLine("box " + server + " giveUp " + name);
     }
 
     @Override
     public void release(String server, String name) {
-        say("box " + server + " release " + name);
+        addLine("box " + server + " release " + name);
     }
 
     @Override
-    public void setRendition(String server, String name, int rung) {
-        say("box " + server + " rate " + name + " " + rung);
+    public void setRendition(String server, String name, int rendition) {
+        addLine("box " + server + " rate " + name + " " + rendition);
     }
 
     @Override
-    public void setHasActiveSessions(String server, boolean sessions) {
-        say("box " + server + " hold " + sessions);
+    public void setHasActiveSessions(String server, boolean hasActiveSessions) {
+        addLine("box " + server + " hold " + hasActiveSessions);
     }
 
-    // ---- Module.
+    // ---- Decision module.
     @Override
-    public void request(long at, Request r) {
-        onRequest.accept(r);
+    public void request(long now, Request request) {
+        onRequest.accept(request);
     }
 
     @Override
-    public void adoptSession(long at, Request r, String server) {
-        say("module open " + server);
+    public void adoptSession(long now, Request request, String server) {
+        addLine("module open " + server);
     }
 
     @Override
-    public void sessionStarted(long at, String request, int attempt, String server) {
-        say("module first " + attempt + " " + server);
+    public void sessionStarted(long now, String request, int attempt, String server) {
+        addLine("module first " + attempt + " " + server);
     }
 
     @Override
     public void outcome(
-            long at, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
-        say("module outcome " + attempt + " " + server + " " + outcome + (last ? " last" : "")
+            long now, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
+        addLine("module outcome " + attempt + " " + server + " " + outcome + (last ? " last" : "")
                 + (report.values().isEmpty() ? "" : " " + report.values()));
         if (!last) {
             onOutcome.accept(request);
@@ -212,30 +234,30 @@
     }
 
     @Override
-    public void metricReceived(long at, String request, String server, Metric topic, double value) {
-        say("module note " + topic + " " + value);
+    public void metricReceived(long now, String request, String server, Metric metric, double value) {
+        addLine("module note " + metric + " " + value);
     }
 
     @Override
-    public void requestCancelled(long at, String request) {
-        say("module gone");
+    public void requestCancelled(long now, String request) {
+        addLine("module gone");
     }
 
     @Override
-    public void serversChanged(long at, ListScope scope, List<Server> servers) {
-        servers.forEach(s -> say("module " + scope + " " + s.id() + " " + s.state()));
+    public void serversChanged(long now, ListScope scope, List<Server> servers) {
+        servers.forEach(entry -> addLine("module " + scope + " " + entry.id() + " " + entry.state()));
     }
 
     @Override
-    public void probed(long at, String server, boolean healthy, LoadReport report) {}
+    public void probed(long now, String server, boolean healthy, LoadReport report) {}
 
     @Override
-    public void peerMessageReceived(long at, int from, byte[] message) {
-        say("module told " + from);
+    public void peerMessageReceived(long now, int from, byte[] message) {
+        addLine("module told " + from);
     }
 
     @Override
-    public void timer(long at, String key) {
-        say("module timer " + key);
+    public void timer(long now, String key) {
+        addLine("module timer " + key);
     }
 }
--- a/src/test/java/dockshed/core/BrokerTest.java
+++ b/src/test/java/dockshed/core/BrokerTest.java
@@ -14,16 +14,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The broker's own promises, kept whatever module, front or servers do; on a virtual clock. */
+/** The guarantees that the broker enforces whatever decision module, fronts and servers do; on a virtual clock. */
 class BrokerTest {
-    private final BrokerHarness s = new BrokerHarness();
+    private final BrokerHarness harness = new BrokerHarness();
 
     @Test
     void aRequestIsSetUpAnsweredAndReleasedOnce() {
-        s.sendRequest("v1", "safe");
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer");
-        s.ended("a", "v1", Outcome.OK);
-        s.ended("a", "v1", Outcome.OK); // sent again on the next connection
+        harness.sendRequest("v1", "safe");
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
+        harness.ended("a", "v1", Outcome.OK);
+        harness.ended("a", "v1", Outcome.OK); // a repetition, as after a reconnect, must have no effect
         assertEquals(
                 List.of(
                         "box a setUp v1 left=2990",
@@ -33,271 +33,279 @@
                         "front over v1 OK",
                         "box a hold false",
                         "module outcome 0 a OK last"),
-                s.log);
-        assertEquals(0, s.broker.activeSessions() + s.broker.unansweredRequests());
+                harness.log);
+        assertEquals(0, harness.broker.activeSessions() + harness.broker.unansweredRequests());
     }
 
     @Test
-    void aRequestThatTheModuleForgetsFailsBeforeItsTimeIsUp() {
-        s.onRequest = r -> {};
-        s.sendRequest("v1", "safe");
-        s.advance(3 * SECOND_US - 11 * MILLISECOND_US);
-        assertEquals(0, s.count("front"));
-        s.advance(MILLISECOND_US);
-        assertEquals(List.of("front failed v1 late", "module gone"), s.log);
+    void aRequestThatTheModuleNeverAnswersFailsBeforeItsClientDeadline() {
+        harness.onRequest = request -> {};
+        harness.sendRequest("v1", "safe");
+        harness.advance(3 * SECOND_US - 11 * MILLISECOND_US);
+        assertEquals(0, harness.count("front"));
+        harness.advance(MILLISECOND_US);
+        assertEquals(List.of("front failed v1 late", "module gone"), harness.log);
     }
 
     @Test
-    void anAttemptThatTakesTooLongIsGivenUpOnTheWireToo() {
-        s.onRequest = r -> s.actions.send(r.id(), "a", 400 * MILLISECOND_US);
-        s.onOutcome = id -> s.actions.send(id, "b", 0);
-        s.sendRequest("v1", "safe");
-        s.advance(400 * MILLISECOND_US);
+    void anAttemptThatTimesOutIsCancelledAtTheServerToo() {
+        harness.onRequest = request -> harness.actions.send(request.id(), "a", 400 * MILLISECOND_US);
+        harness.onOutcome = id -> harness.actions.send(id, "b", 0);
+        harness.sendRequest("v1", "safe");
+        harness.advance(400 * MILLISECOND_US);
         assertEquals(
                 List.of(
                         "box a setUp v1 left=400",
                         "box a giveUp v1",
                         "module outcome 0 a TIMEOUT",
                         "box b setUp v1 left=2590"),
-                s.log);
-        // The server that was given up answers after all: that is no session, and no second answer.
-        s.broker.setUpAnswered(s.now, "a", "v1", "late");
-        assertEquals(0, s.count("front"));
-        s.broker.setUpAnswered(s.now, "b", "v1", "answer");
-        assertEquals(1, s.count("front served"));
+                harness.log);
+        // A late answer to the cancelled attempt makes no session and no second answer.
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "late");
+        assertEquals(0, harness.count("front"));
+        harness.broker.setUpAnswered(harness.now, "b", "v1", "answer");
+        assertEquals(1, harness.count("front served"));
     }
 
     @Test
-    void twoAttemptsAreNeverOutAtOnce() {
-        s.onRequest = r -> {
-            s.actions.send(r.id(), "a", 0);
-            s.actions.send(r.id(), "b", 0);
+    void twoAttemptsAreNeverPendingAtOnce() {
+        harness.onRequest = request -> {
+            harness.actions.send(request.id(), "a", 0);
+            harness.actions.send(request.id(), "b", 0);
         };
-        s.sendRequest("v1", "safe");
-        assertEquals(1, s.count("box a setUp") + s.count("box b setUp"));
+        harness.sendRequest("v1", "safe");
+        assertEquals(1, harness.count("box a setUp") + harness.count("box b setUp"));
     }
 
     @Test
-    void aPaidSetUpIsRepeatedOnlyAfterProofThatItNeverRan() {
-        for (Outcome o : Outcome.values()) {
-            if (o == Outcome.OK) {
+    void anAtMostOnceSetUpIsRetriedOnlyAfterProofThatItNeverRan() {
+        for (Outcome outcome : Outcome.values()) {
+            if (outcome == Outcome.OK) {
                 continue;
             }
-            BrokerHarness t = new BrokerHarness();
-            boolean proof = o == Outcome.FULL || o == Outcome.CONNECT_FAILED || o == Outcome.MOOT;
-            t.onOutcome = id -> {
-                if (t.count("module outcome") == 1) {
-                    t.actions.send(id, "b", 0);
+            BrokerHarness attemptHarness = new BrokerHarness();
+            boolean provenNotRun =
+                    outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
+            attemptHarness.onOutcome = id -> {
+                if (attemptHarness.count("module outcome") == 1) {
+                    attemptHarness.actions.send(id, "b", 0);
                 } else {
-                    t.actions.refuse(id, SECOND_US); // refusing is a promise as well: trying again is harmless
+                    attemptHarness.actions.refuse(id, SECOND_US); // a refusal, too, promises that a retry is harmless
                 }
             };
-            t.sendRequest("v1", "paid");
-            t.ended("a", "v1", o);
-            assertEquals(proof ? 1 : 0, t.count("box b setUp"), o.name());
-            if (proof) {
-                t.ended("b", "v1", Outcome.RESET);
+            attemptHarness.sendRequest("v1", "paid");
+            attemptHarness.ended("a", "v1", outcome);
+            assertEquals(provenNotRun ? 1 : 0, attemptHarness.count("box b setUp"), outcome.name());
+            if (provenNotRun) {
+                attemptHarness.ended("b", "v1", Outcome.RESET);
             }
-            assertEquals(0, t.count("front refused"), o.name());
-            assertEquals(1, t.count("front failed"), o.name());
+            assertEquals(0, attemptHarness.count("front refused"), outcome.name());
+            assertEquals(1, attemptHarness.count("front failed"), outcome.name());
         }
     }
 
     @Test
-    void aPaidRequestThatNeverRanMayBeRefused() {
-        s.onOutcome = id -> s.actions.refuse(id, 700 * MILLISECOND_US);
-        s.sendRequest("v1", "paid");
-        s.ended("a", "v1", Outcome.FULL);
-        assertEquals(1, s.count("front refused v1 700"));
+    void anAtMostOnceRequestThatNeverRanMayBeRefused() {
+        harness.onOutcome = id -> harness.actions.refuse(id, 700 * MILLISECOND_US);
+        harness.sendRequest("v1", "paid");
+        harness.ended("a", "v1", Outcome.FULL);
+        assertEquals(1, harness.count("front refused v1 700"));
     }
 
     @Test
-    void theSecondFinalAnswerIsKeptBack() {
-        s.onRequest = r -> {
-            s.actions.refuse(r.id(), 0);
-            s.actions.fail(r.id());
-            s.actions.refuse(r.id(), 0);
-            s.actions.send(r.id(), "a", 0);
+    void aSecondFinalAnswerIsSuppressed() {
+        harness.onRequest = request -> {
+            harness.actions.refuse(request.id(), 0);
+            harness.actions.fail(request.id());
+            harness.actions.refuse(request.id(), 0);
+            harness.actions.send(request.id(), "a", 0);
         };
-        s.sendRequest("v1", "safe");
-        assertEquals(List.of("front refused v1 0"), s.log);
+        harness.sendRequest("v1", "safe");
+        assertEquals(List.of("front refused v1 0"), harness.log);
     }
 
     @Test
-    void nothingNewGoesToABoxLongAfterItWasToldToDrain() {
-        s.updateServers(ListScope.CHANGES, State.DRAINING, "a");
-        s.log.clear();
-        s.sendRequest("v1", "safe");
-        assertEquals(1, s.count("box a setUp"), "what was decided before the news may still go");
-        s.advance(SECOND_US);
-        s.log.clear();
-        s.onOutcome = id -> s.actions.send(id, "b", 0);
-        s.sendRequest("v2", "safe");
-        assertEquals(List.of("module outcome 0 a MOOT", "box b setUp v2 left=2990"), s.log);
-        assertFalse(s.broker.acceptsSetUp(s.now, "a"));
-        s.updateServers(ListScope.CHANGES, State.UP, "a");
-        assertTrue(s.broker.acceptsSetUp(s.now, "a"));
+    void noSetUpIsSentToAServerOnceItsDrainGraceIsOver() {
+        harness.updateServers(ListScope.CHANGES, State.DRAINING, "a");
+        harness.log.clear();
+        harness.sendRequest("v1", "safe");
+        assertEquals(1, harness.count("box a setUp"), "a set-up decided before the list arrived may still be sent");
+        harness.advance(SECOND_US);
+        harness.log.clear();
+        harness.onOutcome = id -> harness.actions.send(id, "b", 0);
+        harness.sendRequest("v2", "safe");
+        assertEquals(List.of("module outcome 0 a MOOT", "box b setUp v2 left=2990"), harness.log);
+        assertFalse(harness.broker.acceptsSetUp(harness.now, "a"));
+        harness.updateServers(ListScope.CHANGES, State.UP, "a");
+        assertTrue(harness.broker.acceptsSetUp(harness.now, "a"));
     }
 
     @Test
-    void theSameNewsAgainDoesNotLengthenTheGrace() {
-        s.updateServers(ListScope.CHANGES, State.DRAINING, "a");
-        s.advance(600 * MILLISECOND_US);
-        s.updateServers(ListScope.CHANGES, State.GONE, "a");
-        s.advance(200 * MILLISECOND_US);
-        assertFalse(s.broker.acceptsSetUp(s.now, "a"));
+    void aLaterListingAsGoneDoesNotProlongTheDrainGrace() {
+        harness.updateServers(ListScope.CHANGES, State.DRAINING, "a");
+        harness.advance(600 * MILLISECOND_US);
+        harness.updateServers(ListScope.CHANGES, State.GONE, "a");
+        harness.advance(200 * MILLISECOND_US);
+        assertFalse(harness.broker.acceptsSetUp(harness.now, "a"));
     }
 
     @Test
-    void aClassNeverPlaysUnderItsFloor() {
-        s.onRequest = r -> {
-            s.actions.setRendition(r.id(), 0);
-            s.actions.send(r.id(), "a", 0);
+    void aSessionNeverPlaysBelowTheLowestRenditionOfItsClass() {
+        harness.onRequest = request -> {
+            harness.actions.setRendition(request.id(), 0);
+            harness.actions.send(request.id(), "a", 0);
         };
-        s.sendRequest("v1", "paid");
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer");
-        assertEquals(1, s.count("front served v1 1..1"));
+        harness.sendRequest("v1", "paid");
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
+        assertEquals(1, harness.count("front served v1 1..1"));
     }
 
     @Test
-    void aSetUpWithoutARungIsAtTheLowestOfItsClass() {
-        s.sendRequest("v1", "paid");
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer");
-        assertEquals(1, s.count("front served v1 1..1"));
+    void aSetUpWithoutARenditionUsesTheLowestOfItsClass() {
+        harness.sendRequest("v1", "paid");
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
+        assertEquals(1, harness.count("front served v1 1..1"));
     }
 
     @Test
-    void aRungSetWhileTheAnswerIsOnItsWayFollowsIt() {
+    void aRenditionSetWhileTheSetUpIsPendingIsAppliedAfterTheAnswer() {
         String[] id = {""};
-        s.onRequest = r -> {
-            id[0] = r.id();
-            s.actions.send(r.id(), "a", 0);
+        harness.onRequest = request -> {
+            id[0] = request.id();
+            harness.actions.send(request.id(), "a", 0);
         };
-        s.sendRequest("v1", "safe");
-        s.actions.setRendition(id[0], 3);
-        assertEquals(0, s.count("box a rate"));
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer");
-        assertEquals(1, s.count("box a rate v1 3"));
+        harness.sendRequest("v1", "safe");
+        harness.actions.setRendition(id[0], 3);
+        assertEquals(0, harness.count("box a rate"));
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
+        assertEquals(1, harness.count("box a rate v1 3"));
     }
 
     @Test
-    void aViewerThatLeavesWhileSettingUpIsOwedNothing() {
-        s.sendRequest("v1", "safe");
-        s.broker.cancel(s.now, "v1");
-        s.ended("a", "v1", Outcome.OK);
-        s.advance(5 * SECOND_US);
-        assertEquals(List.of("box a setUp v1 left=2990", "box a giveUp v1", "module gone"), s.log);
+    void aRequestCancelledDuringItsSetUpGetsNoAnswer() {
+        harness.sendRequest("v1", "safe");
+        harness.broker.cancel(harness.now, "v1");
+        harness.ended("a", "v1", Outcome.OK);
+        harness.advance(5 * SECOND_US);
+        assertEquals(List.of("box a setUp v1 left=2990", "box a giveUp v1", "module gone"), harness.log);
     }
 
     @Test
-    void aViewerThatLeavesOnceItsTimeIsUpHasHadItsAnswer() {
-        // A loop that is late reads of the leaving before it comes to what was due: the answer never went out.
-        s.sendRequest("v1", "paid");
-        s.now += 3 * SECOND_US - 5 * MILLISECOND_US;
-        s.broker.cancel(s.now, "v1");
-        s.advance(SECOND_US);
+    void aRequestCancelledAfterItsAnswerWasDueFails() {
+        // A late event loop reads the cancellation before it runs the timer of the deadline; the answer was never sent.
+        harness.sendRequest("v1", "paid");
+        harness.now += 3 * SECOND_US - 5 * MILLISECOND_US;
+        harness.broker.cancel(harness.now, "v1");
+        harness.advance(SECOND_US);
         assertEquals(
                 List.of(
                         "box a setUp v1 left=2990",
                         "box a giveUp v1",
                         "module outcome 0 a TIMEOUT",
                         "front failed v1 late"),
-                s.log);
-        assertEquals(0, s.broker.unansweredRequests());
+                harness.log);
+        assertEquals(0, harness.broker.unansweredRequests());
     }
 
     @Test
-    void aViewerThatSaysNoMoreIsAnsweredAtOnceAndNotTriedAgain() {
-        s.sendRequest("v1", "paid");
-        s.sendRequest("v2", "safe");
-        s.onRequest = r -> {};
-        s.sendRequest("v3", "paid");
-        s.broker.halfClosed(s.now, s.connection);
-        s.ended("a", "v1", Outcome.FULL);
-        s.ended("a", "v2", Outcome.RESET);
-        s.broker.setUpAnswered(s.now, "a", "v1", "crossed");
-        s.advance(5 * SECOND_US);
+    void requestsOnAHalfClosedConnectionAreAnsweredAtOnceWithoutRetry() {
+        harness.sendRequest("v1", "paid");
+        harness.sendRequest("v2", "safe");
+        harness.onRequest = request -> {};
+        harness.sendRequest("v3", "paid");
+        harness.broker.halfClosed(harness.now, harness.connection);
+        harness.ended("a", "v1", Outcome.FULL);
+        harness.ended("a", "v2", Outcome.RESET);
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "crossed");
+        harness.advance(5 * SECOND_US);
         assertEquals(
                 List.of("front failed v1", "front refused v2 2000", "front refused v3 2000"),
-                s.log.stream().filter(l -> l.startsWith("front")).sorted().toList());
+                harness.log.stream()
+                        .filter(line -> line.startsWith("front"))
+                        .sorted()
+                        .toList());
         assertEquals(
                 List.of("box a giveUp v1", "box a giveUp v2"),
-                s.log.stream()
-                        .filter(l -> l.startsWith("box") && !l.contains("setUp"))
+                harness.log.stream()
+                        .filter(line -> line.startsWith("box") && !line.contains("setUp"))
                         .toList());
-        assertEquals(2, s.count("box a setUp"));
-        assertEquals(3, s.count("module gone"));
-        assertEquals(0, s.broker.unansweredRequests() + s.broker.activeSessions());
-    }
-
-    @Test
-    void aLostConnectionGivesUpItsRequestsButNotItsSessions() {
-        s.startSession("v1", "safe");
-        s.sendRequest("v2", "safe");
-        s.broker.disconnected(s.now, s.connection);
-        assertEquals(1, s.count("box a giveUp v2"));
-        assertEquals(1, s.broker.activeSessions());
-    }
-
-    @Test
-    void anEndIsToldOnTheNextConnectionWhereNoneIsLeft() {
-        s.startSession("v1", "safe");
-        s.broker.disconnected(s.now, s.connection);
-        s.ended("a", "v1", Outcome.RESET);
-        assertEquals(0, s.count("front over"));
-        s.advance(300 * MILLISECOND_US);
-        s.connection = s.broker.connected(s.now, s, h -> {});
-        assertEquals(0, s.count("front over v1 RESET"), "nobody may be reading there");
-        s.sendRequest("v2", "safe");
-        assertEquals(1, s.count("front over v1 RESET"));
-    }
-
-    @Test
-    void anEndGoesWhereViewersAskAndNotToAConnectionHeldForItsOwnSake() {
-        // Hundreds of connections ask for one test and stay, unread. Sessions handed over at the start had no
-        // connection of their own, and their ends went to the connection that had come last.
-        long asks = s.connection;
-        s.broker.adoptSession(s.now, asks, s, s, BrokerHarness.sessionRequest("v1", "safe"), "a");
-        s.broker.connected(s.now, s, h -> {});
-        s.ended("a", "v1", Outcome.RESET);
-        assertEquals(List.of(asks), s.endNoticeConnections);
-        long other = s.broker.connected(s.now, s, h -> {});
-        s.connection = other;
-        s.startSession("v2", "safe");
-        s.broker.adoptSession(s.now, asks, s, s, BrokerHarness.sessionRequest("v3", "safe"), "a");
-        s.advance(SECOND_US);
-        s.broker.disconnected(s.now, asks);
-        s.broker.connected(s.now, s, h -> {});
-        long refused = s.broker.connected(s.now, s, h -> {});
-        s.connection = refused;
-        s.sendRequest("v4", "safe"); // a set-up that nobody has answered yet proves less than a session
-        s.ended("a", "v3", Outcome.RESET);
-        assertEquals(List.of(asks, other), s.endNoticeConnections);
-    }
-
-    @Test
-    void anEndWrittenToAClosingConnectionIsToldAgainUnlessHeard() {
-        // A viewer closes a connection that carries no session after four seconds; an end may cross with that.
-        s.startSession("v1", "safe");
-        s.startSession("v2", "safe");
-        long first = s.connection;
-        s.connection = s.broker.connected(s.now, s, h -> {});
-        s.sendRequest("v3", "safe");
-        s.connection = first;
-        s.ended("a", "v1", Outcome.OK);
-        s.ended("a", "v2", Outcome.OK);
-        s.broker.endConfirmed(s.connection, "v2");
-        s.broker.disconnected(s.now, s.connection);
-        assertEquals(2, s.count("front over v1"));
-        assertEquals(1, s.count("front over v2"));
-    }
-
-    @Test
-    void anOpenSessionIsHeldOnceAndHeardOf() {
-        s.broker.adoptSession(s.now, s.connection, s, s, BrokerHarness.sessionRequest("v1", "safe"), "b");
-        s.broker.adoptSession(s.now, s.connection, s, s, BrokerHarness.sessionRequest("v1", "safe"), "b");
-        s.broker.metricReceived(s.now, "b", "v1", Metric.RENDITION, 2);
-        s.ended("b", "v1", Outcome.OK);
+        assertEquals(2, harness.count("box a setUp"));
+        assertEquals(3, harness.count("module gone"));
+        assertEquals(0, harness.broker.unansweredRequests() + harness.broker.activeSessions());
+    }
+
+    @Test
+    void aClosedConnectionCancelsItsRequestsButNotItsSessions() {
+        harness.startSession("v1", "safe");
+        harness.sendRequest("v2", "safe");
+        harness.broker.disconnected(harness.now, harness.connection);
+        assertEquals(1, harness.count("box a giveUp v2"));
+        assertEquals(1, harness.broker.activeSessions());
+    }
+
+    @Test
+    void anEndNoticeIsSentOnTheNextConnectionWhenNoneIsOpen() {
+        harness.startSession("v1", "safe");
+        harness.broker.disconnected(harness.now, harness.connection);
+        harness.ended("a", "v1", Outcome.RESET);
+        assertEquals(0, harness.count("front over"));
+        harness.advance(300 * MILLISECOND_US);
+        harness.connection = harness.broker.connected(harness.now, harness, handle -> {});
+        assertEquals(0, harness.count("front over v1 RESET"), "nobody may be reading from the new connection");
+        harness.sendRequest("v2", "safe");
+        assertEquals(1, harness.count("front over v1 RESET"));
+    }
+
+    @Test
+    void anEndNoticeUsesAConnectionWithSetUpsNotOneThatIsMerelyOpen() {
+        // Hundreds of connections may be opened for one test and kept open, unread. The end notices of sessions adopted
+        // at the start, which have no connection of their own, were sent to the connection opened last.
+        long withSetUp = harness.connection;
+        harness.broker.adoptSession(
+                harness.now, withSetUp, harness, harness, BrokerHarness.sessionRequest("v1", "safe"), "a");
+        harness.broker.connected(harness.now, harness, handle -> {});
+        harness.ended("a", "v1", Outcome.RESET);
+        assertEquals(List.of(withSetUp), harness.endNoticeConnections);
+        long other = harness.broker.connected(harness.now, harness, handle -> {});
+        harness.connection = other;
+        harness.startSession("v2", "safe");
+        harness.broker.adoptSession(
+                harness.now, withSetUp, harness, harness, BrokerHarness.sessionRequest("v3", "safe"), "a");
+        harness.advance(SECOND_US);
+        harness.broker.disconnected(harness.now, withSetUp);
+        harness.broker.connected(harness.now, harness, handle -> {});
+        long unanswered = harness.broker.connected(harness.now, harness, handle -> {});
+        harness.connection = unanswered;
+        harness.sendRequest("v4", "safe"); // an unanswered set-up is weaker evidence of a reader than a session
+        harness.ended("a", "v3", Outcome.RESET);
+        assertEquals(List.of(withSetUp, other), harness.endNoticeConnections);
+    }
+
+    @Test
+    void anEndNoticeOnAClosingConnectionIsSentAgainUnlessConfirmed() {
+        // A viewer closes a connection without sessions after 4 s; an end notice sent at that moment may be lost.
+        harness.startSession("v1", "safe");
+        harness.startSession("v2", "safe");
+        long first = harness.connection;
+        harness.connection = harness.broker.connected(harness.now, harness, handle -> {});
+        harness.sendRequest("v3", "safe");
+        harness.connection = first;
+        harness.ended("a", "v1", Outcome.OK);
+        harness.ended("a", "v2", Outcome.OK);
+        harness.broker.endConfirmed(harness.connection, "v2");
+        harness.broker.disconnected(harness.now, harness.connection);
+        assertEquals(2, harness.count("front over v1"));
+        assertEquals(1, harness.count("front over v2"));
+    }
+
+    @Test
+    void anAdoptedSessionIsRegisteredOnceAndReceivesMetricsAndItsEnd() {
+        harness.broker.adoptSession(
+                harness.now, harness.connection, harness, harness, BrokerHarness.sessionRequest("v1", "safe"), "b");
+        harness.broker.adoptSession(
+                harness.now, harness.connection, harness, harness, BrokerHarness.sessionRequest("v1", "safe"), "b");
+        harness.broker.metricReceived(harness.now, "b", "v1", Metric.RENDITION, 2);
+        harness.ended("b", "v1", Outcome.OK);
         assertEquals(
                 List.of(
                         "box b hold true",
@@ -306,80 +314,81 @@
                         "front over v1 OK",
                         "box b hold false",
                         "module outcome 0 b OK last"),
-                s.log);
+                harness.log);
     }
 
     @Test
-    void aRungSetAgainIsSentThoughAnOlderNoteNamedIt() {
-        // The note of the rung in force after a start may cross with a change: the change must not be taken as done.
+    void aRenditionSetAgainIsSentEvenIfAnOlderMetricReportedIt() {
+        // A metric of the rendition in force at the start may cross with a change and must not be taken to confirm it.
         String[] id = {""};
-        s.onRequest = r -> {
-            id[0] = r.id();
-            s.actions.send(r.id(), "a", 0);
+        harness.onRequest = request -> {
+            id[0] = request.id();
+            harness.actions.send(request.id(), "a", 0);
         };
-        s.startSession("v1", "safe");
-        s.actions.setRendition(id[0], 3);
-        s.broker.metricReceived(s.now, "a", "v1", Metric.RENDITION, 1);
-        s.actions.setRendition(id[0], 1);
+        harness.startSession("v1", "safe");
+        harness.actions.setRendition(id[0], 3);
+        harness.broker.metricReceived(harness.now, "a", "v1", Metric.RENDITION, 1);
+        harness.actions.setRendition(id[0], 1);
         assertEquals(
                 List.of("box a rate v1 3", "module note RENDITION 1.0", "box a rate v1 1"),
-                s.log.subList(s.log.size() - 3, s.log.size()));
+                harness.log.subList(harness.log.size() - 3, harness.log.size()));
     }
 
     @Test
-    void aNoteThatComesBeforeTheAnswerReachesTheModuleAfterIt() {
-        // Edge servers write the link's reading at a set-up ahead of the answer. It was dropped, so newcomers never
-        // took their rung by it, and a later reading was taken for it.
-        s.sendRequest("v1", "safe");
-        s.broker.metricReceived(s.now, "a", "v1", Metric.LINK, 0.5);
-        s.broker.metricReceived(s.now, "b", "v1", Metric.LINK, 0.9);
-        assertEquals(0, s.count("module note"));
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer");
+    void aMetricReceivedBeforeTheAnswerReachesTheModuleAfterIt() {
+        // Edge servers report the link's load before they answer a set-up. The report was dropped, so new sessions did
+        // not choose their rendition by it, and a later report was taken for it.
+        harness.sendRequest("v1", "safe");
+        harness.broker.metricReceived(harness.now, "a", "v1", Metric.LINK, 0.5);
+        harness.broker.metricReceived(harness.now, "b", "v1", Metric.LINK, 0.9);
+        assertEquals(0, harness.count("module note"));
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
         assertEquals(
-                List.of("module first 0 a", "module note LINK 0.5"), s.log.subList(s.log.size() - 2, s.log.size()));
+                List.of("module first 0 a", "module note LINK 0.5"),
+                harness.log.subList(harness.log.size() - 2, harness.log.size()));
     }
 
     @Test
-    void aNoteOfAnAttemptThatCameToNothingIsForgotten() {
-        s.onOutcome = id -> s.actions.send(id, "b", 0);
-        s.sendRequest("v1", "safe");
-        s.broker.metricReceived(s.now, "a", "v1", Metric.LINK, 0.5);
-        s.ended("a", "v1", Outcome.FULL);
-        s.broker.setUpAnswered(s.now, "b", "v1", "answer");
-        assertEquals(0, s.count("module note"));
+    void aMetricOfAFailedAttemptIsDiscarded() {
+        harness.onOutcome = id -> harness.actions.send(id, "b", 0);
+        harness.sendRequest("v1", "safe");
+        harness.broker.metricReceived(harness.now, "a", "v1", Metric.LINK, 0.5);
+        harness.ended("a", "v1", Outcome.FULL);
+        harness.broker.setUpAnswered(harness.now, "b", "v1", "answer");
+        assertEquals(0, harness.count("module note"));
     }
 
     @Test
-    void aLostServerEndsItsSessionsButNotThoseOfItsNextLife() {
-        s.startSession("v1", "safe");
-        s.advance(SECOND_US);
-        long reborn = s.now;
-        s.advance(SECOND_US);
-        s.startSession("v2", "safe");
-        s.broker.serverLost(s.now, s, "a", reborn);
-        assertEquals(1, s.count("front over v1 RESET"));
-        assertEquals(0, s.count("front over v2"));
+    void aLostServerEndsItsSessionsButNotThoseStartedAfterItsRestart() {
+        harness.startSession("v1", "safe");
+        harness.advance(SECOND_US);
+        long restartedAt = harness.now;
+        harness.advance(SECOND_US);
+        harness.startSession("v2", "safe");
+        harness.broker.serverLost(harness.now, harness, "a", restartedAt);
+        assertEquals(1, harness.count("front over v1 RESET"));
+        assertEquals(0, harness.count("front over v2"));
     }
 
     @Test
-    void aSessionEndedByItsViewerIsCutAtItsServerAndNotToldBack() {
-        s.startSession("v1", "safe");
-        s.log.clear();
-        s.broker.cancel(s.now, "v1");
-        assertEquals(List.of("box a release v1", "box a hold false", "module outcome 0 a CANCELLED last"), s.log);
+    void aSessionEndedByItsViewerIsReleasedWithoutAnEndNotice() {
+        harness.startSession("v1", "safe");
+        harness.log.clear();
+        harness.broker.cancel(harness.now, "v1");
+        assertEquals(List.of("box a release v1", "box a hold false", "module outcome 0 a CANCELLED last"), harness.log);
     }
 
     @Test
-    void aMovedSessionEndsAtBothEnds() {
+    void aMovedSessionEndsAtViewerAndServer() {
         String[] id = {""};
-        s.onRequest = r -> {
-            id[0] = r.id();
-            s.actions.send(r.id(), "a", 0);
+        harness.onRequest = request -> {
+            id[0] = request.id();
+            harness.actions.send(request.id(), "a", 0);
         };
-        s.startSession("v1", "safe");
-        s.log.clear();
-        s.actions.move(id[0]);
-        s.broker.peerMessageReceived(s.now, 1, new byte[2]);
+        harness.startSession("v1", "safe");
+        harness.log.clear();
+        harness.actions.move(id[0]);
+        harness.broker.peerMessageReceived(harness.now, 1, new byte[2]);
         assertEquals(
                 List.of(
                         "front moved v1",
@@ -387,84 +396,91 @@
                         "box a hold false",
                         "module outcome 0 a CANCELLED last",
                         "module told 1"),
-                s.log);
+                harness.log);
     }
 
     @Test
-    void aServerOnTwoListsCountsByTheWorse() {
-        s.broker.serversChanged(
-                s.now, "eureka", ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, State.DRAINING, 1, 0)));
-        assertEquals(List.of("module CHANGES a DRAINING"), s.log);
-        s.log.clear();
-        s.broker.serversChanged(s.now, "eureka", ListScope.SNAPSHOT, List.of());
-        assertEquals(List.of("module CHANGES a UP"), s.log);
+    void aServerOnTwoListsHasTheWorseState() {
+        harness.broker.serversChanged(
+                harness.now,
+                "eureka",
+                ListScope.SNAPSHOT,
+                List.of(new Server("a", "east", "k", 0, State.DRAINING, 1, 0)));
+        assertEquals(List.of("module CHANGES a DRAINING"), harness.log);
+        harness.log.clear();
+        harness.broker.serversChanged(harness.now, "eureka", ListScope.SNAPSHOT, List.of());
+        assertEquals(List.of("module CHANGES a UP"), harness.log);
     }
 
     @Test
-    void anErrorInOneEventLeavesTheOthersAlone() {
-        s.onRequest = r -> {
+    void anErrorInOneEventDoesNotAffectOthers() {
+        harness.onRequest = request -> {
             throw new IllegalStateException("as a test");
         };
-        s.sendRequest("v1", "safe");
-        s.onRequest = r -> s.actions.send(r.id(), "a", 0);
-        s.sendRequest("v2", "safe");
-        assertEquals(1, s.count("box a setUp v2"));
-        s.advance(3 * SECOND_US);
-        assertEquals(1, s.count("front failed v1 late"), "even that request has its answer");
-    }
-
-    @Test
-    void anUnknownClassOrANameHeldAlreadyIsNotTaken() {
-        s.sendRequest("v1", "safe");
-        assertFalse(s.broker.request(s.now, s.connection, s, s, BrokerHarness.sessionRequest("v1", "safe")));
-        assertFalse(s.broker.request(s.now, s.connection, s, s, BrokerHarness.sessionRequest("v2", "none")));
-        assertEquals(1, s.broker.unansweredRequests());
-    }
-
-    @Test
-    void aPlannedEndTellsEveryViewerAndServer() {
-        s.startSession("v1", "safe");
-        s.broker.releaseAll(s.now);
-        assertEquals(1, s.count("front over v1 RESET"));
-        assertEquals(1, s.count("box a release v1"));
-        assertEquals(0, s.broker.activeSessions());
-    }
-
-    @Test
-    void whatComesOnceTheEndsAreToldIsTurnedAwayAtOnce() {
-        // A set-up of the last 50 ms was taken, sent on, and lost when the program halted.
-        s.sendRequest("v1", "safe");
-        s.broker.releaseAll(s.now);
-        s.sendRequest("v2", "paid");
-        assertEquals(1, s.count("front refused v2"));
-        assertEquals(0, s.count("box a setUp v2"));
-        // The one under way goes on, and is told its end once it stands.
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer");
-        assertEquals(1, s.count("front served v1"));
-        s.broker.releaseAll(s.now);
-        assertEquals(1, s.count("front over v1 RESET"));
-        assertEquals(1, s.count("box a release v1"));
-    }
-
-    @Test
-    void whoStillWaitsAtTheVeryEndIsToldAFailure() {
-        s.sendRequest("v1", "paid");
-        s.broker.releaseAll(s.now);
-        s.broker.failAll(s.now);
-        assertEquals(1, s.count("front failed v1"));
-        assertEquals(1, s.count("box a giveUp v1"));
-        assertEquals(0, s.broker.unansweredRequests());
-        s.broker.setUpAnswered(s.now, "a", "v1", "answer"); // too late: one answer is enough
-        assertEquals(0, s.count("front served v1"));
-    }
-
-    @Test
-    void aServerThatIsGoneIsForgottenInTheEnd() {
-        // On a day of many replacements every id that ever was stayed in the broker's table.
-        s.updateServers(ListScope.CHANGES, State.GONE, "b");
-        s.advance(100 * SECOND_US);
-        s.updateServers(ListScope.CHANGES, State.UP, "c");
-        assertFalse(s.broker.adoptSession(s.now, s.connection, s, s, BrokerHarness.sessionRequest("v1", "safe"), "b"));
-        assertTrue(s.broker.adoptSession(s.now, s.connection, s, s, BrokerHarness.sessionRequest("v1", "safe"), "c"));
+        harness.sendRequest("v1", "safe");
+        harness.onRequest = request -> harness.actions.send(request.id(), "a", 0);
+        harness.sendRequest("v2", "safe");
+        assertEquals(1, harness.count("box a setUp v2"));
+        harness.advance(3 * SECOND_US);
+        assertEquals(1, harness.count("front failed v1 late"), "the request whose event failed is answered, too");
+    }
+
+    @Test
+    void aRequestWithAnUnknownClassOrADuplicateNameIsRejected() {
+        harness.sendRequest("v1", "safe");
+        assertFalse(harness.broker.request(
+                harness.now, harness.connection, harness, harness, BrokerHarness.sessionRequest("v1", "safe")));
+        assertFalse(harness.broker.request(
+                harness.now, harness.connection, harness, harness, BrokerHarness.sessionRequest("v2", "none")));
+        assertEquals(1, harness.broker.unansweredRequests());
+    }
+
+    @Test
+    void aGracefulShutdownNotifiesEveryViewerAndServer() {
+        harness.startSession("v1", "safe");
+        harness.broker.releaseAll(harness.now);
+        assertEquals(1, harness.count("front over v1 RESET"));
+        assertEquals(1, harness.count("box a release v1"));
+        assertEquals(0, harness.broker.activeSessions());
+    }
+
+    @Test
+    void requestsDuringAShutdownAreRefusedAtOnce() {
+        // A set-up accepted in the last 50 ms before the exit was sent to a server and then lost.
+        harness.sendRequest("v1", "safe");
+        harness.broker.releaseAll(harness.now);
+        harness.sendRequest("v2", "paid");
+        assertEquals(1, harness.count("front refused v2"));
+        assertEquals(0, harness.count("box a setUp v2"));
+        // A pending set-up continues; its session is ended once it is active.
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
+        assertEquals(1, harness.count("front served v1"));
+        harness.broker.releaseAll(harness.now);
+        assertEquals(1, harness.count("front over v1 RESET"));
+        assertEquals(1, harness.count("box a release v1"));
+    }
+
+    @Test
+    void requestsUnansweredAtTheEndOfAShutdownFail() {
+        harness.sendRequest("v1", "paid");
+        harness.broker.releaseAll(harness.now);
+        harness.broker.failAll(harness.now);
+        assertEquals(1, harness.count("front failed v1"));
+        assertEquals(1, harness.count("box a giveUp v1"));
+        assertEquals(0, harness.broker.unansweredRequests());
+        harness.broker.setUpAnswered(harness.now, "a", "v1", "answer"); // too late: the request has had its answer
+        assertEquals(0, harness.count("front served v1"));
+    }
+
+    @Test
+    void aServerThatIsGoneIsEventuallyRemoved() {
+        // When servers were replaced often, the ids of all former ones stayed in the broker's table.
+        harness.updateServers(ListScope.CHANGES, State.GONE, "b");
+        harness.advance(100 * SECOND_US);
+        harness.updateServers(ListScope.CHANGES, State.UP, "c");
+        assertFalse(harness.broker.adoptSession(
+                harness.now, harness.connection, harness, harness, BrokerHarness.sessionRequest("v1", "safe"), "b"));
+        assertTrue(harness.broker.adoptSession(
+                harness.now, harness.connection, harness, harness, BrokerHarness.sessionRequest("v1", "safe"), "c"));
     }
 }
--- /dev/null
+++ b/src/test/java/dockshed/core/RequestTraceTest.java
@@ -0,0 +1,23 @@
+package dockshed.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** The recorded steps of requests. */
+class RequestTraceTest {
+    @Test
+    void stepsOfARequestAreListedInOrderAndTheOldestAreOverwritten() {
+        RequestTrace trace = new RequestTrace();
+        trace.add(100, "a", "taken", "paid");
+        trace.add(150, "b", "taken", null);
+        trace.add(400, "a", "out", "s-1");
+        assertEquals("taken(paid)+0 out(s-1)+300", trace.stepsOf("a"));
+        for (int i = 0; i < RequestTrace.MAX_STEPS - 1; i++) {
+            trace.add(500 + i, "c", "taken", null);
+        }
+        assertEquals("out(s-1)+0", trace.stepsOf("a"), "the oldest step has been overwritten");
+        trace.add(9999, "c", "taken", null);
+        assertEquals("", trace.stepsOf("a"));
+    }
+}
