--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -885,7 +885,7 @@
         director.requestCancelled(currentTime, session.id);
     }
 
-    /** Logs a request cancelled unanswered, so that it can be told from one whose answer was lost. */
+    /** Logs a request cancelled unanswered, to distinguish it from one whose answer was lost. */
     private void logCancellation(BrokerSession session, String how) {
         if (currentTime / 1_000_000 != cancelLogSecond) {
             cancelLogSecond = currentTime / 1_000_000;
@@ -938,7 +938,7 @@
         }
     }
 
-    /** Tells server and front of the rendition of an active session. */
+    /** Passes the rendition of an active session to its server and its front. */
     private void applyRendition(BrokerSession session) {
         session.sentRendition = session.rendition;
         session.adapter.setRendition(session.server.id, session.request.name(), session.rendition);
--- a/src/main/java/dockshed/core/TimerQueue.java
+++ b/src/main/java/dockshed/core/TimerQueue.java
@@ -74,7 +74,7 @@
         return timers.isEmpty() ? NEVER : timers.first().dueAt;
     }
 
-    /** Runs the timers that are due. Timers scheduled meanwhile wait for the next run, so that every run ends. */
+    /** Runs the timers that are due. A timer scheduled during the run waits for the next one, so that every run ends. */
     public void runDue(long now) {
         long firstNewSerial = nextSerial;
         while (!timers.isEmpty() && timers.first().dueAt <= now && timers.first().serial < firstNewSerial) {
