--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -251,7 +251,7 @@
             int highestRendition,
             boolean retry,
             boolean afterMove,
-            boolean afterRefusal) {}
+            boolean returning) {}
 
     /** Values of a server's load report in the order of {@link Settings#reportFields}; empty when none came. */
     record LoadReport(List<Double> values) {
--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -881,7 +881,7 @@
         logCancellation(session, "cancelled or disconnected");
         closeRequest(session);
         counts.gone++;
-        session.front.requestCancelled(session.connection, session.request.name());
+        session.front.setUpCancelled(session.connection, session.request.name());
         director.requestCancelled(currentTime, session.id);
     }
 
--- a/src/main/java/dockshed/core/Front.java
+++ b/src/main/java/dockshed/core/Front.java
@@ -18,7 +18,7 @@
     void failed(long connection, String name, boolean late);
 
     /** A request has been cancelled by its viewer, on whichever connection, and gets no answer. */
-    default void requestCancelled(long connection, String name) {}
+    default void setUpCancelled(long connection, String name) {}
 
     /** An active session has ended, with the outcome OK or RESET. */
     void sessionEnded(long connection, String name, Outcome outcome);
--- a/src/main/java/dockshed/core/SessionRequest.java
+++ b/src/main/java/dockshed/core/SessionRequest.java
@@ -16,7 +16,7 @@
  * @param highestRendition index of the highest rendition that the viewer can play
  * @param retry            whether the viewer repeats an earlier request
  * @param afterMove        whether the session was taken off its server and is requested again
- * @param afterRefusal     whether the viewer returns after a refusal
+ * @param returning     whether the viewer returns after a refusal
  * @param description      the viewer's description of the session, passed to the server unread
  */
 public record SessionRequest(
@@ -31,7 +31,7 @@
         int highestRendition,
         boolean retry,
         boolean afterMove,
-        boolean afterRefusal,
+        boolean returning,
         String description) {
 
     /** This request as the decision module is given it, under the broker's id of it. */
@@ -48,6 +48,6 @@
                 highestRendition,
                 retry,
                 afterMove,
-                afterRefusal);
+                returning);
     }
 }
--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -153,7 +153,7 @@
 
     private int step(Request r) {
         int age = AGE_FRESH;
-        if (r.afterMove() || r.afterRefusal()) {
+        if (r.afterMove() || r.returning()) {
             age = AGE_DISPLACED;
         } else if (r.retry() && keepsRetryTime(r)) {
             age = AGE_RETURNED;
--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -495,7 +495,7 @@
 
     /** A connection that only waited for this answer to end has none to wait for. */
     @Override
-    public void requestCancelled(long connection, String name) {
+    public void setUpCancelled(long connection, String name) {
         Connection c = connectionsByHandle.get(connection);
         if (c != null) {
             c.openSetUps.remove(name);
--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -165,7 +165,7 @@
         String key = RequestHistory.key(r.viewer(), r.title(), r.className());
         ViewerRecord visit = history.recordRequest(at, key);
         ReturnKind standing = history.returnKind(at, visit);
-        boolean again = visit.requests > 1 || r.retry() || r.afterRefusal();
+        boolean again = visit.requests > 1 || r.retry() || r.returning();
         detector.recordArrival(at, again && !r.afterMove());
         if (!again) {
             freshRequests.add(at, 1);
@@ -202,7 +202,7 @@
                         w.viewerRecord(),
                         RequestHistory.key(r.viewer(), r.title(), r.className()),
                         w.returnKind(),
-                        w.viewerRecord().requests > 1 || r.retry() || r.afterRefusal()));
+                        w.viewerRecord().requests > 1 || r.retry() || r.returning()));
         long waited = now - w.arrivedAt();
         nextDirector.request(
                 now,
@@ -220,7 +220,7 @@
                                 r.highestRendition(),
                                 r.retry(),
                                 r.afterMove(),
-                                r.afterRefusal()));
+                                r.returning()));
     }
 
     /** Refuses, at once, a request that never went out. */
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -73,7 +73,7 @@
                     r.copies(),
                     r.highestRendition(),
                     r.retry(),
-                    r.afterRefusal()));
+                    r.returning()));
             stage.actions.fail(r.id());
         };
         send(
