--- a/src/main/java/dockshed/hls/HlsEdgeServers.java
+++ b/src/main/java/dockshed/hls/HlsEdgeServers.java
@@ -25,7 +25,7 @@
  */
 public final class HlsEdgeServers implements ServerAdapter {
     static final int MAX_PLAYLIST_BYTES = 1 << 20;
-    private static final Logger LOG = LoggerFactory.getLogger(HlsEdgeServers.class);
+    private static final Logger LOG = LoggerFactory.getLogger("dockshed.hls.Origins");
 
     private final Broker broker;
     private final Net net;
