--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -29,24 +29,35 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Viewers that speak the platform's RTSP. Turns their messages into the broker's calls and back; owns no rule. */
+/**
+ * Front for viewers that speak the platform's RTSP. Translates their messages into calls of the broker, and the
+ * broker's answers and notices back; it takes no decisions of its own. Runs on the event loop's thread only.
+ */
 public final class RtspFront implements Front {
+    /** Longest message in bytes, headers and body together. */
     static final int MAX_MESSAGE_BYTES = 16 * 1024;
-    /** A message must be whole so soon after its beginning, the first so soon after its connection came up. */
+    /** Time within which a message must be complete, from its first byte; for the first message, from the connect. */
     static final long MESSAGE_TIMEOUT_US = 2_000_000;
 
+    /** Interval between checks for connections that have exceeded a time limit. */
     private static final long SWEEP_INTERVAL_US = 250_000;
-    /** A connection just used is not closed to make room: its viewer may be about to ask again. */
+    /** A connection used within this time is not closed to make room: its viewer may be about to send a request. */
     private static final long RECENT_USE_US = 500_000;
-    /** Between the choice of a connection to be closed and its end: bytes that had come by then have been read. */
+    /**
+     * Time from choosing a connection to close until closing it, so that bytes that have already arrived are read.
+     */
     static final long CLOSE_DELAY_US = 60_000;
-    /** What was answered for good is read on for so long, and so many bytes, lest the answer be lost. */
+    /**
+     * Time for which input is still read and discarded after the last answer: closing while the viewer sends would
+     * reset the connection, and the viewer could lose the answer.
+     */
     static final long LINGER_TIMEOUT_US = 5_000_000;
 
+    /** Most bytes that are read and discarded on one connection after its last answer. */
     private static final long MAX_DISCARDED_BYTES = 128L << 20;
-    /** Messages at fault on one connection before it is ended. */
+    /** Faulty but readable messages on one connection before it is closed. */
     static final int MAX_FAULTY_MESSAGES = 16;
-    /** Set-ups open on one connection: ten times what the busiest day brings on one within a deadline. */
+    /** Open set-ups on one connection: ten times what the busiest day brings on one connection within a deadline. */
     static final int MAX_OPEN_SET_UPS = 512;
 
     private static final Logger LOG = LoggerFactory.getLogger(RtspFront.class);
@@ -55,97 +66,112 @@
     private final Broker broker;
     private final ServerAdapter servers;
     private final Clock clock;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final int maxConnections;
     private final Map<Long, Connection> connectionsByHandle = new HashMap<>();
-    private final Set<Connection> openConnections = new LinkedHashSet<>(); // those that are ending, too
-    private final SplittableRandom random = new SplittableRandom(1); // of the rounding only: no secret, any seed does
+    private final Set<Connection> openConnections = new LinkedHashSet<>(); // includes those that are ending
+    /** Used only to round Retry-After, where predictable numbers do no harm, so any seed will do. */
+    private final SplittableRandom random = new SplittableRandom(1);
+    /** Whether the last new connection was turned away, so that a run of refusals is logged once. */
     private boolean atCapacity;
 
-    /** Viewers keep to a third of the descriptors; {@code mostConnections} leaves room for what is no viewer's. */
-    public RtspFront(Broker broker, ServerAdapter servers, Clock clock, TimerQueue deadlines, int mostConnections) {
-        this.maxConnections = mostConnections;
+    /**
+     * Starts the periodic check for expired connections.
+     *
+     * @param maxConnections number of viewers' connections from which older ones are closed to make room; viewers get a
+     *     third of the file descriptors, the rest is left for other connections
+     */
+    public RtspFront(Broker broker, ServerAdapter servers, Clock clock, TimerQueue timers, int maxConnections) {
+        this.maxConnections = maxConnections;
         this.broker = broker;
         this.servers = servers;
         this.clock = clock;
-        this.deadlines = deadlines;
-        deadlines.schedule(clock.now() + SWEEP_INTERVAL_US, this::sweep);
+        this.timers = timers;
+        timers.schedule(clock.now() + SWEEP_INTERVAL_US, this::sweep);
     }
 
-    /** The handler of a new connection. */
+    /** Returns the handler for a newly accepted connection. */
     public ByteHandler accept() {
         return new Connection();
     }
 
-    /** Ends what has been silent, stuck in a message, or closing for too long. */
-    private void sweep(long due) {
+    /** Closes connections that have sent nothing, an incomplete message, or not closed their side for too long. */
+    private void sweep(long dueAt) {
         long now = clock.now();
-        deadlines.schedule(now + SWEEP_INTERVAL_US, this::sweep);
-        for (Connection c : List.copyOf(openConnections)) {
-            if (c.ending) {
-                if (c.outputClosed && now - c.pendingSinceUs > LINGER_TIMEOUT_US) {
-                    c.channel.close();
+        timers.schedule(now + SWEEP_INTERVAL_US, this::sweep);
+        for (Connection connection : List.copyOf(openConnections)) {
+            if (connection.ending) {
+                if (connection.outputClosed && now - connection.pendingSinceUs > LINGER_TIMEOUT_US) {
+                    connection.channel.close();
                 }
-            } else if (c.pendingSinceUs >= 0 && now - c.pendingSinceUs > MESSAGE_TIMEOUT_US) {
-                if (c.decoder.hasPartialMessage()) {
-                    c.rejectMalformed("message not finished");
+            } else if (connection.pendingSinceUs >= 0 && now - connection.pendingSinceUs > MESSAGE_TIMEOUT_US) {
+                if (connection.decoder.hasPartialMessage()) {
+                    connection.rejectMalformed("message not complete within the time limit");
                 } else {
-                    c.closeUnused("nothing asked");
+                    connection.closeUnused("no request sent within the time limit");
                 }
             }
         }
     }
 
     /**
-     * Makes room for a new connection: of those that owe nothing, one that never asked goes first, then one that only
-     * waits to be closed, then one that has never brought a set-up, then any; the longest unused of its sort.
+     * Closes a connection, now or after {@link #CLOSE_DELAY_US}, to make room for a new one. Connections that owe an
+     * answer are spared. Of the others, one that never sent a request goes first, then one that only waits to be
+     * closed, then one that never sent a set-up, then any; within each of these groups, the least recently used.
+     *
+     * @return false if no connection can be closed, or if the open connections exceed the limit by more than an eighth
      */
     private boolean makeRoom() {
-        Connection worst = null;
+        Connection evicted = null;
         long now = clock.now();
-        for (Connection c : openConnections) {
-            boolean fresh = now - c.lastUsedUs < RECENT_USE_US;
-            boolean owed = !c.openSetUps.isEmpty()
-                    || Net.hasUnwrittenBytes(c.channel) && now - c.lastUsedUs < LINGER_TIMEOUT_US;
-            if (!c.closeScheduled
-                    && !owed
-                    && !(fresh && c.evictionRank() > 0)
-                    && (worst == null
-                            || c.evictionRank() < worst.evictionRank()
-                            || c.evictionRank() == worst.evictionRank() && c.lastUsedUs < worst.lastUsedUs)) {
-                worst = c;
+        for (Connection candidate : openConnections) {
+            boolean recentlyUsed = now - candidate.lastUsedUs < RECENT_USE_US;
+            boolean owesAnswer = !candidate.openSetUps.isEmpty()
+                    || Net.hasUnwrittenBytes(candidate.channel) && now - candidate.lastUsedUs < LINGER_TIMEOUT_US;
+            if (!candidate.closeScheduled
+                    && !owesAnswer
+                    && !(recentlyUsed && candidate.evictionRank() > 0)
+                    && (evicted == null
+                            || candidate.evictionRank() < evicted.evictionRank()
+                            || candidate.evictionRank() == evicted.evictionRank()
+                                    && candidate.lastUsedUs < evicted.lastUsedUs)) {
+                evicted = candidate;
             }
         }
-        if (worst == null || openConnections.size() > maxConnections + maxConnections / 8) {
+        if (evicted == null || openConnections.size() > maxConnections + maxConnections / 8) {
             return false;
         }
-        Connection chosen = worst;
+        Connection chosen = evicted;
         if (chosen.sentRequest && !chosen.ending) {
-            // A set-up may have come that is not read yet: it is closed only once all that had come has been.
+            // A set-up may have arrived without having been read yet: close only after all received bytes are read.
             chosen.closeScheduled = true;
-            long unused = chosen.lastUsedUs;
-            deadlines.schedule(now + CLOSE_DELAY_US, t -> {
+            long lastUsed = chosen.lastUsedUs;
+            timers.schedule(now + CLOSE_DELAY_US, dueAt -> {
                 chosen.closeScheduled = false;
-                if (chosen.lastUsedUs == unused
+                if (chosen.lastUsedUs == lastUsed
                         && chosen.openSetUps.isEmpty()
                         && !chosen.decoder.hasPartialMessage()
                         && !chosen.ending) {
-                    chosen.closeUnused("room is needed");
+                    chosen.closeUnused("closed to make room for a new connection");
                 }
             });
         } else {
-            chosen.closeUnused("room is needed");
+            chosen.closeUnused("closed to make room for a new connection");
         }
         return true;
     }
 
-    /** A set-up as it came. */
+    /** A parsed set-up with the message that it came in. */
     private record PendingSetUp(SessionRequest request, HttpStyleMessage message) {}
 
+    /** A viewer's connection. */
     private final class Connection extends ByteHandler {
         private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_MESSAGE_BYTES);
-        private final Set<String> openSetUps = new HashSet<>(); // open ones
-        /** Read, but not taken before all that has come is read: its viewer may have left behind it. */
+        private final Set<String> openSetUps = new HashSet<>(); // names of sessions requested and not answered
+        /**
+         * Set-ups read but not yet passed to the broker, by session name. They wait until all received bytes have been
+         * read, because a TEARDOWN or the end of the connection may follow them.
+         */
         private final Map<String, PendingSetUp> pendingSetUps = new LinkedHashMap<>();
 
         private Channel channel;
@@ -154,8 +180,8 @@
         private boolean sentRequest;
         private boolean sentSetUp;
         private boolean closeScheduled;
-        private boolean outputClosed; // all answers owed are written: our output is ended, or is about to be
-        private long pendingSinceUs; // the beginning of a first message, of a part of one, of the ending; else -1
+        private boolean outputClosed; // all answers owed are written; our output is closed or is about to be
+        private long pendingSinceUs; // start of waiting for a first message, a message's rest, or the close; else -1
         private long lastUsedUs;
         private long discardedBytes;
         private int faultyMessages;
@@ -167,7 +193,7 @@
             lastUsedUs = pendingSinceUs;
             if (openConnections.size() >= maxConnections && !makeRoom()) {
                 if (!atCapacity) {
-                    LOG.warn("viewer's connection turned away: open={}", openConnections.size());
+                    LOG.warn("viewer's connection refused at the connection limit: open={}", openConnections.size());
                 }
                 atCapacity = true;
                 ending = true;
@@ -179,7 +205,7 @@
             handle = broker.connected(pendingSinceUs, RtspFront.this, h -> connectionsByHandle.put(h, this));
         }
 
-        /** What goes first where room is needed. */
+        /** Order in which connections are closed to make room; the lowest goes first. */
         private int evictionRank() {
             return ending ? 1 : !sentRequest ? 0 : !sentSetUp ? 2 : 3;
         }
@@ -193,7 +219,7 @@
                 if (outputClosed) {
                     channel.close();
                 } else {
-                    channel.config().setAutoRead(false); // answers are owed: it is read on once they are written
+                    channel.config().setAutoRead(false); // reading resumes once the answers owed are written
                 }
             }
             return ending;
@@ -201,22 +227,22 @@
 
         @Override
         protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
-            boolean begun = decoder.hasPartialMessage();
+            boolean startedEarlier = decoder.hasPartialMessage();
             decoder.add(bytes, 0, bytes.length);
             try {
-                boolean whole = false;
-                for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
-                    whole = true;
+                boolean completedAny = false;
+                for (HttpStyleMessage message = decoder.next(); message != null; message = decoder.next()) {
+                    completedAny = true;
                     sentRequest = true;
                     lastUsedUs = clock.now();
-                    handleMessage(this, m);
+                    handleMessage(this, message);
                     if (ending) {
                         return;
                     }
                 }
                 if (!decoder.hasPartialMessage()) {
                     pendingSinceUs = sentRequest ? -1 : pendingSinceUs;
-                } else if (sentRequest && (whole || !begun)) {
+                } else if (sentRequest && (completedAny || !startedEarlier)) {
                     pendingSinceUs = clock.now();
                 }
             } catch (HttpStyleMessage.MalformedMessageException e) {
@@ -233,63 +259,71 @@
             }
         }
 
-        /** Asks the broker for what has been read. */
+        /** Passes the set-ups read so far to the broker. */
         private void submitPending() {
             while (!pendingSetUps.isEmpty()) {
                 PendingSetUp next = pendingSetUps.values().iterator().next();
                 pendingSetUps.remove(next.request().name());
-                request(this, next);
+                requestSession(this, next);
             }
         }
 
-        /** The viewer has ended its output behind them: they are answered, as it may still read, and not tried. */
+        /**
+         * Refuses the set-ups read so far without an attempt, since the viewer has closed its output. It may still
+         * read, so each of them is answered.
+         */
         private void refusePending() {
             pendingSetUps.keySet().forEach(name -> refused(handle, name, broker.maxRetryAfter()));
             pendingSetUps.clear();
         }
 
         /**
-         * The viewer says no more; whether it has left or still reads cannot be told apart. Nothing is tried for it any
-         * more, and what is open has its answer at once, before our end of the connection goes.
+         * The viewer has closed its output. A half-close cannot be told from a full close, so no further attempt is
+         * made for it, and its open set-ups are answered at once, before our side is closed.
          */
         @Override
         protected void onInputEnded(ChannelHandlerContext ctx) {
-            LOG.debug("viewer says no more: remote={} open={}", channel.remoteAddress(), openSetUps);
+            LOG.debug("viewer closed its output: remote={} open={}", channel.remoteAddress(), openSetUps);
             broker.halfClosed(clock.now(), handle);
             detach();
             outputClosed = true;
-            openConnections.add(this); // until what is written has been read, or for as long as it may linger
+            openConnections.add(this); // until the answers have been read, or the linger timeout ends
             pendingSinceUs = clock.now();
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** Told at once: nothing must go out for a viewer that has left, not even what is to be written in this turn. */
+        /**
+         * Cancels at once instead of in {@link #onClosed}: no attempt may leave for a viewer that has gone, not even
+         * one that is to be written in this turn of the event loop.
+         */
         @Override
         protected void onConnectionBroken() {
             detach();
         }
 
-        /** Counts what was wrong in a message that could be read: a viewer's program does not go on like that. */
-        private void rejectSetUp(String why, HttpStyleMessage m) {
-            LOG.warn("set-up refused: remote={} why={}", channel.remoteAddress(), why);
-            reply(channel, 400, "Bad Request", m);
+        /**
+         * Answers a readable message with 400. A correct client does not keep sending faulty messages, so the
+         * connection is closed after {@link #MAX_FAULTY_MESSAGES}.
+         */
+        private void rejectSetUp(String why, HttpStyleMessage message) {
+            LOG.warn("set-up rejected: remote={} why={}", channel.remoteAddress(), why);
+            reply(channel, 400, "Bad Request", message);
             if (++faultyMessages >= MAX_FAULTY_MESSAGES) {
                 closeAfterAnswers();
             }
         }
 
-        /** The last answer on a connection that can't be read on. */
+        /** Answers with 400 and closes: the rest of the input cannot be split into messages any more. */
         private void rejectMalformed(String why) {
             LOG.warn("viewer's message malformed: remote={} why={}", channel.remoteAddress(), why);
             reply(channel, 400, "Bad Request", null);
             closeAfterAnswers();
         }
 
+        /** Closes a connection on which no set-up is open; what is still unwritten is sent first. */
         private void closeUnused(String why) {
-            LOG.debug("viewer's connection closed: remote={} why={}", channel.remoteAddress(), why);
-            if (!ending
-                    && Net.hasUnwrittenBytes(
-                            channel)) { // a close would throw away what the viewer has not made room for yet
+            LOG.debug("closing viewer's connection: remote={} why={}", channel.remoteAddress(), why);
+            if (!ending && Net.hasUnwrittenBytes(channel)) { // a close would discard bytes that are not sent yet
                 closeAfterAnswers();
                 return;
             }
@@ -298,14 +332,14 @@
         }
 
         /**
-         * Takes nothing more, and writes no more once what is open here has its answers: whatever was wrong with a later
-         * message, they were taken whole. Each has one by its deadline.
+         * Accepts no more input, and closes our output once the open set-ups are answered. They arrived complete,
+         * whatever was wrong with a later message; each is answered by its client deadline.
          */
         private void closeAfterAnswers() {
             if (ending) {
                 return;
             }
-            submitPending(); // they came whole before whatever ends this connection
+            submitPending(); // these arrived complete before whatever ends the connection
             if (ending) {
                 return;
             }
@@ -314,7 +348,7 @@
             channel.config().setAutoRead(true);
             if (!openSetUps.isEmpty()) {
                 LOG.info(
-                        "viewer's connection ends after its answers: remote={} open={}",
+                        "viewer's connection closes once its open set-ups are answered: remote={} open={}",
                         channel.remoteAddress(),
                         openSetUps.size());
             }
@@ -322,8 +356,8 @@
         }
 
         /**
-         * Ends our output and reads on for a while: to close under a sender resets the connection, and the answer may be
-         * lost to that before it is read.
+         * Closes our output if no answer is owed any more, and keeps reading for a while: closing while the viewer
+         * still sends resets the connection, and the viewer may lose the answer before it has read it.
          */
         private void closeOutputOnceAnswered() {
             if (!ending || outputClosed || !openSetUps.isEmpty()) {
@@ -334,7 +368,7 @@
             openConnections.add(this);
             pendingSinceUs = clock.now();
             channel.config().setAutoRead(true);
-            // After what is written already: the end of our output throws away what still waits for the viewer.
+            // Waits for the writes before it, as shutting down the output discards whatever is still queued.
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
                 if (channel instanceof DuplexChannel duplex) {
                     duplex.shutdownOutput();
@@ -344,7 +378,7 @@
             });
         }
 
-        /** Whoever waited here for an answer has it or has left. */
+        /** Removes the connection and cancels what is still open on it: its viewer has its answers or has gone. */
         private void detach() {
             ending = true;
             openConnections.remove(this);
@@ -364,96 +398,105 @@
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             LOG.debug(
-                    "viewer's connection ended: remote={} reset={} open={}",
+                    "viewer's connection closed: remote={} reset={} open={}",
                     ctx.channel().remoteAddress(),
                     reset,
                     openSetUps);
             detach();
         }
 
-        /** An error of our own in one message costs that message, not what others on the connection wait for. */
+        /** An internal error loses the message that caused it, but not the answers to other open set-ups. */
         @Override
         protected void onInternalError(ChannelHandlerContext ctx) {
             closeAfterAnswers();
         }
     }
 
-    private void handleMessage(Connection c, HttpStyleMessage m) throws HttpStyleMessage.MalformedMessageException {
-        Channel ch = c.channel;
-        if (m.startLine().startsWith("RTSP/")) {
-            if ("2".equals(m.header("cseq"))) {
-                broker.endConfirmed(c.handle, m.header("session", ""));
+    private void handleMessage(Connection connection, HttpStyleMessage message)
+            throws HttpStyleMessage.MalformedMessageException {
+        Channel channel = connection.channel;
+        if (message.startLine().startsWith("RTSP/")) {
+            if ("2".equals(message.header("cseq"))) {
+                broker.endConfirmed(connection.handle, message.header("session", ""));
             }
             return;
         }
-        if (!m.startLinePart(2).equals("RTSP/1.0") || !m.startLinePart(1).startsWith("rtsp://")) {
-            throw new HttpStyleMessage.MalformedMessageException("first line is no RTSP request");
+        if (!message.startLinePart(2).equals("RTSP/1.0")
+                || !message.startLinePart(1).startsWith("rtsp://")) {
+            throw new HttpStyleMessage.MalformedMessageException(
+                    "first line is not of the form METHOD rtsp://ADDRESS RTSP/1.0");
         }
-        switch (m.startLinePart(0)) {
-            case "SETUP" -> handleSetUp(c, m);
+        switch (message.startLinePart(0)) {
+            case "SETUP" -> handleSetUp(connection, message);
             case "TEARDOWN" -> {
-                LOG.debug("torn down by its viewer: session={} reason={}", m.header("session"), m.header("reason"));
-                String name = m.header("session", "");
-                broker.trace().add(clock.now(), name, "torn-down", m.header("reason"));
-                if (c.pendingSetUps.remove(name) == null) {
-                    broker.cancel(clock.now(), name);
+                LOG.debug(
+                        "viewer sent TEARDOWN: session={} reason={}",
+                        message.header("session"),
+                        message.header("reason"));
+                String session = message.header("session", "");
+                broker.trace().add(clock.now(), session, "torn-down", message.header("reason"));
+                if (connection.pendingSetUps.remove(session) == null) {
+                    broker.cancel(clock.now(), session);
                 }
-                reply(ch, 200, "OK", m);
+                reply(channel, 200, "OK", message);
             }
-            case "OPTIONS" -> reply(ch, 200, "OK", m);
-            case "ANNOUNCE", "REDIRECT", "SET_PARAMETER" -> {} // want no answer
-            default -> reply(ch, 501, "Not Implemented", m);
+            case "OPTIONS" -> reply(channel, 200, "OK", message);
+            case "ANNOUNCE", "REDIRECT", "SET_PARAMETER" -> {} // need no answer
+            default -> reply(channel, 501, "Not Implemented", message);
         }
     }
 
-    private void handleSetUp(Connection c, HttpStyleMessage m) {
-        SetUpMessage f;
+    private void handleSetUp(Connection connection, HttpStyleMessage message) {
+        SetUpMessage setUp;
         try {
-            f = SetUpMessage.parse(m);
+            setUp = SetUpMessage.parse(message);
         } catch (IllegalArgumentException e) {
-            c.rejectSetUp(e.getMessage(), m);
+            connection.rejectSetUp(e.getMessage(), message);
             return;
         }
-        SessionRequest wish = f.request();
-        boolean untaken = c.pendingSetUps.remove(wish.name()) != null;
-        if (untaken
-                || c.openSetUps.contains(wish.name())) { // no telling any more which of the two an answer would be for
+        SessionRequest request = setUp.request();
+        boolean stillPending = connection.pendingSetUps.remove(request.name()) != null;
+        // Rejects a second set-up for the same session, as an answer could belong to either of the two.
+        if (stillPending || connection.openSetUps.contains(request.name())) {
             LOG.warn(
-                    "viewer's message malformed: remote={} why=two set-ups under one session",
-                    c.channel.remoteAddress());
-            if (!untaken) {
-                broker.cancel(clock.now(), wish.name());
+                    "viewer's message malformed: remote={} why=second set-up for a session whose first is unanswered",
+                    connection.channel.remoteAddress());
+            if (!stillPending) {
+                broker.cancel(clock.now(), request.name());
             }
-            answer(c, wish.name(), 400, "Bad Request", EMPTY_BODY, Map.of());
-            c.closeAfterAnswers();
+            answer(connection, request.name(), 400, "Bad Request", EMPTY_BODY, Map.of());
+            connection.closeAfterAnswers();
             return;
         }
-        if (c.openSetUps.size() + c.pendingSetUps.size() >= MAX_OPEN_SET_UPS) {
-            answer(c, wish.name(), 503, "Service Unavailable", EMPTY_BODY, Map.of());
+        if (connection.openSetUps.size() + connection.pendingSetUps.size() >= MAX_OPEN_SET_UPS) {
+            answer(connection, request.name(), 503, "Service Unavailable", EMPTY_BODY, Map.of());
             return;
         }
-        c.sentSetUp = true;
-        if (f.playingServer() != null) {
-            if (!broker.adoptSession(clock.now(), c.handle, this, servers, wish, f.playingServer())) {
-                c.rejectSetUp("plays nowhere that is known", m);
+        connection.sentSetUp = true;
+        if (setUp.playingServer() != null) {
+            if (!broker.adoptSession(clock.now(), connection.handle, this, servers, request, setUp.playingServer())) {
+                connection.rejectSetUp(
+                        "P-Trunk-Info: at names no known edge server, or another field is out of range", message);
             }
             return;
         }
-        c.pendingSetUps.put(wish.name(), new PendingSetUp(wish, m));
+        connection.pendingSetUps.put(request.name(), new PendingSetUp(request, message));
     }
 
-    private void request(Connection c, PendingSetUp asked) {
-        SessionRequest wish = asked.request();
-        c.openSetUps.add(wish.name());
-        broker.trace().add(clock.now(), wish.name(), "taken", wish.className());
-        LOG.debug("set-up taken: session={} remote={}", wish.name(), c.channel.remoteAddress());
-        if (!broker.request(clock.now(), c.handle, this, servers, wish)) {
-            c.openSetUps.remove(wish.name());
-            c.rejectSetUp("session held already, class unknown, or a figure out of range", asked.message());
+    private void requestSession(Connection connection, PendingSetUp setUp) {
+        SessionRequest request = setUp.request();
+        connection.openSetUps.add(request.name());
+        broker.trace().add(clock.now(), request.name(), "taken", request.className());
+        LOG.debug("set-up accepted: session={} remote={}", request.name(), connection.channel.remoteAddress());
+        if (!broker.request(clock.now(), connection.handle, this, servers, request)) {
+            connection.openSetUps.remove(request.name());
+            connection.rejectSetUp(
+                    "session is in use already, Priority-Class is unknown, or a number is out of range",
+                    setUp.message());
         }
     }
 
-    // ---- From the broker.
+    // ---- Calls from the broker.
 
     @Override
     public void served(long connection, String name, Grant granted) {
@@ -461,25 +504,28 @@
     }
 
     @Override
-    public void refused(long connection, String name, long comeBack) {
-        if (comeBack <= 0) {
+    public void refused(long connection, String name, long retryAfter) {
+        if (retryAfter <= 0) {
             answer(connection, name, 453, "Not Enough Bandwidth", EMPTY_BODY, Map.of());
             return;
         }
-        // Players that know nothing of P-Back-Off know these two (RFC 2326, 11.3.14 and 12.31).
-        Map<String, String> when = new LinkedHashMap<>();
-        when.put("P-Back-Off", Long.toString(comeBack / 1000));
-        long seconds = retryAfterSeconds(comeBack, broker.maxRetryAfter(), random);
+        // Status 503 and Retry-After serve players that do not know P-Back-Off (RFC 2326, 11.3.14 and 12.31).
+        Map<String, String> headers = new LinkedHashMap<>();
+        headers.put("P-Back-Off", Long.toString(retryAfter / 1000));
+        long seconds = retryAfterSeconds(retryAfter, broker.maxRetryAfter(), random);
         if (seconds > 0) {
-            when.put("Retry-After", Long.toString(seconds));
+            headers.put("Retry-After", Long.toString(seconds));
         }
-        answer(connection, name, 503, "Service Unavailable", EMPTY_BODY, when);
+        answer(connection, name, 503, "Service Unavailable", EMPTY_BODY, headers);
     }
 
-    /** Up or down by chance, so that the mean and the spread of many survive; 0 where less than a second may be told. */
-    static long retryAfterSeconds(long micros, long longest, SplittableRandom random) {
-        long up = random.nextLong(1_000_000) < micros % 1_000_000 ? 1 : 0;
-        return Math.min(Math.max(1, micros / 1_000_000 + up), longest / 1_000_000);
+    /**
+     * Rounds microseconds to whole seconds, up or down at random, so that the mean and the spread over many refusals
+     * are preserved. Returns at least 1, but 0 if the settings' maximum, {@code longestMicros}, is under a second.
+     */
+    static long retryAfterSeconds(long micros, long longestMicros, SplittableRandom random) {
+        long carry = random.nextLong(1_000_000) < micros % 1_000_000 ? 1 : 0;
+        return Math.min(Math.max(1, micros / 1_000_000 + carry), longestMicros / 1_000_000);
     }
 
     @Override
@@ -493,7 +539,7 @@
                 Map.of());
     }
 
-    /** A connection that only waited for this answer to end has none to wait for. */
+    /** Closes a connection that was kept open only for the answer to the cancelled request. */
     @Override
     public void requestCancelled(long connection, String name) {
         Connection c = connectionsByHandle.get(connection);
@@ -505,64 +551,74 @@
 
     @Override
     public void sessionEnded(long connection, String name, Outcome outcome) {
-        request(connection, "TEARDOWN", name, "cause=" + (outcome == Outcome.OK ? 16 : 41));
+        sendRequest(connection, "TEARDOWN", name, "cause=" + (outcome == Outcome.OK ? 16 : 41));
     }
 
     @Override
     public void moved(long connection, String name) {
-        request(connection, "REDIRECT", name, null);
+        sendRequest(connection, "REDIRECT", name, null);
     }
 
-    private void answer(long connection, String name, int code, String phrase, byte[] body, Map<String, String> more) {
-        Connection c = connectionsByHandle.get(connection);
-        LOG.debug("set-up answered: session={} code={} connection={}", name, code, c == null ? "gone" : "up");
-        if (c != null) {
-            answer(c, name, code, phrase, body, more);
+    /** Answers a set-up; if its connection has gone, a session just granted is ended, as its viewer can't use it. */
+    private void answer(
+            long handle, String name, int code, String phrase, byte[] body, Map<String, String> extraHeaders) {
+        Connection connection = connectionsByHandle.get(handle);
+        LOG.debug("set-up answered: session={} code={} connection={}", name, code, connection == null ? "gone" : "up");
+        if (connection != null) {
+            answer(connection, name, code, phrase, body, extraHeaders);
         } else if (code == 200) {
             broker.answerUndelivered(clock.now(), name);
         }
     }
 
-    private void answer(Connection c, String name, int code, String phrase, byte[] body, Map<String, String> more) {
-        c.openSetUps.remove(name);
-        c.lastUsedUs = clock.now();
-        broker.trace().add(c.lastUsedUs, name, "answered", phrase);
+    private void answer(
+            Connection connection,
+            String name,
+            int code,
+            String phrase,
+            byte[] body,
+            Map<String, String> extraHeaders) {
+        connection.openSetUps.remove(name);
+        connection.lastUsedUs = clock.now();
+        broker.trace().add(connection.lastUsedUs, name, "answered", phrase);
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "1");
         headers.put("Session", name);
-        headers.putAll(more);
-        c.channel
+        headers.putAll(extraHeaders);
+        connection
+                .channel
                 .writeAndFlush(Net.toByteBuf(HttpStyleMessage.encode("RTSP/1.0 " + code + " " + phrase, headers, body)))
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        broker.trace().logFailure(name, "answer not written");
+                        broker.trace().logFailure(name, "answer could not be written to the viewer's connection");
                         if (code == 200) {
                             broker.answerUndelivered(clock.now(), name);
                         }
                     }
                 });
-        c.closeOutputOnceAnswered();
+        connection.closeOutputOnceAnswered();
     }
 
-    private void request(long connection, String method, String name, String reason) {
-        Connection c = connectionsByHandle.get(connection);
-        if (c == null) {
+    /** Sends a request about a session to its viewer; does nothing if the connection has gone. */
+    private void sendRequest(long handle, String method, String name, String reason) {
+        Connection connection = connectionsByHandle.get(handle);
+        if (connection == null) {
             return;
         }
-        LOG.debug("told: method={} session={} reason={}", method, name, reason);
-        c.lastUsedUs = clock.now();
+        LOG.debug("request sent to viewer: method={} session={} reason={}", method, name, reason);
+        connection.lastUsedUs = clock.now();
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", method.equals("TEARDOWN") ? "2" : "4");
         headers.put("Session", name);
         if (reason != null) {
             headers.put("Reason", reason);
         }
-        c.channel.writeAndFlush(Net.toByteBuf(
+        connection.channel.writeAndFlush(Net.toByteBuf(
                 HttpStyleMessage.encode(method + " rtsp://media/" + name + " RTSP/1.0", headers, EMPTY_BODY)));
     }
 
-    /** Answers a request of the viewer's at once, with its own CSeq and session. */
-    private static void reply(Channel ch, int code, String phrase, HttpStyleMessage to) {
+    /** Answers the request {@code to} with its own CSeq and Session headers; null if the request is unreadable. */
+    private static void reply(Channel channel, int code, String phrase, HttpStyleMessage to) {
         Map<String, String> headers = new LinkedHashMap<>();
         if (to != null) {
             for (String name : List.of("CSeq", "Session")) {
@@ -572,7 +628,7 @@
                 }
             }
         }
-        ch.writeAndFlush(
+        channel.writeAndFlush(
                 Net.toByteBuf(HttpStyleMessage.encode("RTSP/1.0 " + code + " " + phrase, headers, EMPTY_BODY)));
     }
 }
--- a/src/main/java/dockshed/rtsp/SetUpMessage.java
+++ b/src/main/java/dockshed/rtsp/SetUpMessage.java
@@ -9,89 +9,98 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** What a viewer's SETUP says. {@code at}: the server where the session plays already, or null. */
+/**
+ * The parsed contents of a viewer's SETUP.
+ *
+ * @param request the session asked for
+ * @param playingServer the edge server where the session plays already, or null for a new session
+ */
 record SetUpMessage(SessionRequest request, String playingServer) {
     private static final String MEDIA_URI_PREFIX = "rtsp://media/";
     private static final Pattern TITLE_PATTERN = Pattern.compile("[!-~]{1,256}");
     private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,6}");
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
 
-    /** Throws IllegalArgumentException where something is missing or no number. */
-    static SetUpMessage parse(HttpStyleMessage m) {
-        String session = m.header("session", "");
-        if (session.length() != 16 || !session.chars().allMatch(c -> Character.digit(c, 16) >= 0)) {
-            throw new IllegalArgumentException("Session is not 16 hex digits");
+    /** Throws IllegalArgumentException, naming the header or field, if one is missing or malformed. */
+    static SetUpMessage parse(HttpStyleMessage message) {
+        String session = message.header("session", "");
+        if (session.length() != 16 || !session.chars().allMatch(digit -> Character.digit(digit, 16) >= 0)) {
+            throw new IllegalArgumentException("Session: expected 16 hex digits");
         }
-        if (!m.startLinePart(1).startsWith(MEDIA_URI_PREFIX)) {
-            throw new IllegalArgumentException("address names no title");
+        if (!message.startLinePart(1).startsWith(MEDIA_URI_PREFIX)) {
+            throw new IllegalArgumentException("request address: expected rtsp://media/TITLE");
         }
-        String title = m.startLinePart(1).substring(MEDIA_URI_PREFIX.length());
+        String title = message.startLinePart(1).substring(MEDIA_URI_PREFIX.length());
         if (!TITLE_PATTERN.matcher(title).matches()) {
-            throw new IllegalArgumentException("title is no word");
+            throw new IllegalArgumentException(
+                    "title in the request address: expected 1 to 256 printable ASCII characters without spaces");
         }
-        Map<String, String> info = parsePairs(m.header("p-trunk-info", ""));
-        SessionRequest wish = new SessionRequest(
+        Map<String, String> info = parsePairs(message.header("p-trunk-info", ""));
+        SessionRequest request = new SessionRequest(
                 session,
-                m.header("priority-class", ""),
+                message.header("priority-class", ""),
                 info.getOrDefault("viewer", ""),
                 title,
-                microsFromMillis(m, "expires-ms"),
-                microsFromMillis(m, "expected-ms"),
+                microsFromMillis(message, "expires-ms"),
+                microsFromMillis(message, "expected-ms"),
                 integer(info, "home"),
                 integer(info, "copies"),
                 integer(info, "top"),
-                m.header("p-repeat", "0").equals("1"),
+                message.header("p-repeat", "0").equals("1"),
                 "1".equals(info.get("moved")),
                 "1".equals(info.get("again")),
-                description(m));
-        String at = info.get("at");
-        if (at == null && wish.clientDeadline() <= 0) {
-            throw new IllegalArgumentException("Expires-Ms is missing");
+                description(message));
+        String playingServer = info.get("at");
+        if (playingServer == null && request.clientDeadline() <= 0) {
+            throw new IllegalArgumentException("Expires-Ms: expected a time above 0, as P-Trunk-Info has no field at");
         }
-        return new SetUpMessage(wish, at);
+        return new SetUpMessage(request, playingServer);
     }
 
-    /** The description as text; one that is cut, or no text, is of no use to an edge server. */
-    private static String description(HttpStyleMessage m) {
+    /** Returns the body as text; one that is truncated or not text cannot be passed to an edge server. */
+    private static String description(HttpStyleMessage message) {
         String text;
         try {
             text = StandardCharsets.UTF_8
                     .newDecoder()
-                    .decode(ByteBuffer.wrap(m.body()))
+                    .decode(ByteBuffer.wrap(message.body()))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new IllegalArgumentException("description is no text");
+            throw new IllegalArgumentException("description: expected UTF-8 text");
         }
         if (!text.endsWith("\n")) {
-            throw new IllegalArgumentException("description is cut off");
+            throw new IllegalArgumentException("description truncated: expected a line feed at its end");
         }
         if (text.chars().anyMatch(c -> c < ' ' && c != '\r' && c != '\n' && c != '\t')) {
-            throw new IllegalArgumentException("description with control characters");
+            throw new IllegalArgumentException(
+                    "description: control characters other than CR, LF and TAB are not allowed");
         }
         return text;
     }
 
+    /** Parses {@code key:value;key:value}; parts without a key and a colon are ignored. */
     private static Map<String, String> parsePairs(String list) {
-        Map<String, String> out = new HashMap<>();
+        Map<String, String> pairs = new HashMap<>();
         for (String pair : list.split(";")) {
             int colon = pair.indexOf(':');
             if (colon > 0) {
-                out.put(
+                pairs.put(
                         pair.substring(0, colon).strip(),
                         pair.substring(colon + 1).strip());
             }
         }
-        return out;
+        return pairs;
     }
 
-    private static long microsFromMillis(HttpStyleMessage m, String header) {
-        String value = m.header(header);
+    /** Converts a header in milliseconds to microseconds; 0 if it is absent. */
+    private static long microsFromMillis(HttpStyleMessage message, String header) {
+        String value = message.header(header);
         if (value == null) {
             return 0;
         }
         double millis = number(value, header);
         if (!(millis >= 0 && millis < 1e12)) {
-            throw new IllegalArgumentException(header + " is out of range");
+            throw new IllegalArgumentException(header + " is out of range: expected at least 0 and under 1e12 ms");
         }
         return Math.round(millis * 1000);
     }
@@ -99,14 +108,15 @@
     private static int integer(Map<String, String> info, String key) {
         String value = info.get(key);
         if (value != null && !WHOLE_NUMBER.matcher(value).matches()) {
-            throw new IllegalArgumentException(key + " is no whole number in range");
+            throw new IllegalArgumentException(key + ": expected a whole number of 1 to 6 digits");
         }
         return value == null ? 0 : Integer.parseInt(value);
     }
 
-    private static double number(String value, String what) {
-        if (!DECIMAL_NUMBER.matcher(value).matches()) { // Java's own forms, such as 0x1p3 or 5d, are nobody else's
-            throw new IllegalArgumentException(what + " is no number");
+    private static double number(String value, String header) {
+        if (!DECIMAL_NUMBER.matcher(value).matches()) { // parseDouble alone would accept 0x1p3 or 5d, too
+            throw new IllegalArgumentException(
+                    header + ": expected a decimal number of at most 15 digits before and after the point");
         }
         return Double.parseDouble(value);
     }
--- a/src/main/java/dockshed/rtsp/package-info.java
+++ b/src/main/java/dockshed/rtsp/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The RTSP front: client connections, requests and answers. It owns no rule; the core decides.
+ * The RTSP front: viewers' connections, their requests and the answers. It takes no decisions; the core does.
  */
 package dockshed.rtsp;
