--- a/src/main/java/dockshed/hls/HlsEdgeServers.java
+++ b/src/main/java/dockshed/hls/HlsEdgeServers.java
@@ -20,99 +20,122 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The lesson boxes as HLS servers. An attempt is the fetch of a title's multivariant playlist; whatever is no usable
- * playlist may have been a set-up all the same, and only a connection that never came up proves that nothing ran.
+ * Adapter for edge servers that serve HLS over HTTP. An attempt is the fetch of a title's multivariant playlist. An
+ * answer without a usable playlist may have set the session up all the same; only a connection that was never
+ * established proves that the attempt did not run.
  */
 public final class HlsEdgeServers implements ServerAdapter {
+    /** Longest response with a playlist that is accepted, in bytes. */
     static final int MAX_PLAYLIST_BYTES = 1 << 20;
+
     private static final Logger LOG = LoggerFactory.getLogger("dockshed.hls.Origins");
 
     private final Broker broker;
     private final Net net;
     private final Clock clock;
     private final int connectTimeoutMs;
-    private final LoadReporter loads;
-    private final Map<String, InetSocketAddress> setAddresses = new HashMap<>();
-    private final Map<String, HttpFetch> setUpFetches = new HashMap<>();
+    private final LoadReporter loadReporter;
+    private final Map<String, InetSocketAddress> addresses = new HashMap<>();
+    private final Map<String, HttpFetch> setUpFetches = new HashMap<>(); // by session name, until answered or cancelled
 
-    public HlsEdgeServers(Broker broker, Net net, Clock clock, int connectMillis, LoadReporter loads) {
-        this.loads = loads;
+    public HlsEdgeServers(Broker broker, Net net, Clock clock, int connectTimeoutMs, LoadReporter loadReporter) {
+        this.loadReporter = loadReporter;
         this.broker = broker;
         this.net = net;
         this.clock = clock;
-        this.connectTimeoutMs = connectMillis;
+        this.connectTimeoutMs = connectTimeoutMs;
     }
 
-    public void setAddresses(Map<String, InetSocketAddress> listed) {
-        setAddresses.clear();
-        setAddresses.putAll(listed);
+    /** Replaces the list of edge servers; set-ups for a server that is not on it are reported as not sent. */
+    public void setAddresses(Map<String, InetSocketAddress> addressesById) {
+        addresses.clear();
+        addresses.putAll(addressesById);
     }
 
+    /** The path of a title's multivariant playlist on every edge server. */
     static String multivariantPlaylistPath(String title) {
         return "/lessons/" + URLEncoder.encode(title, StandardCharsets.UTF_8).replace("+", "%20") + "/master.m3u8";
     }
 
+    /** The URI of a path on a server, or null if the server is not on the list. */
     URI serverUri(String server, String path) {
-        InetSocketAddress at = setAddresses.get(server);
-        return at == null ? null : URI.create("http://" + at.getHostString() + ":" + at.getPort() + path);
+        InetSocketAddress address = addresses.get(server);
+        return address == null
+                ? null
+                : URI.create("http://" + address.getHostString() + ":" + address.getPort() + path);
     }
 
     @Override
-    public void setUp(String server, SetUp s) {
-        InetSocketAddress at = setAddresses.get(server);
-        if (at == null) {
-            broker.ended(clock.now(), server, s.name(), Outcome.MOOT, LoadReport.NONE);
+    public void setUp(String server, SetUp setUp) {
+        InetSocketAddress address = addresses.get(server);
+        if (address == null) {
+            broker.ended(clock.now(), server, setUp.name(), Outcome.MOOT, LoadReport.NONE);
             return;
         }
         Map<String, String> headers = Map.of(
-                "Priority-Class", s.className(), "Session", s.name(), "Rung", Integer.toString(s.highestRendition()));
+                "Priority-Class",
+                setUp.className(),
+                "Session",
+                setUp.name(),
+                "Rung",
+                Integer.toString(setUp.highestRendition()));
         setUpFetches.put(
-                s.name(),
+                setUp.name(),
                 HttpFetch.get(
                         net,
-                        at,
-                        multivariantPlaylistPath(s.title()),
+                        address,
+                        multivariantPlaylistPath(setUp.title()),
                         headers,
                         connectTimeoutMs,
                         MAX_PLAYLIST_BYTES,
                         new HttpFetch.Listener() {
                             @Override
-                            public void onResponse(HttpStyleMessage answer) {
-                                setUpFetches.remove(s.name());
+                            public void onResponse(HttpStyleMessage response) {
+                                setUpFetches.remove(setUp.name());
                                 try {
-                                    if (answer.status() != 200) {
-                                        throw new Playlists.UnusablePlaylistException("status " + answer.status());
+                                    if (response.status() != 200) {
+                                        throw new Playlists.UnusablePlaylistException(
+                                                "HTTP status " + response.status());
                                     }
-                                    Playlists.MultivariantPlaylist list =
-                                            Playlists.MultivariantPlaylist.parse(answer.bodyText());
-                                    if (!list.hasVariant(s.lowestRendition(), s.highestRendition())) {
-                                        throw new Playlists.UnusablePlaylistException("no variant from rung "
-                                                + s.lowestRendition() + " to " + s.highestRendition());
+                                    Playlists.MultivariantPlaylist playlist =
+                                            Playlists.MultivariantPlaylist.parse(response.bodyText());
+                                    if (!playlist.hasVariant(setUp.lowestRendition(), setUp.highestRendition())) {
+                                        throw new Playlists.UnusablePlaylistException("no variant from rendition "
+                                                + setUp.lowestRendition() + " to " + setUp.highestRendition());
                                     }
-                                    loads.loadHeaderReceived(clock.now(), server, answer.header(OrcaReport.HEADER));
-                                    broker.setUpAnswered(clock.now(), server, s.name(), answer.bodyText());
-                                    if (broker.isActive(s.name())) { // its front may have ended it at once
-                                        loads.sessionStarted(
-                                                clock.now(), server, s.name(), s.className(), s.highestRendition());
+                                    loadReporter.loadHeaderReceived(
+                                            clock.now(), server, response.header(OrcaReport.HEADER));
+                                    broker.setUpAnswered(clock.now(), server, setUp.name(), response.bodyText());
+                                    if (broker.isActive(setUp.name())) { // the front may have ended it at once
+                                        loadReporter.sessionStarted(
+                                                clock.now(),
+                                                server,
+                                                setUp.name(),
+                                                setUp.className(),
+                                                setUp.highestRendition());
                                     }
                                 } catch (Playlists.UnusablePlaylistException e) {
                                     LOG.warn(
-                                            "playlist of no use: server={} title={} why={}",
+                                            "multivariant playlist unusable: server={} title={} why={}",
                                             server,
-                                            s.title(),
+                                            setUp.title(),
                                             e.getMessage());
-                                    broker.ended(clock.now(), server, s.name(), Outcome.ERROR, LoadReport.NONE);
+                                    broker.ended(clock.now(), server, setUp.name(), Outcome.ERROR, LoadReport.NONE);
                                 }
                             }
 
                             @Override
                             public void onFailure(boolean ran, String why) {
-                                setUpFetches.remove(s.name());
-                                LOG.info("playlist not fetched: server={} title={} why={}", server, s.title(), why);
+                                setUpFetches.remove(setUp.name());
+                                LOG.info(
+                                        "multivariant playlist not fetched: server={} title={} why={}",
+                                        server,
+                                        setUp.title(),
+                                        why);
                                 broker.ended(
                                         clock.now(),
                                         server,
-                                        s.name(),
+                                        setUp.name(),
                                         ran ? Outcome.RESET : Outcome.CONNECT_FAILED,
                                         LoadReport.NONE);
                             }
@@ -121,38 +144,38 @@
 
     @Override
     public void cancelSetUp(String server, String name) {
-        HttpFetch f = setUpFetches.remove(name);
-        if (f != null) {
-            f.cancel();
+        HttpFetch fetch = setUpFetches.remove(name);
+        if (fetch != null) {
+            fetch.cancel();
         }
     }
 
-    /** Boxes hold nothing for an HLS session that could be let go: what counts is that nobody fetches any more. */
+    /** Does nothing: an edge server holds no state of an HLS session, which is over once nobody fetches any more. */
     @Override
     public void release(String server, String name) {}
 
-    /** The rung takes hold in the front, with the session's next fetch. */
+    /** Only updates the load estimate; the front applies the rendition at the session's next fetch. */
     @Override
-    public void setRendition(String server, String name, int rung) {
-        loads.renditionChanged(clock.now(), name, rung);
+    public void setRendition(String server, String name, int rendition) {
+        loadReporter.renditionChanged(clock.now(), name, rendition);
     }
 
     @Override
     public void sessionEnded(String server, String name) {
-        loads.sessionEnded(clock.now(), name);
+        loadReporter.sessionEnded(clock.now(), name);
     }
 
-    /** There is no connection to keep: each fetch has its own. */
+    /** Does nothing: there is no connection to keep open, as each fetch has its own. */
     @Override
     public void setHasActiveSessions(String server, boolean sessions) {}
 
-    /** Fetches a media playlist for a session that stands. */
+    /** Fetches a media playlist for an active session; the server must be on the list. */
     HttpFetch fetchMediaPlaylist(String server, String path, HttpFetch.Listener listener) {
-        HttpFetch.Listener heard = new HttpFetch.Listener() {
+        HttpFetch.Listener loadReportingListener = new HttpFetch.Listener() {
             @Override
-            public void onResponse(HttpStyleMessage answer) {
-                loads.loadHeaderReceived(clock.now(), server, answer.header(OrcaReport.HEADER));
-                listener.onResponse(answer);
+            public void onResponse(HttpStyleMessage response) {
+                loadReporter.loadHeaderReceived(clock.now(), server, response.header(OrcaReport.HEADER));
+                listener.onResponse(response);
             }
 
             @Override
@@ -161,6 +184,12 @@
             }
         };
         return HttpFetch.get(
-                net, setAddresses.get(server), path, Map.of(), connectTimeoutMs, MAX_PLAYLIST_BYTES, heard);
+                net,
+                addresses.get(server),
+                path,
+                Map.of(),
+                connectTimeoutMs,
+                MAX_PLAYLIST_BYTES,
+                loadReportingListener);
     }
 }
--- a/src/main/java/dockshed/hls/HlsFront.java
+++ b/src/main/java/dockshed/hls/HlsFront.java
@@ -33,18 +33,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Viewers that fetch HLS playlists. The GET of a lesson's multivariant playlist asks the broker for a session; its
- * answer is the box's playlist rewritten for that session, and every later fetch goes by the session's own addresses.
- * Admission, attempts and drains are the broker's; what is kept here is the text a session has been given.
+ * Front for viewers that fetch HLS playlists. The GET of a lesson's multivariant playlist asks the broker for a
+ * session; the response is the edge server's playlist rewritten for that session, and all later fetches use addresses
+ * that belong to the session. Admission, attempts and drains are the broker's; this class keeps only what a session
+ * was given. Runs on the event loop's thread only.
  */
 public final class HlsFront implements Front {
+    /** Longest request in bytes, headers and body together. */
     static final int MAX_REQUEST_BYTES = 16 * 1024;
-    /** A connection with nothing in hand is closed after this. */
+    /** A connection without a request in progress is closed after this time. */
     static final long IDLE_CONNECTION_TIMEOUT_US = 30_000_000;
-    /** Requests of one connection that may wait for the one in hand. */
+    /** Requests of one connection that may wait while an earlier one is answered. */
     private static final int MAX_PIPELINED_REQUESTS = 32;
 
+    /** Ended sessions remembered, so that fetches for them get 410 instead of 404. */
     private static final int MAX_ENDED_SESSIONS = 1000;
+
     private static final String LESSONS_PATH = "/lessons/";
     private static final String SESSIONS_PATH = "/sessions/";
     private static final String MASTER_PLAYLIST_SUFFIX = "/master.m3u8";
@@ -52,82 +56,90 @@
     private static final Logger LOG = LoggerFactory.getLogger(HlsFront.class);
 
     private final Broker broker;
-    private final HlsEdgeServers origins;
+    private final HlsEdgeServers edgeServers;
     private final Clock clock;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final Map<String, SessionClass> classes = new HashMap<>();
     private final int cells;
     private final long idleTimeoutUs;
     private final int maxConnections;
     private final Random random;
     private final Map<String, Session> sessions = new HashMap<>();
-    private final Map<String, Session> sessionsByViewer = new HashMap<>();
-    private final LinkedHashMap<String, Boolean> endedSessions = new LinkedHashMap<>(); // the latest, to say 410
+    private final Map<String, Session> sessionsByViewer = new HashMap<>(); // by Session.viewerKey
+    private final LinkedHashMap<String, Boolean> endedSessions = new LinkedHashMap<>(); // names, oldest first
     private int connections;
 
-    /** {@code idle}: microseconds after the playing time of what was fetched, without a fetch, that end a session. */
+    /**
+     * Creates the front; {@link #accept} supplies the handlers for its connections.
+     *
+     * @param idleTimeoutUs microseconds from the end of the last fetched playlist's playing time until the session is
+     *     ended if there was no other fetch
+     * @param maxConnections open connections above which new ones are closed
+     * @param seed for the names of sessions
+     */
     public HlsFront(
             Broker broker,
-            HlsEdgeServers origins,
+            HlsEdgeServers edgeServers,
             Clock clock,
-            TimerQueue deadlines,
+            TimerQueue timers,
             Settings settings,
-            long idle,
-            int mostConnections,
+            long idleTimeoutUs,
+            int maxConnections,
             long seed) {
         this.broker = broker;
-        this.origins = origins;
+        this.edgeServers = edgeServers;
         this.clock = clock;
-        this.deadlines = deadlines;
-        this.idleTimeoutUs = idle;
-        this.maxConnections = mostConnections;
-        settings.classes().forEach(c -> classes.put(c.name(), c));
+        this.timers = timers;
+        this.idleTimeoutUs = idleTimeoutUs;
+        this.maxConnections = maxConnections;
+        settings.classes().forEach(sessionClass -> classes.put(sessionClass.name(), sessionClass));
         cells = settings.ladder().cells();
         random = new Random(seed);
     }
 
-    /** A viewer's session, from its request on. */
+    /** A viewer's session, from its request until it has ended. */
     private static final class Session {
         final String name;
-        final String viewerKey;
+        final String viewerKey; // class, title and viewer, separated by line feeds
         final URI playlistPath;
-        final List<Exchange> pendingExchanges = new ArrayList<>();
-        final Map<Integer, String> cachedMediaPlaylists = new HashMap<>(); // media playlists as last given
+        final List<Exchange> pendingExchanges = new ArrayList<>(); // requests that wait for the session
+        final Map<Integer, String> cachedMediaPlaylists = new HashMap<>(); // as last sent, by number
         String server;
-        MultivariantPlaylist multivariant; // null: not answered yet
+        MultivariantPlaylist multivariant; // null until the set-up is answered
         URI baseUri;
         int lowestRendition;
         int grantedRendition;
-        long activeUntilUs; // until when it is not idle
+        long activeUntilUs; // when it counts as idle unless there is another fetch
 
-        Session(String name, String viewerKey, URI path) {
+        Session(String name, String viewerKey, URI playlistPath) {
             this.name = name;
             this.viewerKey = viewerKey;
-            this.playlistPath = path;
+            this.playlistPath = playlistPath;
         }
     }
 
     // ---- Connections.
 
+    /** Returns the handler for a newly accepted connection. */
     public ByteHandler accept() {
         return new Connection();
     }
 
-    /** One request and the connection that owes its answer. */
+    /** A request that awaits its response, which is written to its connection. */
     private final class Exchange {
         private final Connection connection;
-        private final boolean closeAfter;
+        private final boolean closeAfter; // the connection is closed after this response
 
-        Exchange(Connection connection, boolean last) {
+        Exchange(Connection connection, boolean closeAfter) {
             this.connection = connection;
-            this.closeAfter = last;
+            this.closeAfter = closeAfter;
         }
 
-        void answer(int code, String phrase, String type, String body, Map<String, String> more) {
+        void answer(int code, String phrase, String contentType, String body, Map<String, String> extraHeaders) {
             Map<String, String> headers = new LinkedHashMap<>();
-            headers.put("Content-Type", type);
+            headers.put("Content-Type", contentType);
             headers.put("Cache-Control", "no-store");
-            headers.putAll(more);
+            headers.putAll(extraHeaders);
             if (closeAfter) {
                 headers.put("Connection", "close");
             }
@@ -146,6 +158,7 @@
         }
     }
 
+    /** A viewer's connection; its requests are answered one after the other. */
     private final class Connection extends ByteHandler {
         private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_REQUEST_BYTES);
         private final ArrayDeque<HttpStyleMessage> requestQueue = new ArrayDeque<>();
@@ -160,7 +173,7 @@
             lastUsedUs = clock.now();
             scheduleIdleCheck();
             if (++connections > maxConnections) {
-                LOG.warn("HLS connection turned away: open={}", connections);
+                LOG.warn("HLS connection refused at the connection limit: open={}", connections);
                 ctx.close();
             }
         }
@@ -172,22 +185,23 @@
             }
             decoder.add(bytes, 0, bytes.length);
             try {
-                for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
-                    requestQueue.add(m);
+                for (HttpStyleMessage request = decoder.next(); request != null; request = decoder.next()) {
+                    requestQueue.add(request);
                     if (requestQueue.size() > MAX_PIPELINED_REQUESTS) {
-                        throw new HttpStyleMessage.MalformedMessageException("too many requests at once");
+                        throw new HttpStyleMessage.MalformedMessageException("too many pipelined requests");
                     }
                 }
             } catch (HttpStyleMessage.MalformedMessageException e) {
                 LOG.warn("HLS request malformed: remote={} why={}", channel.remoteAddress(), e.getMessage());
                 closing = true;
-                requestQueue.add(new HttpStyleMessage("", Map.of(), new byte[0])); // answered in its turn
+                // An empty request, which is answered with 400 after the requests before it.
+                requestQueue.add(new HttpStyleMessage("", Map.of(), new byte[0]));
             }
             processNext();
         }
 
         private void scheduleIdleCheck() {
-            deadlines.schedule(lastUsedUs + IDLE_CONNECTION_TIMEOUT_US, t -> {
+            timers.schedule(lastUsedUs + IDLE_CONNECTION_TIMEOUT_US, dueAt -> {
                 if (!closing && !answering && clock.now() - lastUsedUs >= IDLE_CONNECTION_TIMEOUT_US) {
                     channel.close();
                 } else if (!closing) {
@@ -198,24 +212,24 @@
         }
 
         private void processNext() {
-            HttpStyleMessage m = answering ? null : requestQueue.poll();
-            if (m == null) {
+            HttpStyleMessage request = answering ? null : requestQueue.poll();
+            if (request == null) {
                 return;
             }
             answering = true;
             lastUsedUs = clock.now();
-            boolean last = "close".equalsIgnoreCase(m.header("connection"))
-                    || m.startLinePart(2).equals("HTTP/1.0")
+            boolean closeAfter = "close".equalsIgnoreCase(request.header("connection"))
+                    || request.startLinePart(2).equals("HTTP/1.0")
                     || closing && requestQueue.isEmpty();
-            handleRequest(new Exchange(this, last), m);
+            handleRequest(new Exchange(this, closeAfter), request);
         }
 
-        private void write(byte[] bytes, boolean last) {
+        private void write(byte[] bytes, boolean closeAfter) {
             answering = false;
             lastUsedUs = clock.now();
-            var done = channel.writeAndFlush(Net.toByteBuf(bytes));
-            if (last) {
-                done.addListener(ChannelFutureListener.CLOSE);
+            var written = channel.writeAndFlush(Net.toByteBuf(bytes));
+            if (closeAfter) {
+                written.addListener(ChannelFutureListener.CLOSE);
                 closing = true;
                 requestQueue.clear();
             } else {
@@ -235,110 +249,120 @@
     // ---- Requests.
 
     /**
-     * Sessions that nobody waits for any more, as this connection has closed, are not asked for any further. A paid one goes
-     * on: a player that comes back finds it, instead of paying again.
+     * Cancels the requests for sessions that only the closed connection was waiting for. A request whose class is not
+     * safe to repeat, such as a paid one, goes on, so that a player that comes back finds its session instead of paying
+     * again.
      */
-    private void cancelAbandoned(Connection gone) {
-        for (Session s : List.copyOf(sessions.values())) {
-            if (s.multivariant == null
-                    && s.pendingExchanges.removeIf(x -> x.connection == gone)
-                    && s.pendingExchanges.isEmpty()
-                    && classOf(s).effect() == Effect.SAFE) {
-                forget(s);
-                broker.cancel(clock.now(), s.name);
+    private void cancelAbandoned(Connection closed) {
+        for (Session session : List.copyOf(sessions.values())) {
+            if (session.multivariant == null
+                    && session.pendingExchanges.removeIf(exchange -> exchange.connection == closed)
+                    && session.pendingExchanges.isEmpty()
+                    && classOf(session).effect() == Effect.SAFE) {
+                forget(session);
+                broker.cancel(clock.now(), session.name);
             }
         }
     }
 
-    private void handleRequest(Exchange x, HttpStyleMessage m) {
+    private void handleRequest(Exchange exchange, HttpStyleMessage request) {
         try {
-            URI target = new URI(m.startLinePart(1));
+            URI target = new URI(request.startLinePart(1));
             String path = target.getRawPath();
-            if (path == null || !path.startsWith("/") || !m.startLinePart(2).startsWith("HTTP/1.")) {
-                throw new IllegalArgumentException("no HTTP request");
+            if (path == null
+                    || !path.startsWith("/")
+                    || !request.startLinePart(2).startsWith("HTTP/1.")) {
+                throw new IllegalArgumentException("not an HTTP request: expected METHOD /PATH HTTP/1.x");
             }
-            if (!m.startLinePart(0).equals("GET") && !m.startLinePart(0).equals("DELETE")) {
-                x.answer(405, "Method Not Allowed", "text/plain", "", Map.of("Allow", "GET, DELETE"));
+            if (!request.startLinePart(0).equals("GET")
+                    && !request.startLinePart(0).equals("DELETE")) {
+                exchange.answer(405, "Method Not Allowed", "text/plain", "", Map.of("Allow", "GET, DELETE"));
             } else if (path.startsWith(LESSONS_PATH)
                     && path.endsWith(MASTER_PLAYLIST_SUFFIX)
-                    && m.startLinePart(0).equals("GET")) {
+                    && request.startLinePart(0).equals("GET")) {
                 handleLessonRequest(
-                        x,
+                        exchange,
                         target,
                         path.substring(LESSONS_PATH.length(), path.length() - MASTER_PLAYLIST_SUFFIX.length()));
             } else if (path.startsWith(SESSIONS_PATH)) {
-                handleSessionRequest(x, m.startLinePart(0).equals("DELETE"), path.substring(SESSIONS_PATH.length()));
+                handleSessionRequest(
+                        exchange, request.startLinePart(0).equals("DELETE"), path.substring(SESSIONS_PATH.length()));
             } else {
-                x.answerError(404, "Not Found");
+                exchange.answerError(404, "Not Found");
             }
         } catch (java.net.URISyntaxException | IllegalArgumentException e) {
             LOG.info("HLS request refused: why={}", e.getMessage());
-            x.answerError(400, "Bad Request");
+            exchange.answerError(400, "Bad Request");
         }
     }
 
-    /** A viewer wants a lesson; one who has it, or waits for it, is given the same session again. */
-    private void handleLessonRequest(Exchange x, URI target, String rawTitle) {
+    /**
+     * Requests a session for a lesson. A viewer that already has one for this lesson and class, or waits for one,
+     * gets the same session again.
+     */
+    private void handleLessonRequest(Exchange exchange, URI target, String rawTitle) {
         String title = URLDecoder.decode(rawTitle.replace("+", "%2B"), StandardCharsets.UTF_8);
         Map<String, String> query = parseQuery(target.getRawQuery());
         String viewer = query.getOrDefault("viewer", "");
-        SessionClass cls = classes.get(query.getOrDefault("class", ""));
-        if (title.isEmpty() || viewer.isEmpty() || cls == null) {
-            throw new IllegalArgumentException("title, viewer or class is missing or unknown");
-        }
-        String key = cls.name() + '\n' + title + '\n' + viewer;
-        Session held = sessionsByViewer.get(key);
-        if (held != null && held.multivariant != null) {
-            answerMultivariantPlaylist(x, held);
+        SessionClass sessionClass = classes.get(query.getOrDefault("class", ""));
+        if (title.isEmpty() || viewer.isEmpty() || sessionClass == null) {
+            throw new IllegalArgumentException(
+                    "title or query parameter viewer is missing, or class is missing or unknown");
+        }
+        String key = sessionClass.name() + '\n' + title + '\n' + viewer;
+        Session existing = sessionsByViewer.get(key);
+        if (existing != null && existing.multivariant != null) {
+            answerMultivariantPlaylist(exchange, existing);
             return;
         }
-        if (held != null) {
-            held.pendingExchanges.add(x);
+        if (existing != null) {
+            existing.pendingExchanges.add(exchange);
             return;
         }
-        long patience = Math.min(cls.deadline(), microsFromMillis(query, "expires_ms", cls.deadline()));
-        if (patience <= 0) {
-            throw new IllegalArgumentException("expires_ms is not above 0");
+        long clientDeadline =
+                Math.min(sessionClass.deadline(), microsFromMillis(query, "expires_ms", sessionClass.deadline()));
+        if (clientDeadline <= 0) {
+            throw new IllegalArgumentException("expires_ms: expected a time above 0");
         }
         String name;
         do {
             name = String.format("%016x", random.nextLong());
         } while (sessions.containsKey(name));
-        Session s = new Session(name, key, URI.create(HlsEdgeServers.multivariantPlaylistPath(title)));
-        s.pendingExchanges.add(x);
-        sessions.put(name, s);
-        sessionsByViewer.put(key, s);
-        SessionRequest wish = new SessionRequest(
+        Session session = new Session(name, key, URI.create(HlsEdgeServers.multivariantPlaylistPath(title)));
+        session.pendingExchanges.add(exchange);
+        sessions.put(name, session);
+        sessionsByViewer.put(key, session);
+        SessionRequest request = new SessionRequest(
                 name,
-                cls.name(),
+                sessionClass.name(),
                 viewer,
                 title,
-                patience,
+                clientDeadline,
                 microsFromMillis(query, "expected_ms", 0),
                 (int) wholeNumber(query, "home", 0),
                 (int) wholeNumber(query, "copies", cells),
-                (int) wholeNumber(query, "top", cls.top()),
+                (int) wholeNumber(query, "top", sessionClass.top()),
                 "1".equals(query.get("repeat")),
                 false,
                 "1".equals(query.get("again")),
                 "");
-        if (!broker.request(clock.now(), 0, this, origins, wish)) {
-            forget(s);
-            x.answerError(400, "Bad Request");
+        if (!broker.request(clock.now(), 0, this, edgeServers, request)) {
+            forget(session);
+            exchange.answerError(400, "Bad Request");
         }
     }
 
-    private static Map<String, String> parseQuery(String raw) {
-        Map<String, String> out = new HashMap<>();
-        for (String pair : raw == null ? new String[0] : raw.split("&")) {
+    private static Map<String, String> parseQuery(String rawQuery) {
+        Map<String, String> parameters = new HashMap<>();
+        for (String pair : rawQuery == null ? new String[0] : rawQuery.split("&")) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
-                out.put(
+                parameters.put(
                         URLDecoder.decode(pair.substring(0, equals), StandardCharsets.UTF_8),
                         URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
             }
         }
-        return out;
+        return parameters;
     }
 
     private static long wholeNumber(Map<String, String> query, String key, long absent) {
@@ -347,7 +371,7 @@
             return absent;
         }
         if (!value.matches("[0-9]{1,9}")) {
-            throw new IllegalArgumentException(key + " is no whole number");
+            throw new IllegalArgumentException(key + ": expected a whole number of 1 to 9 digits");
         }
         return Long.parseLong(value);
     }
@@ -356,122 +380,136 @@
         return query.containsKey(key) ? wholeNumber(query, key, 0) * 1000 : absent;
     }
 
-    /** {@code ID/master.m3u8}, {@code ID/N.m3u8}, or with DELETE {@code ID}. */
-    private void handleSessionRequest(Exchange x, boolean delete, String rest) {
+    /**
+     * Handles a request for a session's address. {@code rest} is {@code ID/master.m3u8} or {@code ID/NUMBER.m3u8}; with
+     * DELETE, which ends the session, what follows the ID is ignored.
+     */
+    private void handleSessionRequest(Exchange exchange, boolean delete, String rest) {
         String[] parts = rest.split("/", 2);
-        Session s = sessions.get(parts[0]);
-        if (s == null || s.multivariant == null) {
-            x.answerError(
+        Session session = sessions.get(parts[0]);
+        if (session == null || session.multivariant == null) {
+            exchange.answerError(
                     endedSessions.containsKey(parts[0]) ? 410 : 404,
                     endedSessions.containsKey(parts[0]) ? "Gone" : "Not Found");
         } else if (delete) {
-            broker.cancel(clock.now(), s.name);
-            end(s);
-            x.answer(204, "No Content", "text/plain", "", Map.of());
+            broker.cancel(clock.now(), session.name);
+            end(session);
+            exchange.answer(204, "No Content", "text/plain", "", Map.of());
         } else if (parts.length == 2 && parts[1].equals("master.m3u8")) {
-            answerMultivariantPlaylist(x, s);
+            answerMultivariantPlaylist(exchange, session);
         } else if (parts.length == 2 && parts[1].matches("[0-9]{1,6}\\.m3u8")) {
-            answerMediaPlaylist(x, s, Integer.parseInt(parts[1].substring(0, parts[1].indexOf('.'))));
+            answerMediaPlaylist(exchange, session, Integer.parseInt(parts[1].substring(0, parts[1].indexOf('.'))));
         } else {
-            x.answerError(404, "Not Found");
+            exchange.answerError(404, "Not Found");
         }
     }
 
-    /** The session's multivariant playlist from what is held: no fetch, and never another set-up. */
-    private void answerMultivariantPlaylist(Exchange x, Session s) {
+    /** Answers with the session's multivariant playlist, rewritten from memory without a fetch or another set-up. */
+    private void answerMultivariantPlaylist(Exchange exchange, Session session) {
         try {
-            extendActivity(s, 0);
-            x.answerPlaylist(s.multivariant.rewrite(
-                    s.lowestRendition, s.grantedRendition, s.baseUri, number -> mediaPlaylistPath(s, number)));
+            extendActivity(session, 0);
+            exchange.answerPlaylist(session.multivariant.rewrite(
+                    session.lowestRendition,
+                    session.grantedRendition,
+                    session.baseUri,
+                    number -> mediaPlaylistPath(session, number)));
         } catch (UnusablePlaylistException e) {
-            LOG.warn("playlist cannot be rewritten: session={} why={}", s.name, e.getMessage());
-            x.answerError(502, "Bad Gateway");
+            LOG.warn("multivariant playlist cannot be rewritten: session={} why={}", session.name, e.getMessage());
+            exchange.answerError(502, "Bad Gateway");
         }
     }
 
-    private static String mediaPlaylistPath(Session s, int number) {
-        return SESSIONS_PATH + s.name + "/" + number + ".m3u8";
+    private static String mediaPlaylistPath(Session session, int number) {
+        return SESSIONS_PATH + session.name + "/" + number + ".m3u8";
     }
 
-    /** A media playlist: of the variant asked for, or of the best that the rung now granted allows under it. */
-    private void answerMediaPlaylist(Exchange x, Session s, int asked) {
-        int number = asked < s.multivariant.mediaPlaylists().size()
-                ? s.multivariant.substitute(asked, s.lowestRendition, s.grantedRendition)
+    /**
+     * Answers with a media playlist: the requested one, or the best lower one within the rendition now granted. While
+     * the edge server drains, only a copy from memory is served; without one the session ends.
+     */
+    private void answerMediaPlaylist(Exchange exchange, Session session, int requested) {
+        int number = requested < session.multivariant.mediaPlaylists().size()
+                ? session.multivariant.substitute(requested, session.lowestRendition, session.grantedRendition)
                 : -1;
         if (number < 0) {
-            x.answerError(404, "Not Found");
+            exchange.answerError(404, "Not Found");
             return;
         }
-        if (!broker.acceptsSetUp(clock.now(), s.server)) {
-            String text = s.cachedMediaPlaylists.get(number);
+        if (!broker.acceptsSetUp(clock.now(), session.server)) {
+            String text = session.cachedMediaPlaylists.get(number);
             if (text != null) {
-                extendActivity(s, Playlists.playDurationUs(text));
-                x.answerPlaylist(text);
+                extendActivity(session, Playlists.playDurationUs(text));
+                exchange.answerPlaylist(text);
             } else {
-                LOG.info("fetch for a draining box ended: session={} server={}", s.name, s.server);
-                broker.cancel(clock.now(), s.name);
-                end(s);
-                x.answerError(410, "Gone");
+                LOG.info(
+                        "session ended, edge server drains and playlist is not cached: session={} server={}",
+                        session.name,
+                        session.server);
+                broker.cancel(clock.now(), session.name);
+                end(session);
+                exchange.answerError(410, "Gone");
             }
             return;
         }
         URI uri;
         try {
-            uri = s.baseUri.resolve(s.multivariant.mediaPlaylists().get(number).uri());
-            if (!s.baseUri.getAuthority().equals(uri.getAuthority()) || !"http".equals(uri.getScheme())) {
-                throw new UnusablePlaylistException("media playlist on another server");
+            uri = session.baseUri.resolve(
+                    session.multivariant.mediaPlaylists().get(number).uri());
+            if (!session.baseUri.getAuthority().equals(uri.getAuthority()) || !"http".equals(uri.getScheme())) {
+                throw new UnusablePlaylistException("media playlist is not on the edge server that holds the session");
             }
         } catch (IllegalArgumentException | UnusablePlaylistException e) {
-            LOG.warn("media playlist of no use: session={} why={}", s.name, e.getMessage());
-            x.answerError(502, "Bad Gateway");
+            LOG.warn("media playlist unusable: session={} why={}", session.name, e.getMessage());
+            exchange.answerError(502, "Bad Gateway");
             return;
         }
         String path = uri.getRawPath() + (uri.getRawQuery() == null ? "" : "?" + uri.getRawQuery());
-        fetchMediaPlaylist(x, s, number, uri, path);
+        fetchMediaPlaylist(exchange, session, number, uri, path);
     }
 
-    private void fetchMediaPlaylist(Exchange x, Session s, int number, URI uri, String path) {
-        TimerQueue.Timer[] late = {null};
-        HttpFetch f = origins.fetchMediaPlaylist(s.server, path, new HttpFetch.Listener() {
+    /** Fetches a media playlist from the session's edge server; answers 504 after the deadline of its class. */
+    private void fetchMediaPlaylist(Exchange exchange, Session session, int number, URI uri, String path) {
+        TimerQueue.Timer[] timeout = {null};
+        HttpFetch fetch = edgeServers.fetchMediaPlaylist(session.server, path, new HttpFetch.Listener() {
             @Override
-            public void onResponse(HttpStyleMessage answer) {
-                deadlines.cancel(late[0]);
+            public void onResponse(HttpStyleMessage response) {
+                timers.cancel(timeout[0]);
                 try {
-                    if (answer.status() != 200) {
-                        throw new UnusablePlaylistException("status " + answer.status());
+                    if (response.status() != 200) {
+                        throw new UnusablePlaylistException("HTTP status " + response.status());
                     }
-                    String text = Playlists.rewriteMediaPlaylist(answer.bodyText(), uri);
-                    s.cachedMediaPlaylists.put(number, text);
-                    extendActivity(s, Playlists.playDurationUs(text));
-                    x.answerPlaylist(text);
+                    String text = Playlists.rewriteMediaPlaylist(response.bodyText(), uri);
+                    session.cachedMediaPlaylists.put(number, text);
+                    extendActivity(session, Playlists.playDurationUs(text));
+                    exchange.answerPlaylist(text);
                 } catch (UnusablePlaylistException e) {
-                    LOG.warn("media playlist of no use: session={} why={}", s.name, e.getMessage());
-                    x.answerError(502, "Bad Gateway");
+                    LOG.warn("media playlist unusable: session={} why={}", session.name, e.getMessage());
+                    exchange.answerError(502, "Bad Gateway");
                 }
             }
 
             @Override
             public void onFailure(boolean ran, String why) {
-                deadlines.cancel(late[0]);
-                LOG.info("media playlist not fetched: session={} why={}", s.name, why);
-                x.answerError(502, "Bad Gateway");
+                timers.cancel(timeout[0]);
+                LOG.info("media playlist not fetched: session={} why={}", session.name, why);
+                exchange.answerError(502, "Bad Gateway");
             }
         });
-        long patience = classOf(s).deadline();
-        late[0] = deadlines.schedule(clock.now() + patience, t -> {
-            f.cancel();
-            x.answerError(504, "Gateway Timeout");
+        long timeoutUs = classOf(session).deadline();
+        timeout[0] = timers.schedule(clock.now() + timeoutUs, dueAt -> {
+            fetch.cancel();
+            exchange.answerError(504, "Gateway Timeout");
         });
     }
 
-    // ---- From the broker.
+    // ---- Calls from the broker.
 
     @Override
     public boolean needsConnection() {
         return false;
     }
 
-    /** Retry-After counts whole seconds (RFC 9110, 10.2.3). */
+    /** One second: Retry-After counts whole seconds (RFC 9110, 10.2.3). */
     @Override
     public long retryAfterUnit() {
         return 1_000_000;
@@ -479,114 +517,121 @@
 
     @Override
     public void served(long connection, String name, Grant granted) {
-        Session s = sessions.get(name);
-        if (s == null) {
+        Session session = sessions.get(name);
+        if (session == null) {
             return;
         }
-        s.server = granted.server();
-        s.lowestRendition = granted.lowestRendition();
-        s.grantedRendition = granted.highestRendition();
-        s.baseUri = origins.serverUri(granted.server(), s.playlistPath.toString());
+        session.server = granted.server();
+        session.lowestRendition = granted.lowestRendition();
+        session.grantedRendition = granted.highestRendition();
+        session.baseUri = edgeServers.serverUri(granted.server(), session.playlistPath.toString());
         try {
-            if (s.baseUri == null) {
-                throw new UnusablePlaylistException("its box has left the list meanwhile");
+            if (session.baseUri == null) {
+                throw new UnusablePlaylistException("its edge server has left the list during the set-up");
             }
-            s.multivariant = MultivariantPlaylist.parse(granted.description());
+            session.multivariant = MultivariantPlaylist.parse(granted.description());
         } catch (UnusablePlaylistException e) {
-            LOG.warn("session cannot be given: session={} why={}", name, e.getMessage());
-            forget(s);
+            LOG.warn("session granted but unusable: session={} why={}", name, e.getMessage());
+            forget(session);
             broker.cancel(clock.now(), name);
-            takePendingExchanges(s).forEach(x -> x.answerError(502, "Bad Gateway"));
+            takePendingExchanges(session).forEach(exchange -> exchange.answerError(502, "Bad Gateway"));
             return;
         }
-        extendActivity(s, 0);
-        scheduleIdleCheck(s);
-        takePendingExchanges(s).forEach(x -> answerMultivariantPlaylist(x, s));
+        extendActivity(session, 0);
+        scheduleIdleCheck(session);
+        takePendingExchanges(session).forEach(exchange -> answerMultivariantPlaylist(exchange, session));
     }
 
     @Override
-    public void refused(long connection, String name, long comeBack) {
-        Map<String, String> more =
-                comeBack > 0 ? Map.of("Retry-After", Long.toString((comeBack + 999_999) / 1_000_000)) : Map.of();
-        forgetUnserved(name).forEach(x -> x.answer(503, "Service Unavailable", "text/plain", "refused\n", more));
+    public void refused(long connection, String name, long retryAfter) {
+        Map<String, String> extraHeaders =
+                retryAfter > 0 ? Map.of("Retry-After", Long.toString((retryAfter + 999_999) / 1_000_000)) : Map.of();
+        forgetUnserved(name)
+                .forEach(exchange ->
+                        exchange.answer(503, "Service Unavailable", "text/plain", "refused\n", extraHeaders));
     }
 
     @Override
     public void failed(long connection, String name, boolean late) {
-        forgetUnserved(name).forEach(x -> x.answerError(late ? 504 : 502, late ? "Gateway Timeout" : "Bad Gateway"));
+        forgetUnserved(name)
+                .forEach(exchange -> exchange.answerError(late ? 504 : 502, late ? "Gateway Timeout" : "Bad Gateway"));
     }
 
     @Override
     public void sessionEnded(long connection, String name, Outcome outcome) {
-        Session s = sessions.get(name);
-        if (s != null) {
-            end(s);
+        Session session = sessions.get(name);
+        if (session != null) {
+            end(session);
         }
     }
 
-    /** The player finds its session gone at the next fetch, and asks for the lesson anew. */
+    /** Ends the session: the player gets 410 at its next fetch, and requests the lesson again. */
     @Override
     public void moved(long connection, String name) {
         sessionEnded(connection, name, Outcome.CANCELLED);
     }
 
     @Override
-    public void renditionChanged(String name, int rung) {
-        Session s = sessions.get(name);
-        if (s != null) {
-            s.grantedRendition = rung;
+    public void renditionChanged(String name, int rendition) {
+        Session session = sessions.get(name);
+        if (session != null) {
+            session.grantedRendition = rendition;
         }
     }
 
+    /** Forgets a session that is not granted; returns the requests that wait for it. */
     private List<Exchange> forgetUnserved(String name) {
-        Session s = sessions.get(name);
-        if (s == null) {
+        Session session = sessions.get(name);
+        if (session == null) {
             return List.of();
         }
-        forget(s);
-        return takePendingExchanges(s);
+        forget(session);
+        return takePendingExchanges(session);
     }
 
-    private static List<Exchange> takePendingExchanges(Session s) {
-        List<Exchange> all = List.copyOf(s.pendingExchanges);
-        s.pendingExchanges.clear();
-        return all;
+    private static List<Exchange> takePendingExchanges(Session session) {
+        List<Exchange> exchanges = List.copyOf(session.pendingExchanges);
+        session.pendingExchanges.clear();
+        return exchanges;
     }
 
-    // ---- A session's time.
+    // ---- Idle time and end of a session.
 
-    private void extendActivity(Session s, long playtime) {
-        s.activeUntilUs = Math.max(s.activeUntilUs, clock.now() + playtime + idleTimeoutUs);
+    /** Keeps a session active for a playing time in microseconds and the idle timeout after it. */
+    private void extendActivity(Session session, long playDurationUs) {
+        session.activeUntilUs = Math.max(session.activeUntilUs, clock.now() + playDurationUs + idleTimeoutUs);
     }
 
-    /** Ends the session once nobody has fetched for as long as what was fetched can play, and a while more. */
-    private void scheduleIdleCheck(Session s) {
-        deadlines.schedule(s.activeUntilUs, t -> {
-            if (sessions.get(s.name) != s) {
+    /** Ends the session once nothing was fetched for as long as the last playlist plays, plus the idle timeout. */
+    private void scheduleIdleCheck(Session session) {
+        timers.schedule(session.activeUntilUs, dueAt -> {
+            if (sessions.get(session.name) != session) {
                 return;
             }
-            if (clock.now() < s.activeUntilUs) {
-                scheduleIdleCheck(s);
+            if (clock.now() < session.activeUntilUs) {
+                scheduleIdleCheck(session);
                 return;
             }
-            LOG.info("session idle, ended: session={}", s.name);
-            broker.sessionCompleted(clock.now(), s.name);
-            end(s);
+            LOG.info("idle session ended: session={}", session.name);
+            broker.sessionCompleted(clock.now(), session.name);
+            end(session);
         });
     }
 
-    private SessionClass classOf(Session s) {
-        return classes.get(s.viewerKey.substring(0, s.viewerKey.indexOf('\n')));
+    private SessionClass classOf(Session session) {
+        return classes.get(session.viewerKey.substring(0, session.viewerKey.indexOf('\n')));
     }
 
-    private void forget(Session s) {
-        sessions.remove(s.name);
-        sessionsByViewer.remove(s.viewerKey, s);
+    /** Removes a session without a trace: later fetches for it get 404. */
+    private void forget(Session session) {
+        sessions.remove(session.name);
+        sessionsByViewer.remove(session.viewerKey, session);
     }
 
-    private void end(Session s) {
-        forget(s);
-        endedSessions.put(s.name, true);
+    /** Removes a session; later fetches for it get 410 while it is remembered. */
+    private void end(Session session) {
+        forget(session);
+        endedSessions.put(session.name, true);
         if (endedSessions.size() > MAX_ENDED_SESSIONS) {
             endedSessions.remove(endedSessions.keySet().iterator().next());
         }
--- a/src/main/java/dockshed/hls/Playlists.java
+++ b/src/main/java/dockshed/hls/Playlists.java
@@ -10,9 +10,12 @@
 import java.util.TreeSet;
 import java.util.function.IntFunction;
 
-/** HLS playlists (RFC 8216) as a session sees them. Text in, text out. */
+/**
+ * Rewrites HLS playlists (RFC 8216) for a session, from text to text. A rendition is the index of a variant stream's
+ * bandwidth among the distinct bandwidths of its playlist, from the lowest, 0, upwards.
+ */
 final class Playlists {
-    /** What is no playlist, or none that this session may have. */
+    /** The text is not a valid playlist, or holds nothing that the session may be given. */
     static final class UnusablePlaylistException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -21,167 +24,190 @@
         }
     }
 
-    /** A line that names a media playlist; {@code rung} is -1 where it belongs to no single rung. */
+    /**
+     * A media playlist named by a multivariant playlist.
+     *
+     * @param uri as written there, possibly relative
+     * @param rendition of its variant stream; -1 if it belongs to no single one, such as an audio track
+     */
     record MediaPlaylist(String uri, int rendition) {}
 
-    /** A multivariant playlist taken apart: its lines, and the media playlists that it names by number. */
+    /** A parsed multivariant playlist. The media playlists that it names are numbered in the order of their lines. */
     static final class MultivariantPlaylist {
         private final List<String> lines;
         private final List<MediaPlaylist> mediaPlaylists = new ArrayList<>();
         private final Map<Integer, Integer> mediaPlaylistByLine = new LinkedHashMap<>();
-        private final Map<Integer, Integer> renditionByLine = new LinkedHashMap<>(); // a variant's tag and its URI
+        /** For the tag and the URI line of each variant. */
+        private final Map<Integer, Integer> renditionByLine = new LinkedHashMap<>();
+
         private final Set<Integer> droppedLines = new HashSet<>();
 
         private MultivariantPlaylist(List<String> lines) {
             this.lines = lines;
         }
 
-        /** Rungs count the distinct bandwidths from the lowest up, in whatever order the variants come. */
+        /** Parses a multivariant playlist, whose variants may come in any order. */
         static MultivariantPlaylist parse(String text) throws UnusablePlaylistException {
-            MultivariantPlaylist m = new MultivariantPlaylist(lines(text));
-            TreeSet<Long> ladder = new TreeSet<>();
-            for (String line : m.lines) {
+            MultivariantPlaylist playlist = new MultivariantPlaylist(lines(text));
+            TreeSet<Long> bandwidths = new TreeSet<>();
+            for (String line : playlist.lines) {
                 if (line.startsWith("#EXT-X-STREAM-INF:")) {
-                    ladder.add(bandwidth(line));
+                    bandwidths.add(bandwidth(line));
                 }
             }
-            if (ladder.isEmpty()) {
-                throw new UnusablePlaylistException("no variants");
+            if (bandwidths.isEmpty()) {
+                throw new UnusablePlaylistException("no variant streams: expected at least one #EXT-X-STREAM-INF");
             }
-            List<Long> rates = new ArrayList<>(ladder);
-            int pending = -1;
-            for (int i = 1; i < m.lines.size(); i++) {
-                String line = m.lines.get(i);
+            List<Long> ladder = new ArrayList<>(bandwidths);
+            int tagLine = -1;
+            for (int i = 1; i < playlist.lines.size(); i++) {
+                String line = playlist.lines.get(i);
                 if (line.startsWith("#EXT-X-STREAM-INF:")) {
-                    pending = i;
+                    tagLine = i;
                 } else if (line.startsWith("#EXT-X-I-FRAME-STREAM-INF:")) {
-                    m.droppedLines.add(i); // belongs to no rung that could be granted
+                    playlist.droppedLines.add(i); // I-frame streams belong to no rendition that could be granted
                 } else if (line.startsWith("#EXT-X-MEDIA:") && attribute(line, "URI") != null) {
-                    m.addMediaPlaylist(i, new MediaPlaylist(attribute(line, "URI"), -1));
+                    playlist.addMediaPlaylist(i, new MediaPlaylist(attribute(line, "URI"), -1));
                 } else if (!line.startsWith("#") && !line.isBlank()) {
-                    if (pending < 0) {
-                        throw new UnusablePlaylistException("a URI without a variant: not a multivariant playlist");
+                    if (tagLine < 0) {
+                        throw new UnusablePlaylistException(
+                                "not a multivariant playlist: URI without an #EXT-X-STREAM-INF before it");
                     }
-                    int rung = rates.indexOf(bandwidth(m.lines.get(pending)));
-                    m.renditionByLine.put(pending, rung);
-                    m.renditionByLine.put(i, rung);
-                    m.addMediaPlaylist(i, new MediaPlaylist(line.strip(), rung));
-                    pending = -1;
+                    int rendition = ladder.indexOf(bandwidth(playlist.lines.get(tagLine)));
+                    playlist.renditionByLine.put(tagLine, rendition);
+                    playlist.renditionByLine.put(i, rendition);
+                    playlist.addMediaPlaylist(i, new MediaPlaylist(line.strip(), rendition));
+                    tagLine = -1;
                 }
             }
-            if (pending >= 0) {
-                throw new UnusablePlaylistException("a variant without a URI");
+            if (tagLine >= 0) {
+                throw new UnusablePlaylistException("last #EXT-X-STREAM-INF without a URI after it");
             }
-            return m;
+            return playlist;
         }
 
-        private void addMediaPlaylist(int line, MediaPlaylist what) {
+        private void addMediaPlaylist(int line, MediaPlaylist playlist) {
             mediaPlaylistByLine.put(line, mediaPlaylists.size());
-            mediaPlaylists.add(what);
+            mediaPlaylists.add(playlist);
         }
 
-        /** The media playlists named, by number. */
+        /** The media playlists; the index in the list is the playlist's number. */
         List<MediaPlaylist> mediaPlaylists() {
             return mediaPlaylists;
         }
 
-        /** Whether a variant lies from {@code floor} to {@code rung}. */
-        boolean hasVariant(int floor, int rung) {
-            return mediaPlaylists.stream().anyMatch(v -> v.rendition() >= floor && v.rendition() <= rung);
+        /** Whether a variant has a rendition from {@code lowest} to {@code highest}. */
+        boolean hasVariant(int lowest, int highest) {
+            return mediaPlaylists.stream()
+                    .anyMatch(playlist -> playlist.rendition() >= lowest && playlist.rendition() <= highest);
         }
 
-        /** The number of the media playlist to play for one asked for: its own, or the best rung allowed under it. */
-        int substitute(int number, int floor, int rung) {
-            MediaPlaylist asked = mediaPlaylists.get(number);
-            if (asked.rendition() < 0 || asked.rendition() >= floor && asked.rendition() <= rung) {
+        /**
+         * Returns the number of the media playlist to play instead of the one requested: itself if it is allowed,
+         * else the best allowed rendition below it, or -1 if there is none.
+         */
+        int substitute(int number, int lowest, int highest) {
+            MediaPlaylist requested = mediaPlaylists.get(number);
+            if (requested.rendition() < 0 || requested.rendition() >= lowest && requested.rendition() <= highest) {
                 return number;
             }
             int best = -1;
             for (int i = 0; i < mediaPlaylists.size(); i++) {
-                int r = mediaPlaylists.get(i).rendition();
-                if (r >= floor
-                        && r <= rung
-                        && asked.rendition() > r
-                        && (best < 0 || r > mediaPlaylists.get(best).rendition())) {
+                int rendition = mediaPlaylists.get(i).rendition();
+                if (rendition >= lowest
+                        && rendition <= highest
+                        && requested.rendition() > rendition
+                        && (best < 0 || rendition > mediaPlaylists.get(best).rendition())) {
                     best = i;
                 }
             }
             return best;
         }
 
-        /** The text for a session: only variants from {@code floor} to {@code rung}, media playlists renamed. */
-        String rewrite(int floor, int rung, URI base, IntFunction<String> rename) throws UnusablePlaylistException {
-            if (!hasVariant(floor, rung)) {
-                throw new UnusablePlaylistException("no variant from rung " + floor + " to " + rung);
+        /**
+         * Returns the playlist with only the variants from {@code lowest} to {@code highest}, and with only the media
+         * groups that these use. {@code rename} gives the URI for each media playlist's number; other URIs are made
+         * absolute against {@code base}.
+         *
+         * @throws UnusablePlaylistException if no variant is in the range
+         */
+        String rewrite(int lowest, int highest, URI base, IntFunction<String> rename) throws UnusablePlaylistException {
+            if (!hasVariant(lowest, highest)) {
+                throw new UnusablePlaylistException("no variant from rendition " + lowest + " to " + highest);
             }
             Set<String> groups = new HashSet<>();
-            for (Map.Entry<Integer, Integer> v : renditionByLine.entrySet()) {
-                if (v.getValue() >= floor && v.getValue() <= rung) {
+            for (Map.Entry<Integer, Integer> variant : renditionByLine.entrySet()) {
+                if (variant.getValue() >= lowest && variant.getValue() <= highest) {
                     for (String kind : List.of("VIDEO", "AUDIO", "SUBTITLES", "CLOSED-CAPTIONS")) {
-                        groups.add(kind + "=" + attribute(lines.get(v.getKey()), kind));
+                        groups.add(kind + "=" + attribute(lines.get(variant.getKey()), kind));
                     }
                 }
             }
-            StringBuilder out = new StringBuilder();
+            StringBuilder text = new StringBuilder();
             for (int i = 0; i < lines.size(); i++) {
                 String line = lines.get(i);
-                Integer at = renditionByLine.get(i);
-                boolean left = at != null && (at < floor || at > rung)
+                Integer rendition = renditionByLine.get(i);
+                boolean omitted = rendition != null && (rendition < lowest || rendition > highest)
                         || droppedLines.contains(i)
                         || line.startsWith("#EXT-X-MEDIA:")
                                 && !groups.contains(attribute(line, "TYPE") + "=" + attribute(line, "GROUP-ID"));
-                if (left) {
+                if (omitted) {
                     continue;
                 }
                 Integer number = mediaPlaylistByLine.get(i);
                 if (number != null) {
-                    out.append(
+                    text.append(
                             line.startsWith("#") ? withUriAttribute(line, rename.apply(number)) : rename.apply(number));
                 } else {
-                    out.append(withAbsoluteUri(line, base));
+                    text.append(withAbsoluteUri(line, base));
                 }
-                out.append('\n');
+                text.append('\n');
             }
-            return out.toString();
+            return text.toString();
         }
     }
 
     private Playlists() {}
 
-    /** A media playlist with everything that it names absolute. */
+    /** Returns a media playlist with all its URIs made absolute. */
     static String rewriteMediaPlaylist(String text, URI base) throws UnusablePlaylistException {
         List<String> lines = lines(text);
-        StringBuilder out = new StringBuilder();
+        StringBuilder rewritten = new StringBuilder();
         for (String line : lines) {
             if (line.startsWith("#EXT-X-STREAM-INF:")) {
-                throw new UnusablePlaylistException("variants in a media playlist");
+                throw new UnusablePlaylistException("not a media playlist: contains #EXT-X-STREAM-INF");
             }
-            out.append(
+            rewritten
+                    .append(
                             line.startsWith("#") || line.isBlank()
                                     ? withAbsoluteUri(line, base)
                                     : resolve(base, line.strip()))
                     .append('\n');
         }
-        return out.toString();
+        return rewritten.toString();
     }
 
-    /** Microseconds that a player may take with a media playlist: all of it, or three targets where it goes on. */
+    /**
+     * Returns the microseconds for which a player may play from a media playlist before it fetches it again: its whole
+     * duration, or three target durations if it is still growing; at most a day.
+     */
     static long playDurationUs(String text) {
         double seconds = 0;
-        double target = 0;
-        boolean whole = false;
+        double targetSeconds = 0;
+        boolean complete = false;
         for (String line : text.split("\n")) {
             String value = line.substring(line.indexOf(':') + 1).strip();
             if (line.startsWith("#EXTINF:")) {
                 seconds += parseSeconds(value.split(",", 2)[0]);
             } else if (line.startsWith("#EXT-X-TARGETDURATION:")) {
-                target = parseSeconds(value);
+                targetSeconds = parseSeconds(value);
             }
-            whole |= line.startsWith("#EXT-X-ENDLIST");
+            complete |= line.startsWith("#EXT-X-ENDLIST");
         }
-        return Math.round(Math.min(86_400, whole ? seconds : 3 * target) * 1e6);
+        return Math.round(Math.min(86_400, complete ? seconds : 3 * targetSeconds) * 1e6);
     }
 
+    /** Returns 0 for a negative or malformed number. */
     private static double parseSeconds(String value) {
         try {
             return Math.max(0, Double.parseDouble(value.strip()));
@@ -190,37 +216,39 @@
         }
     }
 
+    /** Splits a playlist into lines. */
     private static List<String> lines(String text) throws UnusablePlaylistException {
         List<String> lines = List.of(text.split("\r?\n"));
         if (!lines.get(0).equals("#EXTM3U")) {
-            throw new UnusablePlaylistException("does not begin with #EXTM3U");
+            throw new UnusablePlaylistException("first line is not #EXTM3U");
         }
         return lines;
     }
 
+    /** Returns the bandwidth of a variant stream in bits per second. */
     private static long bandwidth(String line) throws UnusablePlaylistException {
         String value = attribute(line, "BANDWIDTH");
         if (value == null || value.length() > 18 || !value.matches("[0-9]+")) {
-            throw new UnusablePlaylistException("a variant without a BANDWIDTH");
+            throw new UnusablePlaylistException("#EXT-X-STREAM-INF without a BANDWIDTH of 1 to 18 digits");
         }
         return Long.parseLong(value);
     }
 
-    /** An attribute of a tag's list, without quotes; null where it is absent. Commas in quotes part nothing. */
+    /** Returns an attribute of a tag without its quotes, or null. Commas within quotes do not separate attributes. */
     static String attribute(String line, String name) {
-        int[] span = attributeValueRange(line, name);
-        if (span == null) {
+        int[] range = attributeValueRange(line, name);
+        if (range == null) {
             return null;
         }
-        String value = line.substring(span[0], span[1]);
+        String value = line.substring(range[0], range[1]);
         return value.startsWith("\"") ? value.substring(1, value.length() - 1) : value;
     }
 
-    /** Where an attribute's value begins and ends. */
+    /** Returns the start and end of an attribute's value, quotes included, or null if the attribute is absent. */
     private static int[] attributeValueRange(String line, String name) {
-        int at = line.indexOf(':') + 1;
-        while (at > 0 && at < line.length()) {
-            int equals = line.indexOf('=', at);
+        int start = line.indexOf(':') + 1;
+        while (start > 0 && start < line.length()) {
+            int equals = line.indexOf('=', start);
             if (equals < 0) {
                 return null;
             }
@@ -235,20 +263,22 @@
                 int comma = line.indexOf(',', end);
                 end = comma < 0 ? line.length() : comma;
             }
-            if (line.substring(at, equals).strip().equals(name)) {
+            if (line.substring(start, equals).strip().equals(name)) {
                 return new int[] {equals + 1, end};
             }
             int comma = line.indexOf(',', end);
-            at = comma < 0 ? line.length() : comma + 1;
+            start = comma < 0 ? line.length() : comma + 1;
         }
         return null;
     }
 
+    /** Replaces the value of a tag's URI attribute. */
     private static String withUriAttribute(String line, String uri) {
-        int[] span = attributeValueRange(line, "URI");
-        return span == null ? line : line.substring(0, span[0]) + '"' + uri + '"' + line.substring(span[1]);
+        int[] range = attributeValueRange(line, "URI");
+        return range == null ? line : line.substring(0, range[0]) + '"' + uri + '"' + line.substring(range[1]);
     }
 
+    /** Makes a tag's URI attribute absolute; any other line is returned as it is. */
     private static String withAbsoluteUri(String line, URI base) throws UnusablePlaylistException {
         String uri = line.startsWith("#EXT-X-") ? attribute(line, "URI") : null;
         return uri == null || uri.isEmpty() ? line : withUriAttribute(line, resolve(base, uri));
@@ -258,7 +288,7 @@
         try {
             return base.resolve(uri).toString();
         } catch (IllegalArgumentException e) {
-            throw new UnusablePlaylistException("a URI that is none");
+            throw new UnusablePlaylistException("malformed URI");
         }
     }
 }
--- a/src/main/java/dockshed/hls/package-info.java
+++ b/src/main/java/dockshed/hls/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The HLS front, playlists rewritten for each session, and edge servers that serve HLS over HTTP.
+ * The HLS front for viewers, the playlists rewritten for each session, and the adapter for HTTP edge servers.
  */
 package dockshed.hls;
