--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -16,40 +16,41 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Viewers' RTSP on channels without sockets. */
+/** RTSP front with a harness for the broker's other sides, on channels without sockets. */
 class RtspFrontTest {
-    private final BrokerHarness stage = new BrokerHarness();
-    private final RtspFront front = new RtspFront(stage.broker, stage, () -> stage.now, stage.timers, 3);
+    private final BrokerHarness harness = new BrokerHarness();
+    private final RtspFront front = new RtspFront(harness.broker, harness, () -> harness.now, harness.timers, 3);
     private final EmbeddedChannel channel = new EmbeddedChannel(front.accept());
 
-    static String setUpMessage(String session, String more) {
+    static String setUpMessage(String session, String extraHeaders) {
         return "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: " + session
-                + "\r\nPriority-Class: safe\r\nExpires-Ms: 3000\r\n" + more + "Content-Length: 9\r\n\r\nabc\r\nd=e\n";
+                + "\r\nPriority-Class: safe\r\nExpires-Ms: 3000\r\n" + extraHeaders
+                + "Content-Length: 9\r\n\r\nabc\r\nd=e\n";
     }
 
-    static String sessionId(int n) {
-        return String.format("%016x", n);
+    static String sessionId(int number) {
+        return String.format("%016x", number);
     }
 
-    static void send(EmbeddedChannel ch, String text) {
-        ch.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+    static void send(EmbeddedChannel channel, String text) {
+        channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    static List<String> received(EmbeddedChannel ch) {
-        List<String> out = new ArrayList<>();
-        for (ByteBuf b = ch.readOutbound(); b != null; b = ch.readOutbound()) {
-            out.add(b.toString(StandardCharsets.UTF_8));
-            b.release();
+    static List<String> received(EmbeddedChannel channel) {
+        List<String> messages = new ArrayList<>();
+        for (ByteBuf buffer = channel.readOutbound(); buffer != null; buffer = channel.readOutbound()) {
+            messages.add(buffer.toString(StandardCharsets.UTF_8));
+            buffer.release();
         }
-        return out;
+        return messages;
     }
 
     @Test
-    void aSessionFromSetUpToItsEnd() {
+    void setUpIsAnsweredAndEndOfSessionIsSentAsTeardown() {
         send(channel, setUpMessage(sessionId(1), ""));
-        assertEquals(List.of("box a setUp " + sessionId(1) + " left=2990"), stage.log);
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "x\r\né");
-        stage.ended("a", sessionId(1), Outcome.OK);
+        assertEquals(List.of("box a setUp " + sessionId(1) + " left=2990"), harness.log);
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x\r\né");
+        harness.ended("a", sessionId(1), Outcome.OK);
         assertEquals(
                 List.of(
                         "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: " + sessionId(1)
@@ -60,9 +61,9 @@
     }
 
     @Test
-    void everyFieldOfASetUpReachesTheModule() {
+    void everySetUpFieldReachesTheDirector() {
         List<Object> seen = new ArrayList<>();
-        stage.onRequest = r -> {
+        harness.onRequest = r -> {
             seen.addAll(List.of(
                     r.className(),
                     r.viewer(),
@@ -74,7 +75,7 @@
                     r.highestRendition(),
                     r.retry(),
                     r.afterRefusal()));
-            stage.actions.fail(r.id());
+            harness.actions.fail(r.id());
         };
         send(
                 channel,
@@ -89,8 +90,8 @@
     }
 
     @Test
-    void aRefusalTellsHowLongToStayAway() {
-        stage.onRequest = r -> stage.actions.refuse(r.id(), 700 * MILLISECOND_US);
+    void refusalCarriesPBackOffAndRetryAfter() {
+        harness.onRequest = r -> harness.actions.refuse(r.id(), 700 * MILLISECOND_US);
         send(channel, setUpMessage(sessionId(1), ""));
         String answer = received(channel).get(0);
         assertTrue(
@@ -101,31 +102,31 @@
     }
 
     @Test
-    void aRequestOutOfTimeIsAnsweredWithATimeOut() {
+    void requestPastItsDeadlineIsAnsweredWith504() {
         send(channel, setUpMessage(sessionId(1), ""));
-        stage.advance(3 * SECOND_US);
+        harness.advance(3 * SECOND_US);
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 504 "));
     }
 
     @Test
-    void aTestPassesWithItsOwnNumbers() {
+    void optionsRequestIsAnsweredWithItsCSeqAndSession() {
         send(channel, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: ab\r\nContent-Length: 0\r\n\r\n");
         assertEquals(
                 List.of("RTSP/1.0 200 OK\r\nCSeq: 3\r\nSession: ab\r\nContent-Length: 0\r\n\r\n"), received(channel));
     }
 
     @Test
-    void aSetUpInPiecesAndTwoInOneAreTakenAlike() {
+    void setUpsAreParsedWhetherSplitOrCombined() {
         String both = setUpMessage(sessionId(1), "") + setUpMessage(sessionId(2), "");
         for (char c : both.toCharArray()) {
             send(channel, String.valueOf(c));
         }
         send(channel, setUpMessage(sessionId(3), "") + setUpMessage(sessionId(4), ""));
-        assertEquals(4, stage.count("box a setUp"));
+        assertEquals(4, harness.count("box a setUp"));
     }
 
     @Test
-    void aSetUpThatSaysTooLittleGetsA400AndTheConnectionGoesOn() {
+    void invalidSetUpGets400AndConnectionStaysOpen() {
         for (String bad : List.of(
                 setUpMessage("xyz", ""),
                 setUpMessage(sessionId(1), "").replace("safe", "none"),
@@ -141,178 +142,188 @@
             assertTrue(answers.get(0).startsWith("RTSP/1.0 400 "), bad);
         }
         assertTrue(channel.isOpen());
-        assertEquals(0, stage.broker.unansweredRequests());
+        assertEquals(0, harness.broker.unansweredRequests());
     }
 
-    /** Each thing that ends a connection from our side; what comes before it is owed its answer all the same. */
-    private static List<String> connectionEnders() {
-        String faults = "";
+    /** Inputs that each make the front close the connection; set-ups sent before them must still be answered. */
+    private static List<String> connectionClosingInputs() {
+        String faultySetUps = "";
         for (int i = 0; i < RtspFront.MAX_FAULTY_MESSAGES; i++) {
-            faults += setUpMessage(sessionId(100 + i), "").replace("safe", "none");
+            faultySetUps += setUpMessage(sessionId(100 + i), "").replace("safe", "none");
         }
         return List.of(
                 "GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n" + setUpMessage(sessionId(2), ""),
                 setUpMessage(sessionId(2), "X: " + "y".repeat(16 * 1024) + "\r\n"),
                 setUpMessage(sessionId(2), "").replace("Length: 9", "Length: nine"),
-                faults,
+                faultySetUps,
                 setUpMessage(sessionId(2), "") + setUpMessage(sessionId(2), ""));
     }
 
+    /**
+     * A malformed message after a complete set-up closed the connection at once, so a set-up already accepted, even a
+     * paid one, got no answer.
+     */
     @Test
-    void whateverEndsAConnectionWhatIsOpenOnItIsAnsweredFirst() {
-        // A half message after a whole one ended the connection, and the first set-up, paid and taken, had no answer.
-        for (String spoiler : connectionEnders()) {
-            BrokerHarness stage = new BrokerHarness();
-            EmbeddedChannel c =
-                    new EmbeddedChannel(new RtspFront(stage.broker, stage, () -> stage.now, stage.timers, 3).accept());
-            send(c, setUpMessage(sessionId(1), ""));
-            send(c, spoiler);
-            List<String> answers = received(c);
-            assertTrue(answers.stream().allMatch(a -> a.startsWith("RTSP/1.0 400 ")), spoiler);
-            assertTrue(c.isOpen(), spoiler);
-            send(c, setUpMessage(sessionId(3), ""));
-            assertEquals(0, stage.count("box a setUp " + sessionId(3)), "taken after the end: " + spoiler);
-            stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "x");
-            c.runPendingTasks();
+    void openSetUpIsAnsweredBeforeItsConnectionCloses() {
+        for (String closingInput : connectionClosingInputs()) {
+            BrokerHarness harness = new BrokerHarness();
+            EmbeddedChannel client = new EmbeddedChannel(
+                    new RtspFront(harness.broker, harness, () -> harness.now, harness.timers, 3).accept());
+            send(client, setUpMessage(sessionId(1), ""));
+            send(client, closingInput);
+            List<String> answers = received(client);
+            assertTrue(answers.stream().allMatch(answer -> answer.startsWith("RTSP/1.0 400 ")), closingInput);
+            assertTrue(client.isOpen(), closingInput);
+            send(client, setUpMessage(sessionId(3), ""));
+            assertEquals(0, harness.count("box a setUp " + sessionId(3)), "accepted after the end: " + closingInput);
+            harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x");
+            client.runPendingTasks();
             assertEquals(
                     1,
-                    received(c).stream()
-                            .filter(a -> a.startsWith("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: " + sessionId(1) + "\r\n")
-                                    && a.endsWith("x"))
+                    received(client).stream()
+                            .filter(answer ->
+                                    answer.startsWith("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: " + sessionId(1) + "\r\n")
+                                            && answer.endsWith("x"))
                             .count(),
-                    spoiler);
-            assertFalse(c.isOpen(), spoiler);
-            assertEquals(1, stage.broker.activeSessions());
+                    closingInput);
+            assertFalse(client.isOpen(), closingInput);
+            assertEquals(1, harness.broker.activeSessions());
         }
     }
 
     @Test
-    void aHalfMessageDoesNotCostThePaidSetUpBeforeItItsAnswer() {
+    void incompleteMessageDoesNotLoseTheAnswerOfAnEarlierSetUp() {
         send(channel, setUpMessage(sessionId(1), "").replace("safe", "paid"));
         send(channel, setUpMessage(sessionId(2), "").substring(0, 60));
-        stage.advance(RtspFront.MESSAGE_TIMEOUT_US + SECOND_US / 2);
-        List<String> half = received(channel);
-        assertEquals(1, half.size());
-        assertTrue(half.get(0).startsWith("RTSP/1.0 400 ") && !half.get(0).contains("Session"), half.get(0));
-        stage.advance(SECOND_US); // the box stays silent, until the viewer's time is up
+        harness.advance(RtspFront.MESSAGE_TIMEOUT_US + SECOND_US / 2);
+        List<String> answers = received(channel);
+        assertEquals(1, answers.size());
+        assertTrue(answers.get(0).startsWith("RTSP/1.0 400 ") && !answers.get(0).contains("Session"), answers.get(0));
+        harness.advance(SECOND_US); // the edge server does not answer before the client deadline
         assertTrue(received(channel)
                 .get(0)
                 .startsWith("RTSP/1.0 504 Gateway Time-out\r\nCSeq: 1\r\nSession: " + sessionId(1)));
         assertFalse(channel.isOpen());
-        assertEquals(0, stage.broker.unansweredRequests());
+        assertEquals(0, harness.broker.unansweredRequests());
     }
 
     @Test
-    void anErrorOfOurOwnCostsNoOtherSetUpItsAnswer() {
+    void internalErrorDoesNotLoseTheAnswerOfAnOpenSetUp() {
         send(channel, setUpMessage(sessionId(1), ""));
-        channel.pipeline().fireExceptionCaught(new IllegalStateException("as a test"));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "x");
+        channel.pipeline().fireExceptionCaught(new IllegalStateException("simulated failure"));
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x");
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 200 "));
         assertFalse(channel.isOpen());
     }
 
+    /**
+     * Closing discards bytes that the system has not accepted yet: a viewer that was slow to read got half an answer
+     * when its connection was closed to make room.
+     */
     @Test
-    void whatIsNotReadYetIsNotThrownAwayForRoom() {
-        // A close throws away what the system has not taken yet; the viewer would have had half an answer.
-        List<Object> held = new ArrayList<>();
+    void connectionWithUnwrittenAnswerIsNotEvicted() {
+        List<Object> unflushed = new ArrayList<>();
         List<io.netty.channel.ChannelPromise> promises = new ArrayList<>();
         EmbeddedChannel slow = new EmbeddedChannel(
                 new io.netty.channel.ChannelOutboundHandlerAdapter() {
                     @Override
                     public void flush(io.netty.channel.ChannelHandlerContext ctx) {
                         if (promises.isEmpty()) {
-                            held.add(ctx); // the viewer makes no room yet
+                            unflushed.add(ctx); // the viewer's receive window is full
                         }
                     }
                 },
                 front.accept());
         send(slow, setUpMessage(sessionId(1), ""));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "x");
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x");
         slow.unsafe().outboundBuffer().addFlush();
         new EmbeddedChannel(front.accept());
         new EmbeddedChannel(front.accept());
-        stage.advance(SECOND_US);
+        harness.advance(SECOND_US);
         new EmbeddedChannel(front.accept());
-        stage.advance(RtspFront.CLOSE_DELAY_US);
+        harness.advance(RtspFront.CLOSE_DELAY_US);
         assertTrue(slow.isOpen());
-        stage.advance(RtspFront.LINGER_TIMEOUT_US + SECOND_US);
+        harness.advance(RtspFront.LINGER_TIMEOUT_US + SECOND_US);
         assertEquals(
                 3,
                 java.util.stream.Stream.generate(() -> new EmbeddedChannel(front.accept()))
                         .limit(3)
                         .filter(EmbeddedChannel::isOpen)
                         .count(),
-                "not for ever");
+                "the unread answer protects its connection only for a limited time");
     }
 
     @Test
-    void aMessageOverTheLimitIsRefused() {
+    void oversizedMessageClosesTheConnection() {
         send(channel, setUpMessage(sessionId(1), "X: " + "y".repeat(16 * 1024) + "\r\n"));
         assertFalse(channel.isOpen());
-        assertEquals(0, stage.broker.unansweredRequests());
+        assertEquals(0, harness.broker.unansweredRequests());
     }
 
     @Test
-    void aTearDownGivesUpOrReleasesAndIsHeard() {
-        String bye = "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n";
-        send(channel, setUpMessage(sessionId(1), "") + bye + "\r\n");
-        assertEquals(0, stage.count("box a setUp"), "given up in the read that brought it");
+    void teardownCancelsSetUpOrReleasesSessionAndIsAnswered() {
+        String teardown = "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n";
+        send(channel, setUpMessage(sessionId(1), "") + teardown + "\r\n");
+        assertEquals(0, harness.count("box a setUp"), "cancelled within the read that brought the set-up");
         send(channel, setUpMessage(sessionId(1), ""));
-        send(channel, bye + "\r\n");
-        assertEquals(1, stage.count("box a giveUp"));
+        send(channel, teardown + "\r\n");
+        assertEquals(1, harness.count("box a giveUp"));
         assertEquals(
                 List.of("200", "200"),
-                received(channel).stream().map(a -> a.split(" ")[1]).toList());
-        assertEquals(0, stage.broker.unansweredRequests());
+                received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
+        assertEquals(0, harness.broker.unansweredRequests());
         send(channel, setUpMessage(sessionId(1), ""));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
-        send(channel, bye + "Reason: cause=31\r\n\r\n");
-        assertEquals(1, stage.count("box a release"));
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
+        send(channel, teardown + "Reason: cause=31\r\n\r\n");
+        assertEquals(1, harness.count("box a release"));
         assertEquals(
                 List.of("200", "200"),
-                received(channel).stream().map(a -> a.split(" ")[1]).toList());
+                received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
     }
 
     @Test
-    void anOpenSessionWantsNoAnswer() {
+    void setUpForAPlayingSessionIsNotAnswered() {
         send(
                 channel,
                 setUpMessage(sessionId(1), "P-Trunk-Info: home:0;copies:3;top:4;viewer:00;at:b\r\n")
                         .repeat(2));
         assertEquals(List.of(), received(channel));
-        assertEquals(1, stage.count("module open b"));
+        assertEquals(1, harness.count("module open b"));
     }
 
     @Test
-    void theEndOfASessionComesOnAnotherConnectionIfItsOwnIsGone() {
+    void endOfSessionIsSentOnAnotherConnectionIfItsOwnHasClosed() {
         send(channel, setUpMessage(sessionId(1), ""));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         EmbeddedChannel other = new EmbeddedChannel(front.accept());
         send(other, setUpMessage(sessionId(2), ""));
         channel.close();
-        stage.ended("a", sessionId(1), Outcome.RESET);
+        harness.ended("a", sessionId(1), Outcome.RESET);
         assertTrue(received(other).get(0).contains("\r\nReason: cause=41\r\n"));
     }
 
+    /**
+     * An edge server's answer can cross with the loss of the viewer's connection; without a release nobody would
+     * watch that session.
+     */
     @Test
-    void anAnswerThatCannotBeWrittenEndsItsSessionAtTheServer() {
-        // A server's answer may cross with the viewer's connection breaking: nobody would watch that session.
+    void sessionIsReleasedIfItsAnswerCannotBeWritten() {
         send(channel, setUpMessage(sessionId(1), ""));
         channel.pipeline().addFirst(new io.netty.channel.ChannelOutboundHandlerAdapter() {
             @Override
             public void write(
                     io.netty.channel.ChannelHandlerContext ctx, Object msg, io.netty.channel.ChannelPromise p) {
                 io.netty.util.ReferenceCountUtil.release(msg);
-                p.setFailure(new java.io.IOException("as a test"));
+                p.setFailure(new java.io.IOException("simulated failure"));
             }
         });
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
-        assertEquals(1, stage.count("box a release " + sessionId(1)));
-        assertEquals(0, stage.broker.activeSessions());
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
+        assertEquals(1, harness.count("box a release " + sessionId(1)));
+        assertEquals(0, harness.broker.activeSessions());
     }
 
     @Test
-    void aViewerThatDoesNotReadIsNotReadFromUntilItHasCaughtUp() {
+    void slowReaderIsNotReadFromUntilItCatchesUp() {
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         channel.runPendingTasks();
         assertFalse(channel.config().isAutoRead());
@@ -321,125 +332,139 @@
         assertTrue(channel.config().isAutoRead());
     }
 
+    /**
+     * Hundreds of connections that sent nothing, or one OPTIONS and then stayed open, used up the connection limit,
+     * and viewers were turned away.
+     */
     @Test
-    void roomIsMadeAmongThoseThatAskNothing() {
-        // Hundreds of connections that say nothing, or ask one test and stay, took all places; viewers were turned
-        // away.
+    void connectionsWithoutSetUpsAreEvictedFirst() {
         send(channel, setUpMessage(sessionId(1), ""));
-        EmbeddedChannel tested = new EmbeddedChannel(front.accept());
-        send(tested, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
+        EmbeddedChannel optionsOnly = new EmbeddedChannel(front.accept());
+        send(optionsOnly, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
         EmbeddedChannel silent = new EmbeddedChannel(front.accept());
-        stage.advance(SECOND_US);
+        harness.advance(SECOND_US);
         EmbeddedChannel fourth = new EmbeddedChannel(front.accept());
-        assertEquals(List.of(true, true, false, true), areOpen(channel, tested, silent, fourth));
+        assertEquals(List.of(true, true, false, true), areOpen(channel, optionsOnly, silent, fourth));
         send(fourth, setUpMessage(sessionId(2), ""));
         EmbeddedChannel fifth = new EmbeddedChannel(front.accept());
-        assertTrue(tested.isOpen(), "what had come before is read first");
-        stage.advance(RtspFront.CLOSE_DELAY_US);
-        assertEquals(List.of(true, false, true, true), areOpen(channel, tested, fourth, fifth));
+        assertTrue(optionsOnly.isOpen(), "received bytes are read before it is closed");
+        harness.advance(RtspFront.CLOSE_DELAY_US);
+        assertEquals(List.of(true, false, true, true), areOpen(channel, optionsOnly, fourth, fifth));
         send(fifth, setUpMessage(sessionId(3), ""));
         assertFalse(new EmbeddedChannel(front.accept()).isOpen(), "each of the others has a set-up open");
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(2), "");
-        stage.advance(SECOND_US);
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(2), "");
+        harness.advance(SECOND_US);
         assertTrue(new EmbeddedChannel(front.accept()).isOpen());
-        stage.advance(RtspFront.CLOSE_DELAY_US);
+        harness.advance(RtspFront.CLOSE_DELAY_US);
         assertEquals(List.of(true, false, true), areOpen(channel, fourth, fifth));
-        assertEquals(1, stage.broker.activeSessions(), "a session belongs to no connection");
+        assertEquals(1, harness.broker.activeSessions(), "a session belongs to no connection");
     }
 
+    /**
+     * Under load the event loop lagged: a connection was closed to make room while a set-up on it was still to be read.
+     */
     @Test
-    void aSetUpThatWaitedUnreadKeepsItsConnection() {
-        // In a rush the loop lagged: a connection was closed for a new one while a set-up on it had yet to be read.
+    void unreadSetUpProtectsItsConnectionFromEviction() {
         send(channel, setUpMessage(sessionId(1), ""));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         EmbeddedChannel second = new EmbeddedChannel(front.accept());
         send(second, setUpMessage(sessionId(2), ""));
         EmbeddedChannel third = new EmbeddedChannel(front.accept());
         send(third, setUpMessage(sessionId(3), ""));
-        stage.advance(SECOND_US);
+        harness.advance(SECOND_US);
         new EmbeddedChannel(front.accept());
         send(channel, setUpMessage(sessionId(4), ""));
-        stage.advance(SECOND_US / 4);
+        harness.advance(SECOND_US / 4);
         assertTrue(channel.isOpen());
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(4), "x");
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(4), "x");
         assertEquals(
                 List.of("200", "200"),
-                received(channel).stream().map(a -> a.split(" ")[1]).toList());
+                received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
     }
 
     private static List<Boolean> areOpen(EmbeddedChannel... channels) {
         return java.util.Arrays.stream(channels).map(EmbeddedChannel::isOpen).toList();
     }
 
+    /**
+     * A client that sends nothing, or stops within a message, must get an error or a close within three seconds of
+     * connecting.
+     */
     @Test
-    void whoSaysNothingOrStopsMidwayIsLetGoInTime() {
-        // Such a client is owed an error or a close within three seconds of connecting.
-        EmbeddedChannel half = new EmbeddedChannel(front.accept());
-        send(half, setUpMessage(sessionId(1), "").substring(0, 60));
-        EmbeddedChannel asked = new EmbeddedChannel(front.accept());
-        send(asked, setUpMessage(sessionId(2), ""));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(2), "");
-        stage.advance(RtspFront.MESSAGE_TIMEOUT_US + SECOND_US / 2);
-        assertEquals(List.of(false, false, true), areOpen(channel, half, asked));
-        assertTrue(received(half).get(0).startsWith("RTSP/1.0 400 "));
-        received(asked);
-        send(asked, "SETUP rtsp");
-        stage.advance(RtspFront.MESSAGE_TIMEOUT_US + SECOND_US / 2);
-        assertTrue(received(asked).get(0).startsWith("RTSP/1.0 400 "));
-    }
-
+    void silentOrIncompleteClientIsDisconnectedInTime() {
+        EmbeddedChannel incomplete = new EmbeddedChannel(front.accept());
+        send(incomplete, setUpMessage(sessionId(1), "").substring(0, 60));
+        EmbeddedChannel served = new EmbeddedChannel(front.accept());
+        send(served, setUpMessage(sessionId(2), ""));
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(2), "");
+        harness.advance(RtspFront.MESSAGE_TIMEOUT_US + SECOND_US / 2);
+        assertEquals(List.of(false, false, true), areOpen(channel, incomplete, served));
+        assertTrue(received(incomplete).get(0).startsWith("RTSP/1.0 400 "));
+        received(served);
+        send(served, "SETUP rtsp");
+        harness.advance(RtspFront.MESSAGE_TIMEOUT_US + SECOND_US / 2);
+        assertTrue(received(served).get(0).startsWith("RTSP/1.0 400 "));
+    }
+
+    /** With two requests under one session name, the edge server's answer could belong to either. */
     @Test
-    void aSessionAskedForTwiceOnOneConnectionIsNotServed() {
-        // Two requests under one number: whatever the server says then can't be told to belong to either.
+    void secondSetUpForOneSessionIsRejected() {
         send(channel, setUpMessage(sessionId(1), ""));
         send(channel, setUpMessage(sessionId(1), ""));
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(1, stage.count("box a giveUp"));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
-        assertEquals(0, stage.broker.counts().served);
+        assertEquals(1, harness.count("box a giveUp"));
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
+        assertEquals(0, harness.broker.counts().served);
     }
 
+    /**
+     * A connection that was to close after its answers stayed open until the viewer closed it, as it kept waiting for
+     * a set-up that had been torn down on another connection.
+     */
     @Test
-    void aConnectionThatEndsAfterItsAnswersEndsWhereTheLastIsGivenUpElsewhere() {
-        // It stayed open until its viewer closed it: what was torn down on another connection was waited for for ever.
+    void endingConnectionClosesWhenItsLastSetUpIsCancelledElsewhere() {
         EmbeddedChannel other = new EmbeddedChannel(front.accept());
         send(channel, setUpMessage(sessionId(1), ""));
         send(channel, "GET / HTTP/1.1\r\n\r\n");
         assertTrue(channel.isOpen());
         send(other, "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n\r\n");
         assertFalse(channel.isOpen());
-        assertEquals(1, stage.count("box a giveUp"));
+        assertEquals(1, harness.count("box a giveUp"));
     }
 
+    /** A duplicate on one connection must not affect a set-up for the same session on another connection. */
     @Test
-    void aSessionAskedForTwiceInOneReadIsNotTriedAndLeavesAnothersAlone() {
+    void duplicateSetUpInOneReadIsNotAttempted() {
         EmbeddedChannel other = new EmbeddedChannel(front.accept());
         send(other, setUpMessage(sessionId(1), ""));
         send(channel, setUpMessage(sessionId(1), "") + setUpMessage(sessionId(1), ""));
         List<String> answers =
-                received(channel).stream().filter(a -> !a.isEmpty()).toList();
+                received(channel).stream().filter(answer -> !answer.isEmpty()).toList();
         assertEquals(1, answers.size(), answers.toString());
         assertTrue(answers.get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(1, stage.count("box a setUp"), "the other connection's own");
-        assertEquals(0, stage.count("box a giveUp"));
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
+        assertEquals(1, harness.count("box a setUp"), "only the other connection's set-up");
+        assertEquals(0, harness.count("box a giveUp"));
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         assertTrue(received(other).get(0).startsWith("RTSP/1.0 200 "));
     }
 
     @Test
-    void theSessionOfAnotherConnectionStaysItsOwn() {
+    void sessionOfAnotherConnectionIsNotTakenOver() {
         EmbeddedChannel other = new EmbeddedChannel(front.accept());
         send(channel, setUpMessage(sessionId(1), ""));
         send(other, setUpMessage(sessionId(1), "").replace("abc", "xyz"));
         assertTrue(received(other).get(0).startsWith("RTSP/1.0 400 "));
         other.close();
-        stage.broker.setUpAnswered(stage.now, "a", sessionId(1), "");
+        harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 200 "));
     }
 
+    /**
+     * The edge server does not see these numbers and would accept the set-up, so a client that sends impossible ones
+     * would be served.
+     */
     @Test
-    void figuresThatNoViewerHasAreNotPassedOn() {
-        // The edge server sees none of these figures and would answer: a client with them must not hear 'served'.
+    void invalidNumbersAreRejected() {
         for (String info : List.of(
                 "home:-1;copies:3;top:4",
                 "home:3;copies:3;top:4",
@@ -449,24 +474,25 @@
                 "home:1e0;copies:3;top:4",
                 "home:0;copies:NaN;top:4",
                 "home:0;copies:3;top:4;at:nowhere")) {
-            EmbeddedChannel c = new EmbeddedChannel(front.accept());
-            send(c, setUpMessage(sessionId(1), "P-Trunk-Info: " + info + "\r\n"));
-            assertTrue(received(c).get(0).startsWith("RTSP/1.0 400 "), info);
-            c.close();
+            EmbeddedChannel client = new EmbeddedChannel(front.accept());
+            send(client, setUpMessage(sessionId(1), "P-Trunk-Info: " + info + "\r\n"));
+            assertTrue(received(client).get(0).startsWith("RTSP/1.0 400 "), info);
+            client.close();
         }
-        for (String patience : List.of("99999999", "1e3", "0x1p9", "3000d", "Infinity", "3,000", "")) {
-            EmbeddedChannel c = new EmbeddedChannel(front.accept());
-            send(c, setUpMessage(sessionId(1), "").replace("3000", patience));
-            assertTrue(received(c).get(0).startsWith("RTSP/1.0 400 "), patience);
-            c.close();
+        for (String expiresMs : List.of("99999999", "1e3", "0x1p9", "3000d", "Infinity", "3,000", "")) {
+            EmbeddedChannel client = new EmbeddedChannel(front.accept());
+            send(client, setUpMessage(sessionId(1), "").replace("3000", expiresMs));
+            assertTrue(received(client).get(0).startsWith("RTSP/1.0 400 "), expiresMs);
+            client.close();
         }
-        send(channel, setUpMessage(sessionId(1), "").replace("d=e\n", "d=e!")); // cut off, by a length that is wrong
+        // A truncated description, as if Content-Length were too small.
+        send(channel, setUpMessage(sessionId(1), "").replace("d=e\n", "d=e!"));
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(List.of(), stage.log);
+        assertEquals(List.of(), harness.log);
     }
 
     @Test
-    void whoGoesOnWithFaultyMessagesIsEnded() {
+    void connectionIsClosedAfterTooManyFaultyMessages() {
         for (int i = 0; i < RtspFront.MAX_FAULTY_MESSAGES; i++) {
             assertTrue(channel.isOpen());
             send(channel, setUpMessage(sessionId(i), "").replace("safe", "none"));
@@ -474,19 +500,22 @@
         assertFalse(channel.isOpen());
     }
 
+    /**
+     * If Retry-After were always rounded the same way, refused viewers that know no P-Back-Off would all come back at
+     * the same moment, or at once.
+     */
     @Test
-    void retryAfterKeepsTheMeanAndNeverSaysNow() {
-        // Rounded all one way, refused viewers that know Retry-After alone would come back in step or at once.
+    void retryAfterRoundingKeepsTheMeanWithinItsBounds() {
         java.util.SplittableRandom random = new java.util.SplittableRandom(3);
         long sum = 0;
         for (int i = 0; i < 1000; i++) {
-            long told = RtspFront.retryAfterSeconds(1_400_000, 2_000_000, random);
-            assertTrue(told == 1 || told == 2, "told " + told);
-            sum += told;
+            long seconds = RtspFront.retryAfterSeconds(1_400_000, 2_000_000, random);
+            assertTrue(seconds == 1 || seconds == 2, "Retry-After " + seconds);
+            sum += seconds;
         }
-        assertTrue(sum > 1330 && sum < 1470, "mean of a thousand: " + sum);
+        assertTrue(sum > 1330 && sum < 1470, "sum of a thousand values: " + sum);
         assertEquals(1, RtspFront.retryAfterSeconds(1000, 2_000_000, random));
-        assertEquals(1, RtspFront.retryAfterSeconds(1_999_999, 1_999_999, random), "the settings' longest time holds");
-        assertEquals(0, RtspFront.retryAfterSeconds(500_000, 900_000, random), "no whole second may be told");
+        assertEquals(1, RtspFront.retryAfterSeconds(1_999_999, 1_999_999, random), "never above the settings' maximum");
+        assertEquals(0, RtspFront.retryAfterSeconds(500_000, 900_000, random), "the maximum is under a second");
     }
 }
--- a/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
+++ b/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
@@ -19,19 +19,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Viewers that leave, on loopback sockets; the loop is held until both their set-up and their leaving have come. */
+/**
+ * Viewers that disconnect right after a set-up, on loopback sockets. The event loop is held until both the set-up and
+ * the disconnect have arrived, so that it finds them in one read; no attempt may then leave for a viewer that has
+ * gone.
+ */
 class ViewerDisconnectTest {
     private final Net net = new Net();
-    private final BrokerHarness stage = new BrokerHarness();
+    private final BrokerHarness harness = new BrokerHarness();
     private InetSocketAddress address;
 
     @BeforeEach
     void start() throws Exception {
         RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
-            clock.onWakeUp(deadlines::runDue);
-            return new RtspFront(stage.broker, stage, clock, deadlines, 10);
+            TimerQueue timers = new TimerQueue(clock::wakeAt);
+            clock.onWakeUp(timers::runDue);
+            return new RtspFront(harness.broker, harness, clock, timers, 10);
         });
         address = (InetSocketAddress)
                 net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), front::accept, () -> {}, true)
@@ -46,47 +50,47 @@
     }
 
     private Socket connect() throws Exception {
-        Socket s = new Socket(address.getAddress(), address.getPort());
-        s.setSoTimeout(20_000);
-        return s;
+        Socket socket = new Socket(address.getAddress(), address.getPort());
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
-    private static void send(Socket s, String text) throws Exception {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+    private static void send(Socket socket, String text) throws Exception {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Two tests passed on a connection of their own: all that had come before has been read meanwhile. */
+    /** Waits for two OPTIONS answers on a new connection; everything that arrived earlier has been read by then. */
     private void awaitEarlierReads() throws Exception {
-        try (Socket s = connect()) {
+        try (Socket socket = connect()) {
             for (int i = 0; i < 2; i++) {
-                send(s, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
-                assertReceived(s, "RTSP/1.0 200 OK\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
+                send(socket, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
+                assertReceived(socket, "RTSP/1.0 200 OK\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
             }
         }
     }
 
-    private static void assertReceived(Socket s, String expected) throws Exception {
-        InputStream in = s.getInputStream();
+    private static void assertReceived(Socket socket, String expected) throws Exception {
+        InputStream in = socket.getInputStream();
         assertEquals(expected, new String(in.readNBytes(expected.length()), StandardCharsets.UTF_8));
     }
 
     private long attempts() {
-        return net.callOnLoop(() -> stage.count("box a setUp"));
+        return net.callOnLoop(() -> harness.count("box a setUp"));
     }
 
-    /** What is left of all requests and connections; the last test's own connection may still be on its way out. */
+    /** Unanswered requests. Only the connection of the last OPTIONS may still be open, as it may be closing. */
     private int unanswered() {
         assertTrue(net.callOnLoop(net::connectionCount) <= 1, "connections left open");
-        return net.callOnLoop(stage.broker::unansweredRequests);
+        return net.callOnLoop(harness.broker::unansweredRequests);
     }
 
     @Test
-    void whoClosesInTheSameReadAsItsSetUpIsNotTried() throws Exception {
-        try (Socket s = connect()) {
-            CountDownLatch go = LoopBlocker.block(net);
-            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
-            s.close();
-            go.countDown();
+    void setUpClosedInTheSameReadIsNotAttempted() throws Exception {
+        try (Socket socket = connect()) {
+            CountDownLatch release = LoopBlocker.block(net);
+            send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
+            socket.close();
+            release.countDown();
             awaitEarlierReads();
             assertEquals(0, attempts());
             assertEquals(0, unanswered());
@@ -94,12 +98,12 @@
     }
 
     @Test
-    void whoClosesBeforeItsConnectionIsAcceptedIsNotTried() throws Exception {
-        CountDownLatch go = LoopBlocker.block(net);
-        try (Socket s = connect()) {
-            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
+    void setUpClosedBeforeItsConnectionIsAcceptedIsNotAttempted() throws Exception {
+        CountDownLatch release = LoopBlocker.block(net);
+        try (Socket socket = connect()) {
+            send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
         }
-        go.countDown();
+        release.countDown();
         awaitEarlierReads();
         awaitEarlierReads();
         assertEquals(0, attempts());
@@ -107,66 +111,68 @@
     }
 
     @Test
-    void whoBreaksOffInTheSameReadLeavesNothingBehind() throws Exception {
-        try (Socket s = connect()) {
-            CountDownLatch go = LoopBlocker.block(net);
-            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
-            s.setSoLinger(true, 0);
-            s.close();
-            go.countDown();
+    void setUpResetInTheSameReadLeavesNothingOpen() throws Exception {
+        try (Socket socket = connect()) {
+            CountDownLatch release = LoopBlocker.block(net);
+            send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
+            socket.setSoLinger(true, 0);
+            socket.close();
+            release.countDown();
             awaitEarlierReads();
             assertEquals(0, unanswered());
-            assertEquals(attempts(), net.callOnLoop(() -> stage.count("box a giveUp")));
+            assertEquals(attempts(), net.callOnLoop(() -> harness.count("box a giveUp")));
         }
     }
 
     @Test
-    void whoGivesUpInTheSameReadIsNotTried() throws Exception {
-        try (Socket s = connect()) {
-            CountDownLatch go = LoopBlocker.block(net);
-            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
+    void setUpTornDownInTheSameReadIsNotAttempted() throws Exception {
+        try (Socket socket = connect()) {
+            CountDownLatch release = LoopBlocker.block(net);
+            send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), ""));
             send(
-                    s,
+                    socket,
                     "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + RtspFrontTest.sessionId(1)
                             + "\r\n\r\n");
-            go.countDown();
+            release.countDown();
             assertReceived(
-                    s,
+                    socket,
                     "RTSP/1.0 200 OK\r\nCSeq: 2\r\nSession: " + RtspFrontTest.sessionId(1)
                             + "\r\nContent-Length: 0\r\n\r\n");
             assertEquals(0, attempts());
-            assertEquals(0, unanswered()); // its own is open
+            assertEquals(0, unanswered()); // the viewer's connection is still open
         }
     }
 
+    /**
+     * A half-close cannot be told from a full close. The connection used to be closed without answers, and the viewer's
+     * requests were lost.
+     */
     @Test
-    void whoOnlyHalfClosesHasOneWholeAnswerToEachAndNoFurtherAttempt() throws Exception {
-        // Nobody can tell it from one that has left; the connection ended without a word, and what it had asked was
-        // lost.
-        try (Socket s = connect()) {
+    void halfClosedConnectionGetsOneAnswerToEachSetUpAndNoFurtherAttempt() throws Exception {
+        try (Socket socket = connect()) {
             send(
-                    s,
+                    socket,
                     RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), "").replace("Class: safe", "Class: paid")
                             + RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(2), ""));
-            stage.await("box a setUp " + RtspFrontTest.sessionId(2));
-            CountDownLatch go = LoopBlocker.block(net);
-            send(s, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(3), ""));
-            s.shutdownOutput();
-            go.countDown();
+            harness.await("box a setUp " + RtspFrontTest.sessionId(2));
+            CountDownLatch release = LoopBlocker.block(net);
+            send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(3), ""));
+            socket.shutdownOutput();
+            release.countDown();
             List<String> answers = List.of(
-                    new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("(?=RTSP/1.0 )"));
+                    new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).split("(?=RTSP/1.0 )"));
             assertEquals(3, answers.size(), answers.toString());
             for (int i = 1; i <= 3; i++) {
-                String own = RtspFrontTest.sessionId(i);
+                String session = RtspFrontTest.sessionId(i);
                 String answer = answers.stream()
-                        .filter(a -> a.contains(own))
+                        .filter(candidate -> candidate.contains(session))
                         .findFirst()
                         .orElse("none");
                 assertTrue(answer.startsWith(i == 1 ? "RTSP/1.0 500 " : "RTSP/1.0 503 "), answer);
             }
             awaitEarlierReads();
             assertEquals(2, attempts());
-            assertEquals(2, net.callOnLoop(() -> stage.count("box a giveUp")));
+            assertEquals(2, net.callOnLoop(() -> harness.count("box a giveUp")));
             assertEquals(0, unanswered());
         }
     }
