--- a/src/test/java/dockshed/hls/HlsEndToEndTest.java
+++ b/src/test/java/dockshed/hls/HlsEndToEndTest.java
@@ -39,13 +39,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The whole HLS path on loopback sockets, with stand-ins for players, lesson boxes and Eureka. */
+/** HLS from player to edge server on loopback sockets, with stubs for players, edge servers and Eureka. */
 class HlsEndToEndTest {
     private static final String MASTER = "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=900\nmid.m3u8\n"
             + "#EXT-X-STREAM-INF:BANDWIDTH=100\nlow.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=2000\ntop.m3u8\n";
     private static final String MEDIA = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXTINF:4,\n0.ts\n#EXT-X-ENDLIST\n";
 
-    /** An HTTP server that answers with whatever text the function gives for the path; null: says nothing. */
+    /** An HTTP server that answers with the text that a function gives for the path; null leaves it unanswered. */
     static final class StubHttpServer implements AutoCloseable {
         final ServerSocket socket;
         final List<String> requestedPaths = java.util.Collections.synchronizedList(new ArrayList<>());
@@ -55,22 +55,22 @@
         StubHttpServer(Function<String, String> answers) throws IOException {
             this.responder = answers;
             socket = new ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
-            Thread t = new Thread(this::serve, "stand-in");
-            t.setDaemon(true);
-            t.start();
+            Thread thread = new Thread(this::serve, "stand-in");
+            thread.setDaemon(true);
+            thread.start();
         }
 
         private void serve() {
             while (!socket.isClosed()) {
                 try {
-                    Socket s = socket.accept();
-                    HttpStyleMessage m = read(s.getInputStream(), new HttpStyleMessageDecoder(1 << 16));
-                    requestedPaths.add(m.startLinePart(1));
-                    arrivals.add(m.startLinePart(1));
-                    String answer = responder.apply(m.startLinePart(1));
-                    if (answer != null) {
-                        s.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
-                        s.close();
+                    Socket connection = socket.accept();
+                    HttpStyleMessage request = read(connection.getInputStream(), new HttpStyleMessageDecoder(1 << 16));
+                    requestedPaths.add(request.startLinePart(1));
+                    arrivals.add(request.startLinePart(1));
+                    String response = responder.apply(request.startLinePart(1));
+                    if (response != null) {
+                        connection.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
+                        connection.close();
                     }
                 } catch (IOException | HttpStyleMessage.MalformedMessageException e) {
                     arrivals.add("broken");
@@ -92,68 +92,76 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static HttpStyleMessage read(InputStream in, HttpStyleMessageDecoder d)
+    private static HttpStyleMessage read(InputStream in, HttpStyleMessageDecoder decoder)
             throws IOException, HttpStyleMessage.MalformedMessageException {
-        byte[] buf = new byte[4096];
-        for (HttpStyleMessage m = d.next(); ; m = d.next()) {
-            if (m != null) {
-                return m;
+        byte[] buffer = new byte[4096];
+        for (HttpStyleMessage message = decoder.next(); ; message = decoder.next()) {
+            if (message != null) {
+                return message;
             }
-            int n = in.read(buf);
-            if (n < 0) {
+            int count = in.read(buffer);
+            if (count < 0) {
                 throw new IOException("closed before a whole message");
             }
-            d.add(buf, 0, n);
+            decoder.add(buffer, 0, count);
         }
     }
 
     private final Net net = new Net();
-    private final BrokerHarness stage = new BrokerHarness(); // stands in for the decisions, which the tests script
+    private final BrokerHarness harness = new BrokerHarness(); // plays the director, with decisions that each test sets
     private Director.Actions actions;
     private LoopClock clock;
-    private TimerQueue deadlines;
+    private TimerQueue timers;
     private Broker broker;
-    private HlsEdgeServers origins;
+    private HlsEdgeServers edgeServers;
     private HlsFront front;
-    private Channel listening;
+    private Channel listener;
     private StubHttpServer edgeServer;
     private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
-    private volatile int rung = 2;
-    private volatile long clockOffsetUs; // of the real time, for the front
+    private volatile int grantedRendition = 2;
+    private volatile long clockOffsetUs; // added to the real time for the front
 
     @BeforeEach
     void start() throws Exception {
         edgeServer = new StubHttpServer(path -> ok(path.endsWith("master.m3u8") ? MASTER : MEDIA));
         net.callOnLoop(() -> {
             clock = new LoopClock(net.loop());
-            deadlines = new TimerQueue(clock::wakeAt);
+            timers = new TimerQueue(clock::wakeAt);
             broker = new Broker(
-                    stage.settings,
+                    harness.settings,
                     a -> {
                         actions = a;
-                        return stage;
+                        return harness;
                     },
                     m -> {},
-                    deadlines);
+                    timers);
             clock.onWakeUp(broker::runDueTimers);
-            origins = new HlsEdgeServers(broker, net, clock, 250, new LoadReporter(broker, deadlines, stage.settings));
+            edgeServers =
+                    new HlsEdgeServers(broker, net, clock, 250, new LoadReporter(broker, timers, harness.settings));
             front = new HlsFront(
-                    broker, origins, () -> clock.now() + clockOffsetUs, deadlines, stage.settings, 60_000_000, 50, 1);
-            stage.onRequest = r -> {
+                    broker,
+                    edgeServers,
+                    () -> clock.now() + clockOffsetUs,
+                    timers,
+                    harness.settings,
+                    60_000_000,
+                    50,
+                    1);
+            harness.onRequest = r -> {
                 requests.add(r.id());
-                actions.setRendition(r.id(), rung);
+                actions.setRendition(r.id(), grantedRendition);
                 actions.send(r.id(), "a", 0);
             };
-            stage.onOutcome = id -> {
+            harness.onOutcome = id -> {
                 outcomes.add(id);
                 actions.fail(id);
             };
-            origins.setAddresses(Map.of("a", edgeServer.address()));
+            edgeServers.setAddresses(Map.of("a", edgeServer.address()));
             announceServer(State.UP);
             return null;
         });
-        listening = net.listen(new InetSocketAddress("127.0.0.1", 0), front::accept)
+        listener = net.listen(new InetSocketAddress("127.0.0.1", 0), front::accept)
                 .sync()
                 .channel();
     }
@@ -169,15 +177,16 @@
                 clock.now(), "eureka", ListScope.SNAPSHOT, List.of(new Server("a", "east", "k", 0, state, 1, 0)));
     }
 
-    /** What a player gets. */
+    /** Sends one request as a player and returns the whole response. */
     private HttpStyleMessage fetch(String method, String target) throws Exception {
-        try (Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort())) {
-            s.setSoTimeout(20_000);
-            s.getOutputStream()
+        try (Socket socket = new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort())) {
+            socket.setSoTimeout(20_000);
+            socket.getOutputStream()
                     .write((method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.UTF_8));
-            HttpStyleMessage m = read(s.getInputStream(), new HttpStyleMessageDecoder(1 << 20));
-            assertEquals(m.body().length, Integer.parseInt(m.header("content-length")), "a cut answer would show");
-            return m;
+            HttpStyleMessage response = read(socket.getInputStream(), new HttpStyleMessageDecoder(1 << 20));
+            assertEquals(
+                    response.body().length, Integer.parseInt(response.header("content-length")), "truncated response");
+            return response;
         }
     }
 
@@ -185,57 +194,62 @@
         return fetch("GET", target);
     }
 
-    private static String lessonPath(String cls, String viewer) {
-        return "/lessons/milk%20sensor/master.m3u8?class=" + cls + "&viewer=" + viewer;
+    private static String lessonPath(String className, String viewer) {
+        return "/lessons/milk%20sensor/master.m3u8?class=" + className + "&viewer=" + viewer;
     }
 
     private static List<String> uris(HttpStyleMessage playlist) {
         return playlist.bodyText().lines().filter(l -> !l.startsWith("#")).toList();
     }
 
-    /** The class terms, on every playlist that was fetched: the paid class is never offered the lowest rung. */
+    /** Checks the class terms on a fetched playlist: the paid class is never offered the lowest rendition. */
     private static void assertWithinClassTerms(HttpStyleMessage playlist) {
         assertEquals(200, playlist.status());
         assertFalse(playlist.bodyText().contains("BANDWIDTH=100\n"), playlist.bodyText());
         assertTrue(playlist.bodyText().contains("BANDWIDTH=900\n"), playlist.bodyText());
     }
 
-    /** A viewer that asks, and waits for as long as its connection is open. */
+    /** Sends a GET and leaves the connection open; the caller reads the response. */
     private Socket sendGet(String target) throws Exception {
-        Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort());
-        s.setSoTimeout(20_000);
-        s.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.UTF_8));
-        return s;
+        Socket socket = new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort());
+        socket.setSoTimeout(20_000);
+        socket.getOutputStream()
+                .write(("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+        return socket;
     }
 
+    /**
+     * A request is cancelled once all players that wait for it have disconnected. One of a paid class goes on, and a
+     * player that comes back gets its session instead of paying again.
+     */
     @Test
-    void whatNobodyWaitsForAnyMoreIsNotTriedAnyMoreAndAPaidOneIsKeptForWhoComesBack() throws Exception {
-        stage.onRequest = r -> requests.add(r.id()); // it waits
+    void abandonedRequestIsCancelledUnlessItIsPaid() throws Exception {
+        harness.onRequest = r -> requests.add(r.id()); // the request stays unanswered
         Socket safe = sendGet(lessonPath("safe", "v"));
-        Socket again = sendGet(lessonPath("safe", "v"));
-        String held = requests.take();
+        Socket secondSafe = sendGet(lessonPath("safe", "v"));
+        String safeRequest = requests.take();
         Socket paid = sendGet(lessonPath("paid", "v"));
-        String kept = requests.take();
+        String paidRequest = requests.take();
         safe.close();
-        again.close();
-        stage.await("module gone");
+        secondSafe.close();
+        harness.await("module gone");
         paid.close();
         assertEquals(1, net.callOnLoop(broker::unansweredRequests));
-        try (Socket back = sendGet(lessonPath("paid", "v"))) {
+        try (Socket returning = sendGet(lessonPath("paid", "v"))) {
             net.callOnLoop(() -> {
-                actions.send(held, "a", 0);
-                actions.setRendition(kept, 2);
-                actions.send(kept, "a", 0);
+                actions.send(safeRequest, "a", 0);
+                actions.setRendition(paidRequest, 2);
+                actions.send(paidRequest, "a", 0);
                 return null;
             });
-            assertWithinClassTerms(read(back.getInputStream(), new HttpStyleMessageDecoder(1 << 20)));
+            assertWithinClassTerms(read(returning.getInputStream(), new HttpStyleMessageDecoder(1 << 20)));
         }
         assertEquals(1, edgeServer.requestedPaths.size());
         assertEquals(0, requests.size());
     }
 
     @Test
-    void aPaidLessonIsSetUpOnceAndPlayedThroughItsSession() throws Exception {
+    void paidLessonIsSetUpOnceAndPlayedThroughItsSession() throws Exception {
         HttpStyleMessage first = get(lessonPath("paid", "v"));
         assertWithinClassTerms(first);
         assertEquals(List.of("/lessons/milk%20sensor/master.m3u8"), edgeServer.requestedPaths);
@@ -244,7 +258,7 @@
         HttpStyleMessage media = get(uris.get(0));
         assertTrue(media.bodyText()
                 .contains("\nhttp://127.0.0.1:" + edgeServer.address().getPort() + "/lessons/milk%20sensor/0.ts\n"));
-        // Fetched again by the lesson's or the session's address: the same session, no second set-up.
+        // Fetched again by the lesson's or the session's address, it is the same session without a second set-up.
         assertWithinClassTerms(get(lessonPath("paid", "v")));
         assertWithinClassTerms(get(uris.get(0).replaceAll("[0-9]+\\.m3u8$", "master.m3u8")));
         assertEquals(uris, uris(get(lessonPath("paid", "v"))));
@@ -254,13 +268,13 @@
                 edgeServer.requestedPaths.stream()
                         .filter(p -> p.endsWith("master.m3u8"))
                         .count());
-        // Another viewer's lesson is another session.
+        // Another viewer gets another session for the lesson.
         assertNotEquals(uris, uris(get(lessonPath("paid", "w"))));
         assertEquals(2, requests.size());
     }
 
     @Test
-    void aRungChangeReachesTheNextFetch() throws Exception {
+    void renditionChangeAppliesToTheNextFetch() throws Exception {
         List<String> uris = uris(get(lessonPath("paid", "v")));
         String id = requests.take();
         net.callOnLoop(() -> {
@@ -275,22 +289,22 @@
         assertEquals(
                 List.of("/lessons/milk%20sensor/mid.m3u8"),
                 edgeServer.requestedPaths,
-                "the top asked for, the middle given");
+                "highest requested, middle granted");
     }
 
     @Test
-    void theLowestRungCannotBeFetchedByGuessing() throws Exception {
+    void lowestRenditionCannotBeFetchedByGuessingItsAddress() throws Exception {
         String session = uris(get(lessonPath("paid", "v"))).get(0).replaceAll("[0-9]+\\.m3u8$", "");
         assertEquals(404, get(session + "1.m3u8").status());
         assertEquals(404, get(session + "99.m3u8").status());
         assertFalse(edgeServer.requestedPaths.contains("/lessons/milk%20sensor/low.m3u8"));
     }
 
+    /** A player fetches its playlists again after its edge server began to drain: only cached ones may be served. */
     @Test
-    void afterADrainTheBoxHearsNothingNew() throws Exception {
-        // The brief's hard case: a playlist fetched again after its box began to drain.
+    void drainingEdgeServerGetsNoFurtherRequests() throws Exception {
         List<String> uris = uris(get(lessonPath("paid", "v")));
-        String held = get(uris.get(0)).bodyText();
+        String cached = get(uris.get(0)).bodyText();
         net.callOnLoop(() -> {
             announceServer(State.DRAINING);
             return null;
@@ -298,15 +312,15 @@
         clockOffsetUs = 1_000_000;
         edgeServer.requestedPaths.clear();
         assertWithinClassTerms(get(lessonPath("paid", "v")));
-        assertEquals(held, get(uris.get(0)).bodyText());
-        assertEquals(410, get(uris.get(1)).status(), "not held: a final error");
-        assertEquals(410, get(uris.get(0)).status(), "and the session is over");
+        assertEquals(cached, get(uris.get(0)).bodyText());
+        assertEquals(410, get(uris.get(1)).status(), "not cached, so the session ends");
+        assertEquals(410, get(uris.get(0)).status(), "the session has ended");
         assertEquals(List.of(), edgeServer.requestedPaths);
         assertEquals(1, requests.size());
     }
 
     @Test
-    void anUnknownSessionIsNeverSetUp() throws Exception {
+    void unknownSessionIsNeverSetUp() throws Exception {
         assertEquals(404, get("/sessions/0123456789abcdef/master.m3u8").status());
         assertEquals(404, get("/sessions/0123456789abcdef/0.m3u8").status());
         assertEquals(404, fetch("DELETE", "/sessions/0123456789abcdef").status());
@@ -314,7 +328,7 @@
     }
 
     @Test
-    void aDeletedSessionIsGone() throws Exception {
+    void deletedSessionGets410() throws Exception {
         String uri = uris(get(lessonPath("paid", "v"))).get(0);
         assertEquals(204, fetch("DELETE", uri.replaceAll("/[0-9]+\\.m3u8$", "")).status());
         assertEquals(410, get(uri).status());
@@ -322,22 +336,22 @@
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() throws Exception {
-        stage.onRequest = r -> actions.refuse(r.id(), 1_200_000);
-        HttpStyleMessage m = get(lessonPath("paid", "v"));
-        assertEquals(503, m.status());
-        assertEquals("2", m.header("retry-after"));
+    void refusalCarriesRetryAfter() throws Exception {
+        harness.onRequest = r -> actions.refuse(r.id(), 1_200_000);
+        HttpStyleMessage response = get(lessonPath("paid", "v"));
+        assertEquals(503, response.status());
+        assertEquals("2", response.header("retry-after"));
     }
 
     @Test
-    void aBoxThatSaysNothingIsATimeOutAndIsNotAskedTwice() throws Exception {
+    void silentEdgeServerLeadsTo504AndIsNotAskedTwice() throws Exception {
         edgeServer.responder = path -> null;
         assertEquals(504, get(lessonPath("paid", "v") + "&expires_ms=300").status());
         assertEquals(1, edgeServer.requestedPaths.size());
     }
 
     @Test
-    void aBadUpstreamIsABadGateway() throws Exception {
+    void invalidResponseOfTheEdgeServerLeadsTo502() throws Exception {
         for (String answer : List.of(
                 "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                 ok("no playlist"),
@@ -348,28 +362,28 @@
             edgeServer.responder = path -> answer;
             assertEquals(502, get(lessonPath("paid", "v")).status(), answer);
         }
-        assertEquals(6, edgeServer.requestedPaths.size(), "paid: each was tried once");
+        assertEquals(6, edgeServer.requestedPaths.size(), "a paid request is attempted once only");
         edgeServer.responder = path -> ok(path.endsWith("master.m3u8") ? MASTER : "HTTP/1.1 404 Not Found\r\n\r\n");
         assertEquals(502, get(uris(get(lessonPath("paid", "v"))).get(0)).status());
     }
 
     @Test
-    void aMediaPlaylistElsewhereIsNotFetched() throws Exception {
+    void mediaPlaylistOnAnotherServerIsNotFetched() throws Exception {
         edgeServer.responder = path -> ok("#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\nx\n"
                 + "#EXT-X-STREAM-INF:BANDWIDTH=2\nhttp://127.0.0.1:1/other.m3u8\n");
         assertEquals(502, get(uris(get(lessonPath("paid", "v"))).get(0)).status());
     }
 
     @Test
-    void badRequestsAreToldSo() throws Exception {
-        for (String bad : List.of(
+    void invalidRequestsAreRejected() throws Exception {
+        for (String path : List.of(
                 "/lessons/t/master.m3u8",
                 lessonPath("none", "v"),
                 "/lessons/t/master.m3u8?class=paid",
                 lessonPath("paid", "v") + "&expires_ms=soon",
                 lessonPath("paid", "v") + "&expires_ms=0",
                 "/lessons/%zz/master.m3u8?class=paid&viewer=v")) {
-            assertEquals(400, get(bad).status(), bad);
+            assertEquals(400, get(path).status(), path);
         }
         assertEquals(404, get("/other").status());
         assertEquals(405, fetch("POST", "/lessons/t/master.m3u8").status());
@@ -377,26 +391,26 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTurnAndGarbageEndsTheConnection() throws Exception {
-        try (Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort())) {
-            s.setSoTimeout(20_000);
-            s.getOutputStream()
+    void pipelinedRequestsAreAnsweredInOrderAndMalformedOneClosesTheConnection() throws Exception {
+        try (Socket socket = new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort())) {
+            socket.setSoTimeout(20_000);
+            socket.getOutputStream()
                     .write(("GET " + lessonPath("paid", "v") + " HTTP/1.1\r\n\r\nGET /other HTTP/1.1\r\n\r\n"
                                     + "no header line\r\nat all\r\n\r\n")
                             .getBytes(StandardCharsets.UTF_8));
-            HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(1 << 20);
-            InputStream in = s.getInputStream();
-            assertEquals(200, read(in, d).status());
-            assertEquals(404, read(in, d).status());
-            assertEquals(400, read(in, d).status());
+            HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 20);
+            InputStream in = socket.getInputStream();
+            assertEquals(200, read(in, decoder).status());
+            assertEquals(404, read(in, decoder).status());
+            assertEquals(400, read(in, decoder).status());
             assertEquals(-1, in.read());
         }
     }
 
     @Test
-    void aViewerWhoAsksAgainWhileWaitingSharesTheOneSetUp() throws Exception {
-        CompletableFuture<String> may = new CompletableFuture<>();
-        edgeServer.responder = path -> may.join();
+    void repeatedRequestWhileWaitingSharesTheSetUp() throws Exception {
+        CompletableFuture<String> response = new CompletableFuture<>();
+        edgeServer.responder = path -> response.join();
         CompletableFuture<HttpStyleMessage> first = CompletableFuture.supplyAsync(() -> {
             try {
                 return get(lessonPath("paid", "v"));
@@ -405,14 +419,14 @@
             }
         });
         edgeServer.arrivals.poll(20, TimeUnit.SECONDS);
-        try (Socket s = new Socket("127.0.0.1", ((InetSocketAddress) listening.localAddress()).getPort())) {
-            s.setSoTimeout(20_000);
-            // The unknown path's answer shows that the front has taken the lesson's request before it.
-            s.getOutputStream()
+        try (Socket socket = new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort())) {
+            socket.setSoTimeout(20_000);
+            // The answer for the unknown path shows that the front has read the lesson's request before it.
+            socket.getOutputStream()
                     .write(("GET " + lessonPath("paid", "v") + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.UTF_8));
             assertEquals(404, get("/other").status());
-            may.complete(ok(MASTER));
-            assertWithinClassTerms(read(s.getInputStream(), new HttpStyleMessageDecoder(1 << 20)));
+            response.complete(ok(MASTER));
+            assertWithinClassTerms(read(socket.getInputStream(), new HttpStyleMessageDecoder(1 << 20)));
         }
         assertWithinClassTerms(first.get(20, TimeUnit.SECONDS));
         assertEquals(1, requests.size());
@@ -420,10 +434,10 @@
     }
 
     @Test
-    void aBoxThatLeavesTheListWhileItAnswersIsABadGateway() throws Exception {
+    void edgeServerRemovedDuringTheSetUpLeadsTo502() throws Exception {
         edgeServer.responder = path -> {
             net.callOnLoop(() -> {
-                origins.setAddresses(Map.of());
+                edgeServers.setAddresses(Map.of());
                 return null;
             });
             return ok(MASTER);
@@ -432,58 +446,60 @@
         assertEquals(0, (int) net.callOnLoop(broker::activeSessions));
     }
 
+    /** Players on phones disappear without closing; their connections must not use up the file descriptors. */
     @Test
-    void anIdleConnectionIsClosed() throws Exception {
-        // Players on phones vanish without a word; their connections must not use up the descriptors.
-        long[] at = {0};
-        TimerQueue own = new TimerQueue(t -> {});
-        HlsFront f = new HlsFront(broker, origins, () -> at[0], own, stage.settings, 60_000_000, 50, 1);
-        EmbeddedChannel ch = new EmbeddedChannel(f.accept());
-        at[0] = 20_000_000;
-        ch.writeInbound(Net.toByteBuf("GET /other HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
-        at[0] = 31_000_000;
-        own.runDue(at[0]);
-        assertTrue(ch.isOpen(), "used eleven seconds ago");
-        at[0] = 50_000_000;
-        own.runDue(at[0]);
-        assertFalse(ch.isOpen());
+    void idleConnectionIsClosed() throws Exception {
+        long[] now = {0};
+        TimerQueue ownTimers = new TimerQueue(wakeAt -> {});
+        HlsFront ownFront =
+                new HlsFront(broker, edgeServers, () -> now[0], ownTimers, harness.settings, 60_000_000, 50, 1);
+        EmbeddedChannel channel = new EmbeddedChannel(ownFront.accept());
+        now[0] = 20_000_000;
+        channel.writeInbound(Net.toByteBuf("GET /other HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8)));
+        now[0] = 31_000_000;
+        ownTimers.runDue(now[0]);
+        assertTrue(channel.isOpen(), "used eleven seconds ago");
+        now[0] = 50_000_000;
+        ownTimers.runDue(now[0]);
+        assertFalse(channel.isOpen());
     }
 
     @Test
-    void aLostBoxEndsItsSessions() throws Exception {
+    void lostEdgeServerEndsItsSessions() throws Exception {
         String uri = uris(get(lessonPath("paid", "v"))).get(0);
         net.callOnLoop(() -> {
-            broker.serverLost(clock.now(), origins, "a", clock.now() + 1);
+            broker.serverLost(clock.now(), edgeServers, "a", clock.now() + 1);
             return null;
         });
         assertEquals(410, get(uri).status());
     }
 
     @Test
-    void eurekasListIsFetchedWholeThenByDeltaAndWholeAgainOnAMismatch() throws Exception {
-        String one = "{\"instanceId\":\"a\",\"app\":\"BOXES\",\"ipAddr\":\"127.0.0.1\",\"status\":\"UP\","
+    void eurekaListIsFetchedByDeltaAndInFullAfterAMismatch() throws Exception {
+        String first = "{\"instanceId\":\"a\",\"app\":\"BOXES\",\"ipAddr\":\"127.0.0.1\",\"status\":\"UP\","
                 + "\"actionType\":\"ADDED\",\"port\":{\"$\":9001}}";
-        String two = one.replace("\"a\"", "\"b\"");
+        String second = first.replace("\"a\"", "\"b\"");
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
-        List<String> script = List.of(apps("UP_1_", one), apps("UP_2_", two), apps("UP_9_"), apps("UP_1_", two));
-        int[] turn = {0};
+        List<String> responses =
+                List.of(apps("UP_1_", first), apps("UP_2_", second), apps("UP_9_"), apps("UP_1_", second));
+        int[] next = {0};
         try (StubHttpServer eureka =
-                new StubHttpServer(path -> turn[0] < script.size() ? ok(script.get(turn[0]++)) : null)) {
+                new StubHttpServer(path -> next[0] < responses.size() ? ok(responses.get(next[0]++)) : null)) {
             net.callOnLoop(() -> {
                 new EurekaClient(
                                 new HlsConfig.Eureka(eureka.address(), "/eureka", "BOXES", 1000),
                                 net,
                                 clock,
-                                deadlines,
-                                l -> sizes.add(l.size()))
+                                timers,
+                                list -> sizes.add(list.size()))
                         .start();
                 return null;
             });
-            List<Integer> seen = new ArrayList<>();
+            List<Integer> observed = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                seen.add(sizes.poll(20, TimeUnit.SECONDS));
+                observed.add(sizes.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals(List.of(1, 2, 1), seen);
+            assertEquals(List.of(1, 2, 1), observed);
             assertEquals(
                     List.of("/eureka/apps", "/eureka/apps/delta", "/eureka/apps/delta", "/eureka/apps"),
                     List.copyOf(eureka.requestedPaths).subList(0, 4));
@@ -491,7 +507,7 @@
     }
 
     @Test
-    void whileEurekaIsOutOfReachTheLastListStands() throws Exception {
+    void lastEurekaListIsKeptWhileEurekaIsUnreachable() throws Exception {
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         StubHttpServer eureka = new StubHttpServer(path -> ok(apps("")));
         net.callOnLoop(() -> {
@@ -499,8 +515,8 @@
                             new HlsConfig.Eureka(eureka.address(), "/eureka", "BOXES", 1000),
                             net,
                             clock,
-                            deadlines,
-                            l -> sizes.add(l.size()))
+                            timers,
+                            list -> sizes.add(list.size()))
                     .start();
             return null;
         });
@@ -512,7 +528,7 @@
         }
         sizes.clear();
         eureka.arrivals.poll(20, TimeUnit.SECONDS);
-        assertEquals(0, sizes.size(), "an error is no empty list");
+        assertEquals(0, sizes.size(), "an error does not empty the list");
         eureka.close();
     }
 
--- a/src/test/java/dockshed/hls/PlaylistsTest.java
+++ b/src/test/java/dockshed/hls/PlaylistsTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.UniqueElements;
 import org.junit.jupiter.api.Test;
 
-/** Playlists as a session sees them. */
+/** Rewriting of playlists for a session. */
 class PlaylistsTest {
     private static final URI BASE = URI.create("http://127.0.0.1:9/lessons/t/master.m3u8");
     private static final String LADDER = """
@@ -35,12 +35,13 @@
             top/index.m3u8
             """;
 
-    private static String rewrite(int floor, int rung) throws UnusablePlaylistException {
-        return MultivariantPlaylist.parse(LADDER).rewrite(floor, rung, BASE, n -> "/sessions/s/" + n + ".m3u8");
+    private static String rewrite(int lowest, int highest) throws UnusablePlaylistException {
+        return MultivariantPlaylist.parse(LADDER)
+                .rewrite(lowest, highest, BASE, number -> "/sessions/s/" + number + ".m3u8");
     }
 
     @Test
-    void onlyTheGrantedVariantsAreListedInWhateverOrderTheyCame() throws Exception {
+    void onlyGrantedVariantsAreListedInAnyOrder() throws Exception {
         assertEquals("""
                 #EXTM3U
                 #EXT-X-VERSION:4
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void noVariantLeftIsAFailure() throws Exception {
+    void rewriteFailsIfNoVariantIsGranted() throws Exception {
         String single = "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=7\na.m3u8\n";
         assertFalse(MultivariantPlaylist.parse(single).hasVariant(1, 4));
         assertThrows(
@@ -64,17 +65,17 @@
     }
 
     @Test
-    void aRungTakenAwayIsReplacedByTheBestUnderIt() throws Exception {
-        MultivariantPlaylist m = MultivariantPlaylist.parse(LADDER);
-        assertEquals(4, m.substitute(4, 1, 2), "granted: itself");
-        assertEquals(2, m.substitute(4, 1, 1), "the top asked for, the middle granted");
-        assertEquals(-1, m.substitute(3, 1, 2), "the lowest is under the floor, and nothing is under it");
-        assertEquals(0, m.substitute(0, 1, 1), "sound belongs to no rung");
+    void renditionNoLongerGrantedIsReplacedByTheBestBelowIt() throws Exception {
+        MultivariantPlaylist playlist = MultivariantPlaylist.parse(LADDER);
+        assertEquals(4, playlist.substitute(4, 1, 2), "granted, so not replaced");
+        assertEquals(2, playlist.substitute(4, 1, 1), "highest requested, middle granted");
+        assertEquals(-1, playlist.substitute(3, 1, 2), "lowest is not granted, and there is none below it");
+        assertEquals(0, playlist.substitute(0, 1, 1), "audio belongs to no rendition");
     }
 
     @Test
-    void whatIsNoMultivariantPlaylistIsUnfit() {
-        for (String bad : List.of(
+    void malformedMultivariantPlaylistsAreRejected() {
+        for (String malformed : List.of(
                 "",
                 "x",
                 "#EXTM3U\n",
@@ -83,19 +84,20 @@
                 "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n",
                 "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=-1\na\n",
                 "#EXTM3U\n#EXT-X-STREAM-INF:X=\"BANDWIDTH=1\na\n")) {
-            assertThrows(UnusablePlaylistException.class, () -> MultivariantPlaylist.parse(bad), bad);
+            assertThrows(UnusablePlaylistException.class, () -> MultivariantPlaylist.parse(malformed), malformed);
         }
     }
 
     @Test
-    void aMediaPlaylistNamesItsSegmentsOnTheBox() throws Exception {
+    void mediaPlaylistUrisAreMadeAbsolute() throws Exception {
         String text = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n#EXT-X-MAP:URI=\"init.mp4\",BYTERANGE=\"1@0\"\n"
                 + "#EXTINF:4.0,\r\nseg 1.ts\n".replace(" ", "") + "#EXTINF:2.5,\n/abs/2.ts\n#EXT-X-ENDLIST\n";
         URI base = URI.create("http://127.0.0.1:9/lessons/t/low/index.m3u8");
-        String out = Playlists.rewriteMediaPlaylist(text, base);
-        assertTrue(out.contains("#EXT-X-MAP:URI=\"http://127.0.0.1:9/lessons/t/low/init.mp4\",BYTERANGE=\"1@0\"\n"));
-        assertTrue(out.contains("\nhttp://127.0.0.1:9/lessons/t/low/seg1.ts\n"));
-        assertTrue(out.contains("\nhttp://127.0.0.1:9/abs/2.ts\n"));
+        String rewritten = Playlists.rewriteMediaPlaylist(text, base);
+        assertTrue(
+                rewritten.contains("#EXT-X-MAP:URI=\"http://127.0.0.1:9/lessons/t/low/init.mp4\",BYTERANGE=\"1@0\"\n"));
+        assertTrue(rewritten.contains("\nhttp://127.0.0.1:9/lessons/t/low/seg1.ts\n"));
+        assertTrue(rewritten.contains("\nhttp://127.0.0.1:9/abs/2.ts\n"));
         assertEquals(6_500_000, Playlists.playDurationUs(text));
         assertEquals(12_000_000, Playlists.playDurationUs(text.replace("#EXT-X-ENDLIST", "")));
         assertThrows(
@@ -104,31 +106,31 @@
         assertThrows(UnusablePlaylistException.class, () -> Playlists.rewriteMediaPlaylist(LADDER, base));
     }
 
-    /** The class terms, for any ladder in any order: nothing listed lies under the floor or over the grant. */
+    /** For any bandwidths in any order, exactly the variants from the lowest to the highest granted are listed. */
     @Property(seed = "20261201", tries = 500)
-    void everyListedVariantIsWithinTheTerms(
-            @ForAll @Size(min = 1, max = 7) @UniqueElements List<@IntRange(min = 1, max = 9) Integer> rates,
-            @ForAll @IntRange(max = 3) int floor,
-            @ForAll @IntRange(max = 3) int above)
+    void everyListedVariantIsWithinTheGrant(
+            @ForAll @Size(min = 1, max = 7) @UniqueElements List<@IntRange(min = 1, max = 9) Integer> bandwidths,
+            @ForAll @IntRange(max = 3) int lowest,
+            @ForAll @IntRange(max = 3) int steps)
             throws Exception {
         StringBuilder text = new StringBuilder("#EXTM3U\n");
-        rates.forEach(r -> text.append("#EXT-X-STREAM-INF:BANDWIDTH=")
-                .append(r)
+        bandwidths.forEach(bandwidth -> text.append("#EXT-X-STREAM-INF:BANDWIDTH=")
+                .append(bandwidth)
                 .append("\n")
-                .append(r)
+                .append(bandwidth)
                 .append("\n"));
-        List<Integer> ladder = new ArrayList<>(rates);
+        List<Integer> ladder = new ArrayList<>(bandwidths);
         ladder.sort(null);
-        MultivariantPlaylist m = MultivariantPlaylist.parse(text.toString());
-        assertEquals(floor < rates.size(), m.hasVariant(floor, floor + above));
-        if (floor < rates.size()) {
-            List<Integer> listed = m.rewrite(floor, floor + above, BASE, n -> "n")
+        MultivariantPlaylist playlist = MultivariantPlaylist.parse(text.toString());
+        assertEquals(lowest < bandwidths.size(), playlist.hasVariant(lowest, lowest + steps));
+        if (lowest < bandwidths.size()) {
+            List<Integer> listed = playlist.rewrite(lowest, lowest + steps, BASE, n -> "n")
                     .lines()
-                    .filter(l -> l.startsWith("#EXT-X-STREAM-INF"))
-                    .map(l -> Integer.valueOf(l.split("=")[1]))
+                    .filter(line -> line.startsWith("#EXT-X-STREAM-INF"))
+                    .map(line -> Integer.valueOf(line.split("=")[1]))
                     .sorted()
                     .toList();
-            assertEquals(ladder.subList(floor, Math.min(floor + above + 1, ladder.size())), listed);
+            assertEquals(ladder.subList(lowest, Math.min(lowest + steps + 1, ladder.size())), listed);
         }
     }
 }
