--- a/src/main/java/dockshed/hls/Playlists.java
+++ b/src/main/java/dockshed/hls/Playlists.java
@@ -39,7 +39,7 @@
         private final Map<Integer, Integer> mediaPlaylistByLine = new LinkedHashMap<>();
         /** For the tag and the URI line of each variant. */
         private final Map<Integer, Integer> renditionByLine = new LinkedHashMap<>();
-
+        /** Lines that no session is given. */
         private final Set<Integer> droppedLines = new HashSet<>();
 
         private MultivariantPlaylist(List<String> lines) {
@@ -216,7 +216,7 @@
         }
     }
 
-    /** Splits a playlist into lines. */
+    /** Splits a playlist into lines, the first of which must be #EXTM3U. */
     private static List<String> lines(String text) throws UnusablePlaylistException {
         List<String> lines = List.of(text.split("\r?\n"));
         if (!lines.get(0).equals("#EXTM3U")) {
@@ -284,6 +284,7 @@
         return uri == null || uri.isEmpty() ? line : withUriAttribute(line, resolve(base, uri));
     }
 
+    /** Returns a URI made absolute against {@code base}. */
     static String resolve(URI base, String uri) throws UnusablePlaylistException {
         try {
             return base.resolve(uri).toString();
--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -175,11 +175,11 @@
         private final Map<String, PendingSetUp> pendingSetUps = new LinkedHashMap<>();
 
         private Channel channel;
-        private long handle;
-        private boolean ending;
-        private boolean sentRequest;
-        private boolean sentSetUp;
-        private boolean closeScheduled;
+        private long handle; // under which the broker knows the connection
+        private boolean ending; // no further input is accepted
+        private boolean sentRequest; // the viewer has sent a complete message
+        private boolean sentSetUp; // the viewer has sent a valid set-up
+        private boolean closeScheduled; // chosen to make room, closed after CLOSE_DELAY_US unless it is used until then
         private boolean outputClosed; // all answers owed are written; our output is closed or is about to be
         private long pendingSinceUs; // start of waiting for a first message, a message's rest, or the close; else -1
         private long lastUsedUs;
@@ -416,7 +416,7 @@
             throws HttpStyleMessage.MalformedMessageException {
         Channel channel = connection.channel;
         if (message.startLine().startsWith("RTSP/")) {
-            if ("2".equals(message.header("cseq"))) {
+            if ("2".equals(message.header("cseq"))) { // answers a TEARDOWN of ours, see sendRequest
                 broker.endConfirmed(connection.handle, message.header("session", ""));
             }
             return;
@@ -476,7 +476,7 @@
         if (setUp.playingServer() != null) {
             if (!broker.adoptSession(clock.now(), connection.handle, this, servers, request, setUp.playingServer())) {
                 connection.rejectSetUp(
-                        "P-Trunk-Info: at names no known edge server, or another field is out of range", message);
+                        "edge server in field at or Priority-Class is unknown, or a number is out of range", message);
             }
             return;
         }
@@ -521,11 +521,11 @@
 
     /**
      * Rounds microseconds to whole seconds, up or down at random, so that the mean and the spread over many refusals
-     * are preserved. Returns at least 1, but 0 if the settings' maximum, {@code longestMicros}, is under a second.
+     * are preserved. Returns at least 1, but 0 if the settings' maximum, {@code maxMicros}, is under a second.
      */
-    static long retryAfterSeconds(long micros, long longestMicros, SplittableRandom random) {
+    static long retryAfterSeconds(long micros, long maxMicros, SplittableRandom random) {
         long carry = random.nextLong(1_000_000) < micros % 1_000_000 ? 1 : 0;
-        return Math.min(Math.max(1, micros / 1_000_000 + carry), longestMicros / 1_000_000);
+        return Math.min(Math.max(1, micros / 1_000_000 + carry), maxMicros / 1_000_000);
     }
 
     @Override
