--- a/src/main/java/dockshed/choice/Choice.java
+++ b/src/main/java/dockshed/choice/Choice.java
@@ -18,16 +18,19 @@
  * spent, at which price, and what is kept back. What is known is in {@code dockshed.model}.
  */
 public final class Choice implements Director {
-    static final long SECOND = 1_000_000;
-    private static final long SWEEP = SECOND / 2; // between looks at playing sessions
-    private static final long QUOTA_PERIOD = 5 * SECOND; // between recomputes of Method II
-    private static final double PRIOR_ENDS = 3; // ends that the prior stay weighs as much as
-    private static final long SET_UPS_OVER = 2 * SECOND; // own set-ups are counted over that
-    private static final long RATION_MARGIN = SECOND / 100; // requests are counted over less than their attempts
-    private static final double UPLINK_HOPE = 1.2; // told uplink is tried so far up where only shortage can tell
-    private static final int MANY_DIRECTORS = 6; // so many would try it at once and learn too late: none does
-    private static final int ERRORS = 2; // servers in a row seldom err by chance: the request is at fault
-    private static final long TOO_LATE = SECOND / 1000; // before the deadline
+    static final long SECOND_US = 1_000_000;
+    private static final long SWEEP_INTERVAL_US = SECOND_US / 2; // between looks at playing sessions
+    private static final long QUOTA_INTERVAL_US = 5 * SECOND_US; // between recomputes of Method II
+    private static final double PRIOR_STAY_WEIGHT = 3; // ends that the prior stay weighs as much as
+    private static final long SET_UP_WINDOW_US = 2 * SECOND_US; // own set-ups are counted over that
+    private static final long REQUEST_WINDOW_MARGIN_US =
+            SECOND_US / 100; // requests are counted over less than their attempts
+    private static final double UPLINK_OVERESTIMATE =
+            1.2; // told uplink is tried so far up where only shortage can tell
+    private static final int MANY_BROKERS = 6; // so many would try it at once and learn too late: none does
+    private static final int MAX_ERRORS_PER_REQUEST =
+            2; // servers in a row seldom err by chance: the request is at fault
+    private static final long MIN_TIME_LEFT_US = SECOND_US / 1000; // before the deadline
 
     private final Settings settings;
     private final Actions actions;
@@ -41,17 +44,17 @@
     private final Attempts attempts;
     private final Admission admission;
     private final Reserves reserves;
-    private long recomputeAt;
+    private long nextQuotaUpdateAt;
 
     public Choice(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         Random random = new Random(seed);
         RenditionLadder ladder = new RenditionLadder(settings.ladder());
-        sessions = new Sessions(settings, ladder, new StayEstimate(Pricing.PRIOR_STAY, PRIOR_ENDS));
-        boolean hope = !EdgeServers.uplinksTold(settings) && settings.brokers() < MANY_DIRECTORS;
-        servers = new EdgeServers(settings, hope ? UPLINK_HOPE : 1, random::nextDouble);
-        rates = new AttemptRates(settings.rules(), RATION_MARGIN, SET_UPS_OVER);
+        sessions = new Sessions(settings, ladder, new StayEstimate(Pricing.PRIOR_STAY_S, PRIOR_STAY_WEIGHT));
+        boolean hope = !EdgeServers.uplinksReported(settings) && settings.brokers() < MANY_BROKERS;
+        servers = new EdgeServers(settings, hope ? UPLINK_OVERESTIMATE : 1, random::nextDouble);
+        rates = new AttemptRates(settings.rules(), REQUEST_WINDOW_MARGIN_US, SET_UP_WINDOW_US);
         Context context = new Context(settings, actions, random, ladder, servers, sessions, rates);
         pricing = new Pricing(context);
         headroom = new Headroom(context, pricing);
@@ -67,24 +70,24 @@
         return servers.all().size();
     }
 
-    private void start(long now) {
+    private void startOnFirstEvent(long now) {
         if (rates.start(now)) {
-            recomputeAt = now + QUOTA_PERIOD;
-            actions.timer("sweep", now + SWEEP);
+            nextQuotaUpdateAt = now + QUOTA_INTERVAL_US;
+            actions.timer("sweep", now + SWEEP_INTERVAL_US);
         }
     }
 
     @Override
     public void serversChanged(long now, ListScope scope, List<Server> news) {
-        start(now);
+        startOnFirstEvent(now);
         if (scope != ListScope.ERROR) {
-            servers.members(now, scope, news);
+            servers.update(now, scope, news);
         }
     }
 
     @Override
     public void request(long now, Request request) {
-        start(now);
+        startOnFirstEvent(now);
         Session session = sessions.add(now, request);
         if (session == null) {
             actions.fail(request.id());
@@ -96,21 +99,21 @@
 
     @Override
     public void adoptSession(long now, Request request, String id) {
-        start(now);
+        startOnFirstEvent(now);
         EdgeServer server = servers.get(id);
         Session session = server == null ? null : sessions.add(now, request);
         if (session != null) {
-            session.playsAlready(now, server);
-            headroom.opened(session.kb());
-            servers.allWarm();
+            session.restorePlaying(now, server);
+            headroom.addInitialLoad(session.rateKb());
+            servers.markAllWarm();
         }
     }
 
     @Override
     public void sessionStarted(long now, String request, int attempt, String server) {
-        Session session = sessions.at(request, server);
+        Session session = sessions.findAt(request, server);
         if (session != null) {
-            session.play(now);
+            session.startPlaying(now);
         }
     }
 
@@ -119,16 +122,16 @@
             long now, String request, int attempt, String id, Outcome outcome, boolean last, LoadReport report) {
         EdgeServer server = servers.get(id);
         if (server != null) {
-            readings.report(now, server, report);
+            readings.loadReport(now, server, report);
         }
-        Session session = sessions.at(request, id);
+        Session session = sessions.findAt(request, id);
         if (session == null) {
             return;
         }
-        leave(now, session);
-        attempts.judge(now, server, outcome, session.playing());
+        removeFromServer(now, session);
+        attempts.recordEnd(now, server, outcome, session.playing());
         if (!session.playing() && !last) {
-            retry(now, session, outcome);
+            retryOrFail(now, session, outcome);
             return;
         }
         sessions.ended(now, session, outcome == Outcome.OK);
@@ -137,10 +140,10 @@
         }
     }
 
-    private void retry(long now, Session session, Outcome outcome) {
+    private void retryOrFail(long now, Session session, Outcome outcome) {
         session.attemptEnded(outcome);
-        boolean late = outcome == Outcome.TIMEOUT && now + TOO_LATE >= session.deadline();
-        if (session.errors() >= ERRORS || late) {
+        boolean late = outcome == Outcome.TIMEOUT && now + MIN_TIME_LEFT_US >= session.deadline();
+        if (session.errors() >= MAX_ERRORS_PER_REQUEST || late) {
             sessions.remove(session.id());
             actions.fail(session.id());
         } else {
@@ -149,11 +152,11 @@
     }
 
     /** Takes a session off its server. */
-    private void leave(long now, Session session) {
+    private void removeFromServer(long now, Session session) {
         EdgeServer server = session.server();
-        session.leave(now);
-        if (session.playing() && pricing.premium(session.sessionClass())) {
-            steps.regain(now, server);
+        session.leaveServer(now);
+        if (session.playing() && pricing.isPremium(session.sessionClass())) {
+            steps.restoreSubRated(now, server);
         }
     }
 
@@ -161,7 +164,7 @@
     public void requestCancelled(long now, String request) {
         Session session = sessions.remove(request);
         if (session != null && session.server() != null) {
-            leave(now, session);
+            removeFromServer(now, session);
         }
     }
 
@@ -173,32 +176,33 @@
         }
         Session session = sessions.get(request);
         switch (topic) {
-            case RENDITION -> renditionTold(now, server, session, value);
-            case LINK -> linkTold(now, server, session, value);
-            case UPLINK -> uplinkTold(now, server, session, value);
-            case DELIVERED -> readings.delivered(now, server, value);
+            case RENDITION -> renditionReported(now, server, session, value);
+            case LINK -> linkLoadReported(now, server, session, value);
+            case UPLINK -> uplinkLoadReported(now, server, session, value);
+            case DELIVERED -> readings.deliveredShare(now, server, value);
         }
     }
 
-    private void renditionTold(long now, EdgeServer server, Session session, double value) {
+    private void renditionReported(long now, EdgeServer server, Session session, double value) {
         if (session != null && session.playing() && session.hasRendition(value)) {
-            headroom.opened(session.openedAtStart() ? session.moreKb((int) value) : 0);
-            session.told(now, server, (int) value);
+            headroom.addInitialLoad(session.openedAtStart() ? session.moreKb((int) value) : 0);
+            session.renditionReported(now, server, (int) value);
         }
     }
 
-    private void linkTold(long now, EdgeServer server, Session session, double value) {
-        boolean setUp = session != null && session.awaitsLink(); // its own reading is of now
-        readings.link(now, server, value, setUp ? now : now - settings.limits().reportDelay());
-        if (setUp && session.linkRead(servers.uplinksTold())) {
-            steps.settle(now, session);
+    private void linkLoadReported(long now, EdgeServer server, Session session, double value) {
+        boolean setUp = session != null && session.awaitsLinkReading(); // its own reading is of now
+        readings.linkLoad(
+                now, server, value, setUp ? now : now - settings.limits().reportDelay());
+        if (setUp && session.linkReadingReceived(servers.uplinksReported())) {
+            steps.stepUpNewcomer(now, session);
         }
     }
 
-    private void uplinkTold(long now, EdgeServer server, Session session, double value) {
-        readings.uplink(now, server, value);
-        if (session != null && session.uplinkRead()) {
-            steps.settle(now, session);
+    private void uplinkLoadReported(long now, EdgeServer server, Session session, double value) {
+        readings.uplinkLoad(now, server, value);
+        if (session != null && session.uplinkReadingReceived()) {
+            steps.stepUpNewcomer(now, session);
         }
     }
 
@@ -210,15 +214,15 @@
 
     @Override
     public void timer(long now, String key) {
-        actions.timer(key, now + SWEEP);
-        readings.regainUplinks(now, SWEEP);
-        servers.decayTrust(sessions.stays().remaining(SWEEP / (double) SECOND));
+        actions.timer(key, now + SWEEP_INTERVAL_US);
+        readings.recoverUplinks(now, SWEEP_INTERVAL_US);
+        servers.decayTrust(sessions.stays().remainingShare(SWEEP_INTERVAL_US / (double) SECOND_US));
         headroom.update(rates.setUpsPerSecond(now), actions.newSessionShare()); // refused tries take no room
-        pricing.reprice(now, headroom.budget(now));
-        servers.all().forEach(server -> steps.raise(now, server));
-        servers.forgetGone();
-        if (now >= recomputeAt) {
-            recomputeAt = now + QUOTA_PERIOD;
+        pricing.updatePrice(now, headroom.budget(now));
+        servers.all().forEach(server -> steps.stepUp(now, server));
+        servers.removeGone();
+        if (now >= nextQuotaUpdateAt) {
+            nextQuotaUpdateAt = now + QUOTA_INTERVAL_US;
             reserves.recompute(now);
         }
     }
--- a/src/main/java/dockshed/choice/Pricing.java
+++ b/src/main/java/dockshed/choice/Pricing.java
@@ -8,14 +8,14 @@
 
 /** The going price of a kB: at it this director's sessions, each at its best rendition, fill its headroom. */
 final class Pricing {
-    private static final double NOTHING = 1e-3; // of the highest worth: a class that earns less sets no price
-    private static final double PRICE_CAP = 0.98; // of what a kB earns at best in the class that earns least
-    private static final double GROWTH_MAX = 3; // sessions to come over those now, as the price heeds it
-    static final double PRIOR_STAY = 25; // seconds of stay before any was seen
-    private static final double PRIOR_TRIES = 2; // tries that the usual rate weighs as much as
-    private static final double REPAY = 4; // a step up must earn its switch cost so many times over
-    private static final double LEAST_STAY = 0.25; // of the mean: a session stays at least so long
-    private static final int HALVINGS = 24; // in the search for the price
+    private static final double MIN_WORTH_SHARE = 1e-3; // of the highest worth: a class that earns less sets no price
+    private static final double MAX_PRICE_SHARE = 0.98; // of what a kB earns at best in the class that earns least
+    private static final double MAX_GROWTH = 3; // sessions to come over those now, as the price heeds it
+    static final double PRIOR_STAY_S = 25; // seconds of stay before any was seen
+    private static final double PRIOR_RATE_WEIGHT = 2; // tries that the usual rate weighs as much as
+    private static final double MIN_SWITCH_RETURN = 4; // a step up must earn its switch cost so many times over
+    private static final double MIN_STAY_SHARE = 0.25; // of the mean: a session stays at least so long
+    private static final int BISECTION_STEPS = 24; // in the search for the price
 
     private final Context context;
     private final RenditionLadder ladder;
@@ -30,44 +30,44 @@
         double most = classes.stream().mapToDouble(SessionClass::worth).max().orElse(1);
         leastWorth = classes.stream()
                 .mapToDouble(SessionClass::worth)
-                .filter(worth -> worth > NOTHING * most)
+                .filter(worth -> worth > MIN_WORTH_SHARE * most)
                 .min()
                 .orElse(1);
     }
 
-    boolean premium(SessionClass c) {
+    boolean isPremium(SessionClass c) {
         return c.worth() > leastWorth;
     }
 
     /** Whether a newcomer may push a session of that class down. */
-    boolean yields(SessionClass c, SessionClass newcomer) {
+    boolean mayBeSubRatedFor(SessionClass c, SessionClass newcomer) {
         return c.worth() <= Math.max(leastWorth, newcomer.worth());
     }
 
-    double net(Session session, int rendition) {
-        return ladder.net(session.sessionClass(), rendition, price);
+    double netWorth(Session session, int rendition) {
+        return ladder.netWorth(session.sessionClass(), rendition, price);
     }
 
     /** The rate of the rendition that earns most. */
-    double wantedKb(Session session) {
-        return session.kb(ladder.best(session.sessionClass(), session.top(), price));
+    double bestRateKb(Session session) {
+        return session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
     }
 
     /** A slot of Method II: the rate that the first class asks. */
     double slotKb() {
         SessionClass c = classes.get(0);
         int top = Math.min(c.top(), ladder.count() - 1);
-        return ladder.kb(c, ladder.best(c, top, price));
+        return ladder.rateKb(c, ladder.bestRendition(c, top, price));
     }
 
     /** Seconds that a session will probably still play. */
-    double stay(long now, Session session) {
-        return context.sessions().stay(now, session, LEAST_STAY);
+    double remainingStay(long now, Session session) {
+        return context.sessions().remainingStay(now, session, MIN_STAY_SHARE);
     }
 
     /** What a step down costs over the rest of the stay, with the switches down and up again. */
     double dropCost(long now, Session session, int rendition) {
-        double less = -session.moreWorth(rendition) * stay(now, session);
+        double less = -session.moreWorth(rendition) * remainingStay(now, session);
         return session.sessionClass().worth() * (less + 2 * ladder.switchSeconds());
     }
 
@@ -75,35 +75,35 @@
     boolean repays(long now, Session session, int rendition) {
         double worth = session.sessionClass().worth();
         double more = worth * session.moreWorth(rendition) - price / 2 * session.moreKb(rendition);
-        return more * stay(now, session) > REPAY * worth * ladder.switchSeconds();
+        return more * remainingStay(now, session) > MIN_SWITCH_RETURN * worth * ladder.switchSeconds();
     }
 
     /** Finds the price for a budget of kB a second. */
-    void reprice(long now, double budget) {
+    void updatePrice(long now, double budget) {
         int directors = context.settings().brokers();
-        double usual = context.servers().linksKb() / (ladder.middleRate() * PRIOR_STAY) / directors;
-        double tries = context.rates().triesPerSecond(now, usual, PRIOR_TRIES);
+        double usual = context.servers().linksKb() / (ladder.middleRateKb() * PRIOR_STAY_S) / directors;
+        double tries = context.rates().placementsPerSecond(now, usual, PRIOR_RATE_WEIGHT);
         int sessions = Math.max(1, context.sessions().size());
         double growth =
-                Math.max(1, Math.min(GROWTH_MAX, context.sessions().stays().atOnce(tries) / sessions));
-        price = Bisection.largest(0, highestPrice(), HALVINGS, candidate -> askedKb(candidate) * growth > budget);
+                Math.max(1, Math.min(MAX_GROWTH, context.sessions().stays().concurrentSessions(tries) / sessions));
+        price = Bisection.largest(0, maxPrice(), BISECTION_STEPS, candidate -> demandKb(candidate) * growth > budget);
     }
 
     /** What all sessions would ask at another price. */
-    private double askedKb(double price) {
+    private double demandKb(double price) {
         double asked = 0;
         for (Session session : context.sessions().all()) {
-            asked += session.kb(ladder.best(session.sessionClass(), session.top(), price));
+            asked += session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
         }
         return asked;
     }
 
     /** A newcomer of any class is welcome where there is room; those that earn nothing where room costs nothing. */
-    private double highestPrice() {
+    private double maxPrice() {
         double highest = Double.MAX_VALUE;
         for (SessionClass c : classes) {
-            int r = ladder.modest(c);
-            double most = PRICE_CAP * c.worth() * ladder.worth(r) / ladder.kb(c, r);
+            int r = ladder.mostEfficientRendition(c);
+            double most = MAX_PRICE_SHARE * c.worth() * ladder.worth(r) / ladder.rateKb(c, r);
             highest = c.worth() < leastWorth ? highest : Math.min(highest, most);
         }
         return highest;
--- a/src/main/java/dockshed/choice/SlowStart.java
+++ b/src/main/java/dockshed/choice/SlowStart.java
@@ -6,14 +6,14 @@
 
 /** Slow start of edge servers that are cold (rule 4; docs/design/cold-ramp.md). */
 record SlowStart(Context context) {
-    private static final double NO_CHANCE = 1e-6; // of standing open: not worth a draw
-    private static final double LEAST_CHANCE = 1e-9; // of a try to go there, so as not to divide by 0
+    private static final double MIN_OPEN_PROBABILITY = 1e-6; // of standing open: not worth a draw
+    private static final double MIN_PICK_PROBABILITY = 1e-9; // of a try to go there, so as not to divide by 0
 
     /**
      * Whether a cold server stands open to a try that would go there with that chance. Few directors keep to their part
      * of its pace; of many, each may be expected to send its part.
      */
-    boolean open(long now, EdgeServer server, double chance) {
+    boolean admits(long now, EdgeServer server, double chance) {
         Pace pace = context.actions().pace(server.id());
         if (pace != Pace.UNKNOWN) {
             return pace == Pace.WITHIN;
@@ -30,13 +30,14 @@
         if (sinceSent * takes <= Math.min(2, directors)) {
             return false; // its own rush
         }
-        return budget <= 0 || drawn(now, server, chance, Rules.maxMeanSetUps(budget) / directors); // 0: no fall is told
+        return budget <= 0
+                || drawAdmission(now, server, chance, Rules.maxMeanSetUps(budget) / directors); // 0: no fall is told
     }
 
-    private boolean drawn(long now, EdgeServer server, double chance, double part) {
+    private boolean drawAdmission(long now, EdgeServer server, double chance, double part) {
         double left = part - server.expectedSetUps().sum(now);
-        double open = Math.min(1, left / Math.max(LEAST_CHANCE, chance));
-        if (open < NO_CHANCE) {
+        double open = Math.min(1, left / Math.max(MIN_PICK_PROBABILITY, chance));
+        if (open < MIN_OPEN_PROBABILITY) {
             return false;
         }
         server.expectedSetUps().add(now, open * chance);
--- a/src/main/java/dockshed/choice/Steps.java
+++ b/src/main/java/dockshed/choice/Steps.java
@@ -1,6 +1,6 @@
 package dockshed.choice;
 
-import static dockshed.choice.Choice.SECOND;
+import static dockshed.choice.Choice.SECOND_US;
 
 import dockshed.model.EdgeServer;
 import dockshed.model.Session;
@@ -12,7 +12,8 @@
 
 /** Steps of playing sessions from one rendition to another, down for what is asked too much and up as room allows. */
 record Steps(Context context, Pricing pricing, Headroom headroom) {
-    private static final long UP_GAP = 8 * SECOND; // from a step of a session to its next step up: steadiness
+    private static final long MIN_STEP_UP_INTERVAL_US =
+            8 * SECOND_US; // from a step of a session to its next step up: steadiness
 
     private void step(long now, Session session, int rendition) {
         session.step(now, rendition);
@@ -21,7 +22,7 @@
 
     /** For a newcomer; the session steps up again to where it was once a premium session has left. */
     void subRate(long now, SubRating drop) {
-        drop.session().subRate();
+        drop.session().markSubRated();
         step(now, drop.session(), drop.rendition());
     }
 
@@ -54,39 +55,40 @@
     }
 
     /** Steps up as headroom and price allow, where the stay repays it. */
-    void raise(long now, EdgeServer server) {
+    void stepUp(long now, EdgeServer server) {
         List.copyOf(server.sessions()).stream()
-                .filter(s -> now - s.steppedAt() >= UP_GAP && server.load().trust() > Headroom.UNKNOWN)
-                .forEach(s -> raise(now, s, s.top(), 0));
+                .filter(s -> now - s.steppedAt() >= MIN_STEP_UP_INTERVAL_US
+                        && server.load().trust() > Headroom.MIN_TRUST)
+                .forEach(s -> stepUp(now, s, s.top(), 0));
     }
 
     /** Steps sub-rated sessions up to where they were: a premium session has left. */
-    void regain(long now, EdgeServer server) {
+    void restoreSubRated(long now, EdgeServer server) {
         List.copyOf(server.sessions()).stream()
                 .filter(Session::subRated)
-                .forEach(s -> raise(now, s, s.beforeSubRating(), 0));
+                .forEach(s -> stepUp(now, s, s.renditionBeforeSubRating(), 0));
     }
 
     /** A newcomer takes its rendition by its own set-up's reading, which tells nobody else. */
-    void settle(long now, Session session) {
-        raise(now, session, session.top(), 1);
+    void stepUpNewcomer(long now, Session session) {
+        stepUp(now, session, session.top(), 1);
     }
 
-    private void raise(long now, Session session, int top, double part) {
+    private void stepUp(long now, Session session, int top, double part) {
         if (!session.playing() || session.rendition() >= top) {
             return;
         }
-        double room = headroom.of(now, session.server(), session, part);
-        double whole = headroom.of(now, session.server(), session, 1);
-        double luck = session.server().luck();
+        double room = headroom.forSession(now, session.server(), session, part);
+        double whole = headroom.forSession(now, session.server(), session, 1);
+        double luck = session.server().readingDraw();
         int best = session.rendition();
         for (int r = session.rendition() + 1; r <= top; r++) {
             double more = session.moreKb(r);
             boolean fits = more <= room || more <= whole && more * luck < room;
-            best = fits && pricing.net(session, r) > pricing.net(session, best) ? r : best;
+            best = fits && pricing.netWorth(session, r) > pricing.netWorth(session, best) ? r : best;
         }
         if (best > session.rendition() && pricing.repays(now, session, best)) {
-            session.regained();
+            session.clearSubRated();
             step(now, session, best);
         }
     }
--- a/src/main/java/dockshed/choice/SubRating.java
+++ b/src/main/java/dockshed/choice/SubRating.java
@@ -5,7 +5,7 @@
 
 /** A step of a playing session to a lower rendition: the kB a second that it frees and the worth that it costs. */
 record SubRating(Session session, int rendition, double freedKb, double cost) {
-    static final int ALPHA = 2; // sessions sub-rated for one newcomer (the paper's alpha)
+    static final int MAX_PER_NEWCOMER = 2; // sessions sub-rated for one newcomer (the paper's alpha)
 
     /** The cheapest of at most ALPHA sessions that free what is needed, or null. */
     static List<SubRating> cheapest(List<SubRating> all, double neededKb) {
--- a/src/main/java/dockshed/model/AttemptRates.java
+++ b/src/main/java/dockshed/model/AttemptRates.java
@@ -8,17 +8,17 @@
 
 /** How many requests, tries and attempts there are: since the start, within sliding windows, and a second. */
 public final class AttemptRates {
-    private static final double SECOND = 1e6;
+    private static final double SECOND_US = 1e6;
     private static final long NOT_STARTED = Long.MIN_VALUE;
 
-    private final long triesOver;
-    private final long setUpsOver;
-    private final EventWindow further;
+    private final long placementWindow;
+    private final long setUpWindow;
+    private final EventWindow retries;
     private final EventWindow requests;
-    private final EventWindow tries;
+    private final EventWindow recentPlacements;
     private final EventWindow setUps;
     private final Map<String, Double> requested = new HashMap<>();
-    private double tried;
+    private double recordPlacement;
     private long startedAt = NOT_STARTED;
 
     /**
@@ -29,11 +29,11 @@
      * @param setUpsOver the span over which set-ups are counted
      */
     public AttemptRates(Rules rules, long rationMargin, long setUpsOver) {
-        this.setUpsOver = setUpsOver;
-        triesOver = rules.overloadWindow();
-        further = new EventWindow(rules.retryWindow());
+        this.setUpWindow = setUpsOver;
+        placementWindow = rules.overloadWindow();
+        retries = new EventWindow(rules.retryWindow());
         requests = new EventWindow(rules.retryWindow() - rationMargin);
-        tries = new EventWindow(triesOver);
+        recentPlacements = new EventWindow(placementWindow);
         setUps = new EventWindow(setUpsOver);
     }
 
@@ -46,7 +46,7 @@
 
     /** Seconds since the start. */
     public double elapsed(long now) {
-        return (now - startedAt) / SECOND;
+        return (now - startedAt) / SECOND_US;
     }
 
     /** A new request of a class has come. */
@@ -61,22 +61,22 @@
     }
 
     /** A request is to be placed, for the first time or again. */
-    public void tried(long now) {
-        tried++;
-        tries.add(now);
+    public void recordPlacement(long now) {
+        recordPlacement++;
+        recentPlacements.add(now);
     }
 
     /** A set-up goes out; {@code again}: not the first of its request. */
-    public void sent(long now, boolean again) {
+    public void recordSetUp(long now, boolean again) {
         setUps.add(now);
         if (again) {
-            further.add(now);
+            retries.add(now);
         }
     }
 
     /** Further attempts in their window. */
-    public int further(long now) {
-        return further.count(now);
+    public int retries(long now) {
+        return retries.count(now);
     }
 
     /** New requests in their window. */
@@ -86,15 +86,15 @@
 
     /** Set-ups a second, in their window. */
     public double setUpsPerSecond(long now) {
-        return setUps.count(now) / (setUpsOver / SECOND);
+        return setUps.count(now) / (setUpWindow / SECOND_US);
     }
 
     /**
      * Tries a second: since the start, where the usual rate weighs as much as {@code prior} tries, or within their
      * window where those are more.
      */
-    public double triesPerSecond(long now, double usual, double prior) {
-        double ever = (tried + prior) / (elapsed(now) + prior / usual);
-        return Math.max(ever, (tries.count(now) - 1) * SECOND / Math.max(1, triesOver));
+    public double placementsPerSecond(long now, double usual, double prior) {
+        double ever = (recordPlacement + prior) / (elapsed(now) + prior / usual);
+        return Math.max(ever, (recentPlacements.count(now) - 1) * SECOND_US / Math.max(1, placementWindow));
     }
 }
--- a/src/main/java/dockshed/model/EdgeServer.java
+++ b/src/main/java/dockshed/model/EdgeServer.java
@@ -13,8 +13,8 @@
 
 /** An edge server's link, its state in the list, and this director's sessions there. */
 public final class EdgeServer extends Link {
-    private static final long LONG_AGO = Long.MIN_VALUE;
-    private static final long NEVER_SENT = -60_000_000;
+    private static final long NOT_COLD = Long.MIN_VALUE;
+    private static final long NEVER_SENT_AT_US = -60_000_000;
 
     private final Rules rules;
     private final Map<String, Session> sessions = new LinkedHashMap<>();
@@ -25,12 +25,12 @@
     private boolean listed;
     private boolean gone;
     private boolean presumedCold;
-    private long coldSince = LONG_AGO;
+    private long coldSince = NOT_COLD;
     private long pausedUntil;
-    private long lastSentAt = NEVER_SENT;
+    private long lastSentAt = NEVER_SENT_AT_US;
     private int failures;
     private double linkShare = 1;
-    private double luck = 1;
+    private double readingDraw = 1;
     private double holderShare = Double.NaN;
     private QuotaOptimizer.Quotas quotas = QuotaOptimizer.Quotas.NONE;
 
@@ -56,7 +56,7 @@
         return rack;
     }
 
-    void standIn(Rack rack) {
+    void setRack(Rack rack) {
         this.rack = rack;
         rack.add(this);
     }
@@ -66,7 +66,7 @@
         return streams;
     }
 
-    void run(int streams) {
+    void setStreams(int streams) {
         this.streams = streams;
     }
 
@@ -81,13 +81,13 @@
     }
 
     /** Nothing is heard of it for now; {@code complete}: a whole list does not name it. */
-    void unnamed(boolean complete) {
+    void absentFromList(boolean complete) {
         listed &= !complete;
         gone |= complete;
     }
 
     /** The list names it. */
-    void named(Server entry) {
+    void presentInList(Server entry) {
         info = entry;
         listed = entry.state() == Director.State.UP;
         gone = entry.state() == Director.State.GONE;
@@ -97,7 +97,7 @@
 
     /** The share of its rate that it gives since it started (rule 4). */
     public double warmth(long now) {
-        return coldSince == LONG_AGO ? 1 : rules.warmth(now, coldSince);
+        return coldSince == NOT_COLD ? 1 : rules.warmth(now, coldSince);
     }
 
     /** Whether it is taken for cold only for lack of news. */
@@ -111,18 +111,18 @@
     }
 
     /** It started when the list says. */
-    void startedAsTold() {
+    void startedAsListed() {
         presumedCold = false;
-        coldSince = info.upSince() > 0 ? info.upSince() : LONG_AGO;
+        coldSince = info.upSince() > 0 ? info.upSince() : NOT_COLD;
     }
 
-    void startedLongAgo() {
+    void markWarm() {
         presumedCold = false;
-        coldSince = LONG_AGO;
+        coldSince = NOT_COLD;
     }
 
     /** Its process may be gone, and start anew. */
-    public void lost(long now) {
+    public void connectionLost(long now) {
         coldSince = now;
     }
 
@@ -134,12 +134,12 @@
     // ---- Failures.
 
     /** An attempt came to nothing. */
-    public void failed() {
+    public void attemptFailed() {
         failures++;
     }
 
     /** An attempt was answered. */
-    void answered() {
+    void attemptAnswered() {
         failures = 0;
     }
 
@@ -168,7 +168,7 @@
 
     @Override
     public double nominalKb() {
-        return toldKb();
+        return configuredKb();
     }
 
     /** The share of its link that it gives, as learnt. */
@@ -177,25 +177,25 @@
     }
 
     /** The share of its link that it gives is learnt to be this. */
-    public void learnLinkShare(double share) {
+    public void setLinkShare(double share) {
         linkShare = share;
     }
 
     /** A reading of all that is asked of its link, and a random draw from 0 to 1 that goes with it. */
-    public void read(double levelKb, long at, double draw) {
-        load().read(levelKb, at);
-        luck = draw;
+    public void recordReading(double levelKb, long at, double draw) {
+        load().recordReading(levelKb, at);
+        readingDraw = draw;
     }
 
     /** The draw that went with the last reading. */
-    public double luck() {
-        return luck;
+    public double readingDraw() {
+        return readingDraw;
     }
 
     /** Books changes of this director's playing sessions and of its set-ups, here and at the uplink. */
-    public void book(long now, double playingKb, double setUpKb) {
-        load().book(now, playingKb, setUpKb);
-        rack.load().book(now, playingKb, setUpKb);
+    public void recordChange(long now, double playingKb, double setUpKb) {
+        load().recordChange(now, playingKb, setUpKb);
+        rack.load().recordChange(now, playingKb, setUpKb);
     }
 
     // ---- This director's sessions.
@@ -218,12 +218,12 @@
         sessions.remove(session.id());
     }
 
-    void sent(long now) {
+    void setUpSent(long now) {
         lastSentAt = now;
     }
 
     /** Whether a connection to it is probably up, if one without sessions is kept for so long. */
-    public boolean connected(long now, long kept) {
+    public boolean probablyConnected(long now, long kept) {
         return !idle() || now - lastSentAt < kept;
     }
 
@@ -238,7 +238,7 @@
     }
 
     /** A try was for a title that it holds or not; its share moves by one part in {@code memory}. */
-    public void tried(Request request, int cells, double memory) {
+    public void recordPlacement(Request request, int cells, double memory) {
         double usual = Math.min(1, request.copies() / (double) cells);
         holderShare = Double.isNaN(holderShare) ? usual : holderShare;
         holderShare += ((holds(request, cells) ? 1 : 0) - holderShare) / memory;
--- a/src/main/java/dockshed/model/EdgeServers.java
+++ b/src/main/java/dockshed/model/EdgeServers.java
@@ -15,10 +15,10 @@
 /** The list of edge servers and their racks, and what their links are told to give. */
 public final class EdgeServers {
     private final Settings settings;
-    private final double uplinkHope;
-    private final DoubleSupplier draws;
+    private final double uplinkOverestimate;
+    private final DoubleSupplier randomDraws;
     private final List<Rack> racks;
-    private final boolean uplinksTold;
+    private final boolean uplinksReported;
     private final Map<String, EdgeServer> byId = new LinkedHashMap<>();
     private List<EdgeServer> listed = List.of();
     private double linksKb;
@@ -31,20 +31,20 @@
      */
     public EdgeServers(Settings settings, double uplinkHope, DoubleSupplier draws) {
         this.settings = settings;
-        this.uplinkHope = uplinkHope;
-        this.draws = draws;
+        this.uplinkOverestimate = uplinkHope;
+        this.randomDraws = draws;
         racks = Stream.generate(Rack::new).limit(settings.ladder().racks()).toList();
-        uplinksTold = uplinksTold(settings);
+        uplinksReported = uplinksReported(settings);
     }
 
     /** Whether load reports tell of uplinks. */
-    public static boolean uplinksTold(Settings settings) {
+    public static boolean uplinksReported(Settings settings) {
         return settings.reportFields().contains(ReportField.UPLINK);
     }
 
     /** Whether readings of uplinks come. */
-    public boolean uplinksTold() {
-        return uplinksTold;
+    public boolean uplinksReported() {
+        return uplinksReported;
     }
 
     /** The server, or null. */
@@ -73,39 +73,39 @@
     }
 
     /** News of the list. */
-    public void members(long now, ListScope scope, List<Server> news) {
+    public void update(long now, ListScope scope, List<Server> news) {
         for (EdgeServer server : byId.values()) {
-            server.unnamed(scope != ListScope.CHANGES); // unless it is named below
+            server.absentFromList(scope != ListScope.CHANGES); // unless it is named below
             if (scope != ListScope.DISK && server.presumedCold()) {
-                server.startedAsTold(); // fresh news names all that changed since the list was kept
+                server.startedAsListed(); // fresh news names all that changed since the list was kept
             }
         }
         for (Server entry : news) {
-            member(now, scope, entry);
+            updateServer(now, scope, entry);
         }
         listed = byId.values().stream().filter(EdgeServer::listed).toList();
-        measure();
+        updateCapacity();
     }
 
-    private void member(long now, ListScope scope, Server entry) {
+    private void updateServer(long now, ListScope scope, Server entry) {
         EdgeServer server = byId.computeIfAbsent(entry.id(), id -> new EdgeServer(settings.rules()));
         boolean isNew = server.info() == null;
         boolean restarted = !isNew && entry.upSince() > server.info().upSince();
-        server.named(entry);
+        server.presentInList(entry);
         if (scope == ListScope.DISK) {
             server.presumeCold(now); // may have restarted since the list was kept
         } else if (isNew || restarted) {
-            server.startedAsTold();
+            server.startedAsListed();
             if (restarted) {
                 server.forgetFailures();
-                server.read(0, now, draws.getAsDouble());
+                server.recordReading(0, now, randomDraws.getAsDouble());
             }
         }
     }
 
     /** All has been running for long. */
-    public void allWarm() {
-        byId.values().forEach(EdgeServer::startedLongAgo);
+    public void markAllWarm() {
+        byId.values().forEach(EdgeServer::markWarm);
     }
 
     /** Lowers the trust in all readings. */
@@ -115,14 +115,14 @@
     }
 
     /** Forgets servers that have left the list and have no session here. */
-    public void forgetGone() {
+    public void removeGone() {
         if (byId.values().removeIf(server -> server.gone() && server.idle())) {
-            measure();
+            updateCapacity();
         }
     }
 
     /** Links as told: by weight, or by streams where all weights are alike. */
-    private void measure() {
+    private void updateCapacity() {
         boolean alike = byId.values().stream()
                         .mapToDouble(server -> server.info().weight())
                         .distinct()
@@ -130,26 +130,28 @@
                 < 2;
         double streams = 0;
         for (EdgeServer server : byId.values()) {
-            server.run(settings.streams(server.info().kind()));
+            server.setStreams(settings.streams(server.info().kind()));
             streams += server.streams();
         }
         linksKb = 0;
         racks.forEach(Rack::clear);
         for (EdgeServer server : byId.values()) {
             double unit = settings.ladder().weightKb() * server.info().weight();
-            server.tell(Math.max(1, alike && streams > 0 ? unit * server.streams() * byId.size() / streams : unit));
-            server.standIn(racks.get(Math.floorMod(server.info().cell(), racks.size())));
-            linksKb += server.toldKb();
+            server.setConfiguredKb(
+                    Math.max(1, alike && streams > 0 ? unit * server.streams() * byId.size() / streams : unit));
+            server.setRack(racks.get(Math.floorMod(server.info().cell(), racks.size())));
+            linksKb += server.configuredKb();
         }
-        racks.forEach(this::measure);
+        racks.forEach(this::updateCapacity);
     }
 
     /** Uplinks as told, by the links behind them; they stay as they are when servers come and go. */
-    private void measure(Rack rack) {
-        if (rack.toldKb() > 0 || rack.servers().isEmpty()) {
+    private void updateCapacity(Rack rack) {
+        if (rack.configuredKb() > 0 || rack.servers().isEmpty()) {
             return;
         }
-        double part = rack.servers().stream().mapToDouble(EdgeServer::toldKb).sum() / linksKb;
-        rack.startAt(settings.ladder().uplinkKb() * racks.size() * part * uplinkHope);
+        double part =
+                rack.servers().stream().mapToDouble(EdgeServer::configuredKb).sum() / linksKb;
+        rack.setInitialUplink(settings.ladder().uplinkKb() * racks.size() * part * uplinkOverestimate);
     }
 }
--- a/src/main/java/dockshed/model/Link.java
+++ b/src/main/java/dockshed/model/Link.java
@@ -2,12 +2,12 @@
 
 /** A link that carries sessions: its load, what it is told to give, and when it was last found short. */
 public abstract class Link {
-    private static final long NEVER_SHORT = -1_000_000;
+    private static final long NEVER_SHORT_AT_US = -1_000_000;
 
     private final LoadEstimate load = new LoadEstimate();
-    private double toldKb;
+    private double configuredKb;
     private long relievedAt;
-    private long shortAt = NEVER_SHORT;
+    private long shortAt = NEVER_SHORT_AT_US;
 
     /** What is asked there and what this director has there. */
     public final LoadEstimate load() {
@@ -15,19 +15,19 @@
     }
 
     /** What it carries, as told; an edge server's when warm. */
-    public final double toldKb() {
-        return toldKb;
+    public final double configuredKb() {
+        return configuredKb;
     }
 
-    final void tell(double kb) {
-        toldKb = kb;
+    final void setConfiguredKb(double kb) {
+        configuredKb = kb;
     }
 
     /** What it carries when nothing at either end holds it back. */
     public abstract double nominalKb();
 
     /** Sessions are being sub-rated since it is overfull. */
-    public final void relieved(long now) {
+    public final void markRelieved(long now) {
         relievedAt = now;
     }
 
@@ -37,7 +37,7 @@
     }
 
     /** It delivers short. */
-    public final void foundShort(long now) {
+    public final void markShort(long now) {
         shortAt = now;
     }
 
--- a/src/main/java/dockshed/model/LoadEstimate.java
+++ b/src/main/java/dockshed/model/LoadEstimate.java
@@ -8,24 +8,24 @@
  */
 public final class LoadEstimate {
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
-    private double level;
+    private double levelKb;
     private double trust;
-    private double own;
-    private double pending;
-    private double changed;
+    private double ownKb;
+    private double pendingKb;
+    private double changedKb;
     private long readAt = Long.MIN_VALUE;
 
-    private record Change(long at, double by) {}
+    private record Change(long at, double deltaKb) {}
 
     /** A reading of all that is asked there: own changes up to its time are in it. */
-    public void read(double level, long at) {
-        this.level = level;
+    public void recordReading(double level, long at) {
+        this.levelKb = level;
         trust = 1;
         readAt = at;
         while (!changes.isEmpty() && changes.peekFirst().at() <= at) {
             changes.removeFirst();
         }
-        changed = changedBy(Long.MAX_VALUE);
+        changedKb = changedUntil(Long.MAX_VALUE);
     }
 
     /** Lowers the trust in the last reading, as the sessions of others come and go. */
@@ -34,31 +34,31 @@
     }
 
     /** Books a change of this user's established load, and of the load of its set-ups that are under way. */
-    public void book(long now, double established, double setUp) {
-        own += established + setUp;
-        pending += setUp;
-        changed += established;
+    public void recordChange(long now, double established, double setUp) {
+        ownKb += established + setUp;
+        pendingKb += setUp;
+        changedKb += established;
         if (established != 0) {
             changes.add(new Change(now, established));
         }
     }
 
     /** This user's changes since the last reading up to a time. */
-    public double changedBy(long at) {
+    public double changedUntil(long at) {
         return changes.stream()
                 .filter(change -> change.at() <= at)
-                .mapToDouble(Change::by)
+                .mapToDouble(Change::deltaKb)
                 .sum();
     }
 
     /** The same as far as the last reading is trusted. */
-    public double trustedChangeBy(long at) {
-        return trust * changedBy(at);
+    public double trustedChangeUntil(long at) {
+        return trust * changedUntil(at);
     }
 
     /** What was asked in all by the last reading. */
-    public double level() {
-        return level;
+    public double levelKb() {
+        return levelKb;
     }
 
     /** Trust in the level: 1 when just read, 0 when never. */
@@ -67,18 +67,18 @@
     }
 
     /** This user's load, set-ups included. */
-    public double own() {
-        return own;
+    public double ownKb() {
+        return ownKb;
     }
 
     /** The load of this user's set-ups that are under way. */
-    public double pending() {
-        return pending;
+    public double pendingKb() {
+        return pendingKb;
     }
 
     /** This user's established load that came since the last reading, less what went. */
-    public double changed() {
-        return changed;
+    public double changedKb() {
+        return changedKb;
     }
 
     /** The time of the last reading. */
--- a/src/main/java/dockshed/model/Rack.java
+++ b/src/main/java/dockshed/model/Rack.java
@@ -6,11 +6,11 @@
 
 /** A rack's uplink, and the edge servers behind it. */
 public final class Rack extends Link {
-    private static final long NEVER_CONFIRMED = -1_000_000;
+    private static final long NEVER_CONFIRMED_AT_US = -1_000_000;
 
     private final List<EdgeServer> servers = new ArrayList<>();
     private double uplinkKb;
-    private long confirmedShortAt = NEVER_CONFIRMED;
+    private long confirmedShortAt = NEVER_CONFIRMED_AT_US;
 
     /** The edge servers behind the uplink. */
     public List<EdgeServer> servers() {
@@ -30,21 +30,21 @@
         return uplinkKb;
     }
 
-    void startAt(double kb) {
-        tell(kb);
+    void setInitialUplink(double kb) {
+        setConfiguredKb(kb);
         uplinkKb = kb;
     }
 
     /** The uplink is found to give no more than this. */
     public void lowerUplink(long now, double kb) {
-        foundShort(now);
+        markShort(now);
         uplinkKb = Math.min(uplinkKb, kb);
     }
 
     /** The uplink may give so much more than was found, up to what was told. */
     public void raiseUplink(double by) {
-        if (uplinkKb < toldKb()) {
-            uplinkKb = Math.min(toldKb(), uplinkKb + by);
+        if (uplinkKb < configuredKb()) {
+            uplinkKb = Math.min(configuredKb(), uplinkKb + by);
         }
     }
 
--- a/src/main/java/dockshed/model/RenditionLadder.java
+++ b/src/main/java/dockshed/model/RenditionLadder.java
@@ -27,12 +27,12 @@
     }
 
     /** The rate of the rendition in the middle. */
-    public double middleRate() {
+    public double middleRateKb() {
         return rates[rates.length / 2];
     }
 
     /** The rate of a rendition for a class. */
-    public double kb(SessionClass c, int rendition) {
+    public double rateKb(SessionClass c, int rendition) {
         return rates[rendition] * c.scale();
     }
 
@@ -42,21 +42,21 @@
     }
 
     /** What a rendition earns a second after that price of a kB. */
-    public double net(SessionClass c, int rendition, double price) {
-        return c.worth() * worths[rendition] - price * kb(c, rendition);
+    public double netWorth(SessionClass c, int rendition, double price) {
+        return c.worth() * worths[rendition] - price * rateKb(c, rendition);
     }
 
     /** The rendition up to a top one that earns most at that price of a kB. */
-    public int best(SessionClass c, int top, double price) {
+    public int bestRendition(SessionClass c, int top, double price) {
         int best = c.floor();
         for (int r = best + 1; r <= top; r++) {
-            best = net(c, r, price) > net(c, best, price) ? r : best;
+            best = netWorth(c, r, price) > netWorth(c, best, price) ? r : best;
         }
         return best;
     }
 
     /** The rendition that earns most a kB. */
-    public int modest(SessionClass c) {
+    public int mostEfficientRendition(SessionClass c) {
         int best = c.floor();
         for (int r = best + 1; r < rates.length; r++) {
             best = worths[r] / rates[r] > worths[best] / rates[best] ? r : best;
--- a/src/main/java/dockshed/model/Session.java
+++ b/src/main/java/dockshed/model/Session.java
@@ -20,10 +20,10 @@
     private int errors;
     private boolean mayHaveRun;
     private boolean playing;
-    private boolean linkRead;
-    private boolean awaitsUplink;
+    private boolean linkReadingReceived;
+    private boolean awaitsUplinkReading;
     private boolean subRated;
-    private int beforeSubRating;
+    private int renditionBeforeSubRating;
     private int rendition;
     private long sentAt;
     private long startedAt;
@@ -72,8 +72,8 @@
     }
 
     /** The rate that it asks at a rendition. */
-    public double kb(int rendition) {
-        return ladder.kb(sessionClass, rendition);
+    public double rateKb(int rendition) {
+        return ladder.rateKb(sessionClass, rendition);
     }
 
     // ---- Attempts.
@@ -86,34 +86,34 @@
         server = to;
         sentAt = now;
         to.add(this);
-        to.book(now, 0, kb());
-        to.sent(now);
+        to.recordChange(now, 0, rateKb());
+        to.setUpSent(now);
     }
 
     /** The attempt is answered: it plays. */
-    public void play(long now) {
+    public void startPlaying(long now) {
         playing = true;
         startedAt = now;
         steppedAt = now;
-        server.answered();
-        server.book(now, kb(), -kb());
+        server.attemptAnswered();
+        server.recordChange(now, rateKb(), -rateKb());
     }
 
     /** It played there already at the start, at its lowest rendition. */
-    public void playsAlready(long now, EdgeServer there) {
+    public void restorePlaying(long now, EdgeServer there) {
         playing = true;
-        linkRead = true;
+        linkReadingReceived = true;
         attempts = 1;
         rendition = floor();
         server = there;
         there.add(this);
-        there.book(now, kb(), 0);
+        there.recordChange(now, rateKb(), 0);
     }
 
     /** Takes it off its server's account. */
-    public void leave(long now) {
+    public void leaveServer(long now) {
         server.remove(this);
-        server.book(now, playing ? -kb() : 0, playing ? 0 : -kb());
+        server.recordChange(now, playing ? -rateKb() : 0, playing ? 0 : -rateKb());
         server = null;
     }
 
@@ -149,7 +149,7 @@
     }
 
     /** Whether it may have run, and must not run again. */
-    public boolean paid() {
+    public boolean mustNotRepeat() {
         return mayHaveRun && !repeatable();
     }
 
@@ -181,13 +181,13 @@
     }
 
     /** The rate of the rendition in force. */
-    public double kb() {
-        return kb(rendition);
+    public double rateKb() {
+        return rateKb(rendition);
     }
 
     /** What a rendition asks over the one in force. */
     public double moreKb(int rendition) {
-        return kb(rendition) - kb();
+        return rateKb(rendition) - rateKb();
     }
 
     /** What a rendition earns a second over the one in force, of what the class is worth. */
@@ -197,16 +197,16 @@
 
     /** A step to another rendition. */
     public void step(long now, int to) {
-        server.book(now, moreKb(to), 0);
+        server.recordChange(now, moreKb(to), 0);
         steppedAt = now;
         rendition = to;
     }
 
     /** The rendition in force is told to be another, at a server. */
-    public void told(long now, EdgeServer at, int rendition) {
+    public void renditionReported(long now, EdgeServer at, int rendition) {
         double more = moreKb(rendition);
         this.rendition = rendition;
-        at.book(now, more, 0);
+        at.recordChange(now, more, 0);
     }
 
     /** When it last stepped to another rendition, or began to play. */
@@ -215,13 +215,13 @@
     }
 
     /** It is about to be sub-rated for a newcomer. */
-    public void subRate() {
+    public void markSubRated() {
         subRated = true;
-        beforeSubRating = rendition;
+        renditionBeforeSubRating = rendition;
     }
 
     /** It has stepped up again. */
-    public void regained() {
+    public void clearSubRated() {
         subRated = false;
     }
 
@@ -231,28 +231,28 @@
     }
 
     /** The rendition that it had before. */
-    public int beforeSubRating() {
-        return beforeSubRating;
+    public int renditionBeforeSubRating() {
+        return renditionBeforeSubRating;
     }
 
     // ---- The readings of its own set-up.
 
     /** Whether its set-up's reading of the link is still to come. */
-    public boolean awaitsLink() {
-        return !linkRead;
+    public boolean awaitsLinkReading() {
+        return !linkReadingReceived;
     }
 
     /** The reading of the link has come; {@code uplinkFollows}: that of the uplink does. Whether this was the last. */
-    public boolean linkRead(boolean uplinkFollows) {
-        linkRead = true;
-        awaitsUplink = uplinkFollows;
-        return !awaitsUplink;
+    public boolean linkReadingReceived(boolean uplinkFollows) {
+        linkReadingReceived = true;
+        awaitsUplinkReading = uplinkFollows;
+        return !awaitsUplinkReading;
     }
 
     /** A reading of the uplink has come. Whether it was its set-up's. */
-    public boolean uplinkRead() {
-        boolean awaited = awaitsUplink;
-        awaitsUplink = false;
+    public boolean uplinkReadingReceived() {
+        boolean awaited = awaitsUplinkReading;
+        awaitsUplinkReading = false;
         return awaited;
     }
 }
--- a/src/main/java/dockshed/model/Sessions.java
+++ b/src/main/java/dockshed/model/Sessions.java
@@ -11,7 +11,7 @@
 
 /** All requests and sessions by id, and how long they stay. */
 public final class Sessions {
-    private static final double SECOND = 1e6;
+    private static final double SECOND_US = 1e6;
 
     private final Map<String, Session> byId = new LinkedHashMap<>();
     private final Settings settings;
@@ -43,7 +43,7 @@
     }
 
     /** The session, if it is out or plays at that server, else null. */
-    public Session at(String id, String server) {
+    public Session findAt(String id, String server) {
         Session session = byId.get(id);
         boolean there = session != null
                 && session.server() != null
@@ -60,7 +60,7 @@
     public void ended(long now, Session session, boolean byItself) {
         remove(session.id());
         if (session.playing()) {
-            stays.ended((now - session.startedAt()) / SECOND, byItself);
+            stays.recordEnd((now - session.startedAt()) / SECOND_US, byItself);
         }
     }
 
@@ -80,26 +80,26 @@
     }
 
     /** Seconds that a session will probably still play; at least a part of the mean. */
-    public double stay(long now, Session session, double leastPart) {
-        double mean = stays.mean();
+    public double remainingStay(long now, Session session, double leastPart) {
+        double mean = stays.meanSeconds();
         if (session.request().expectedDuration() <= 0) {
             return mean;
         }
-        double left = (session.startedAt() + session.request().expectedDuration() - now) / SECOND;
+        double left = (session.startedAt() + session.request().expectedDuration() - now) / SECOND_US;
         return Math.max(left, mean * leastPart);
     }
 
     /** Whether a seat of the newcomer's class is free at its title. */
-    public boolean seatFree(Session newcomer) {
+    public boolean hasFreeSeat(Session newcomer) {
         int seats = newcomer.sessionClass().seats();
         return seats == 0
                 || seats
                         > byId.values().stream()
-                                .filter(s -> sameSeats(s, newcomer))
+                                .filter(s -> countsAgainstSameSeats(s, newcomer))
                                 .count();
     }
 
-    private static boolean sameSeats(Session session, Session newcomer) {
+    private static boolean countsAgainstSameSeats(Session session, Session newcomer) {
         return session.server() != null
                 && session.sessionClass() == newcomer.sessionClass()
                 && session.request().title().equals(newcomer.request().title());
--- a/src/main/java/dockshed/queueing/ClassMix.java
+++ b/src/main/java/dockshed/queueing/ClassMix.java
@@ -2,22 +2,22 @@
 
 /** Arrivals of several classes of one kind, and what they are worth on the mean. */
 public final class ClassMix {
-    private double count;
-    private double worth;
+    private double arrivals;
+    private double totalWorth;
 
     /** So many arrivals, each of that worth. */
-    public void add(double arrivals, double each) {
-        count += arrivals;
-        worth += arrivals * each;
+    public void add(double count, double worthEach) {
+        arrivals += count;
+        totalWorth += count * worthEach;
     }
 
     /** All arrivals. */
-    public double count() {
-        return count;
+    public double arrivals() {
+        return arrivals;
     }
 
     /** The mean worth of an arrival. */
     public double meanWorth() {
-        return worth / count;
+        return totalWorth / arrivals;
     }
 }
--- a/src/main/java/dockshed/queueing/EventWindow.java
+++ b/src/main/java/dockshed/queueing/EventWindow.java
@@ -21,23 +21,23 @@
 
     /** An event of that weight; times never go backwards. */
     public void add(long now, double weight) {
-        slideTo(now);
+        evictOlder(now);
         events.addLast(new Event(now, weight));
     }
 
     /** Events in the window. */
     public int count(long now) {
-        slideTo(now);
+        evictOlder(now);
         return events.size();
     }
 
     /** The sum of the weights in the window. */
     public double sum(long now) {
-        slideTo(now);
+        evictOlder(now);
         return events.stream().mapToDouble(Event::weight).sum();
     }
 
-    private void slideTo(long now) {
+    private void evictOlder(long now) {
         while (!events.isEmpty() && events.peekFirst().at() < now - span) {
             events.removeFirst();
         }
--- a/src/main/java/dockshed/queueing/QuotaOptimizer.java
+++ b/src/main/java/dockshed/queueing/QuotaOptimizer.java
@@ -6,22 +6,27 @@
  *
  * @param highArrivals arrivals a second of the class worth more
  * @param lowArrivals arrivals a second of the class worth less
- * @param departures ends a second of each session
+ * @param departureRate ends a second of each session
  * @param highWorth worth a second of a session of the first
  * @param lowWorth worth a second of a session of the second; a refusal costs as much as a session is worth
- * @param subRated sessions that may be sub-rated for one newcomer (the paper's alpha)
+ * @param maxSubRated sessions that may be sub-rated for one newcomer (the paper's alpha)
  */
 public record QuotaOptimizer(
-        double highArrivals, double lowArrivals, double departures, double highWorth, double lowWorth, int subRated) {
+        double highArrivals,
+        double lowArrivals,
+        double departureRate,
+        double highWorth,
+        double lowWorth,
+        int maxSubRated) {
 
     /** Slots up to which each pair of quotas is tried. */
-    private static final int EACH_SLOT = 64;
+    private static final int MAX_EXHAUSTIVE_SLOTS = 64;
 
     /** Of more slots, pairs of so many parts are tried first. */
-    private static final int STEPS = 32;
+    private static final int COARSE_STEPS = 32;
 
     /** By how much a payoff must be higher to be better: less is rounding. */
-    private static final double TOLERANCE = 1e-9;
+    private static final double PAYOFF_TOLERANCE = 1e-9;
 
     /** Slots reserved for each class. */
     public record Quotas(int high, int low) {
@@ -29,8 +34,8 @@
     }
 
     /** The number of slots that stands for this one: of large servers a few sizes stand for all. */
-    public static int representative(int slots) {
-        return slots > EACH_SLOT ? slots - slots % (slots / STEPS) : slots;
+    public static int representativeSlots(int slots) {
+        return slots > MAX_EXHAUSTIVE_SLOTS ? slots - slots % (slots / COARSE_STEPS) : slots;
     }
 
     /** The quotas of the highest payoff. */
@@ -40,27 +45,29 @@
 
     /** (2) + (3) + (7) + (11) - (9); the inner sum of (7) runs over j. */
     public double payoff(int high, int low, int pool) {
-        ErlangLoss highReserve = new ErlangLoss(highArrivals / departures, high);
-        ErlangLoss lowReserve = new ErlangLoss(lowArrivals / departures, low);
-        ErlangLoss highInPool = new ErlangLoss(highArrivals * highReserve.loss(high) / departures, pool);
-        ErlangLoss lowInPool = new ErlangLoss(lowArrivals * lowReserve.loss(low) / departures, pool);
-        return departures
-                * (highWorth * highReserve.mean(high)
-                        + lowWorth * lowReserve.mean(low)
-                        + pool(pool, highInPool, lowInPool));
+        ErlangLoss highReserve = new ErlangLoss(highArrivals / departureRate, high);
+        ErlangLoss lowReserve = new ErlangLoss(lowArrivals / departureRate, low);
+        ErlangLoss highInPool =
+                new ErlangLoss(highArrivals * highReserve.blockingProbability(high) / departureRate, pool);
+        ErlangLoss lowInPool = new ErlangLoss(lowArrivals * lowReserve.blockingProbability(low) / departureRate, pool);
+        return departureRate
+                * (highWorth * highReserve.carriedLoad(high)
+                        + lowWorth * lowReserve.carriedLoad(low)
+                        + poolPayoff(pool, highInPool, lowInPool));
     }
 
     /** (7) + (11) - (9) over the departures, at what both reserves leave to the pool. */
-    private double pool(int pool, ErlangLoss high, ErlangLoss low) {
+    private double poolPayoff(int pool, ErlangLoss high, ErlangLoss low) {
         double sum = 0;
         for (int i = 0; i <= pool; i++) {
             double busy = high.probability(i, pool);
-            double full = busy * low.loss(pool - i);
-            int squeezed = (pool - i) / subRated;
-            sum += busy * (i * highWorth + low.mean(pool - i) * lowWorth);
+            double full = busy * low.blockingProbability(pool - i);
+            int squeezed = (pool - i) / maxSubRated;
+            sum += busy * (i * highWorth + low.carriedLoad(pool - i) * lowWorth);
             sum += full
-                    * ((highWorth - lowWorth) * high.mean(squeezed) - high.offered() * highWorth * high.loss(squeezed));
-            sum -= full * low.offered() * lowWorth;
+                    * ((highWorth - lowWorth) * high.carriedLoad(squeezed)
+                            - high.offeredLoad() * highWorth * high.blockingProbability(squeezed));
+            sum -= full * low.offeredLoad() * lowWorth;
         }
         return sum;
     }
@@ -76,54 +83,56 @@
         private final ErlangLoss[] highInPool;
         private final ErlangLoss[] lowInPool;
         private Quotas best = Quotas.NONE;
-        private double most = Double.NEGATIVE_INFINITY;
+        private double bestPayoff = Double.NEGATIVE_INFINITY;
 
         Search(int slots) {
             this.slots = slots;
-            highReserve = new ErlangLoss(highArrivals / departures, slots);
-            lowReserve = new ErlangLoss(lowArrivals / departures, slots);
+            highReserve = new ErlangLoss(highArrivals / departureRate, slots);
+            lowReserve = new ErlangLoss(lowArrivals / departureRate, slots);
             highInPool = new ErlangLoss[slots + 1];
             lowInPool = new ErlangLoss[slots + 1];
         }
 
         Quotas best() {
-            int step = slots <= EACH_SLOT ? 1 : (slots + STEPS - 1) / STEPS;
+            int step = slots <= MAX_EXHAUSTIVE_SLOTS ? 1 : (slots + COARSE_STEPS - 1) / COARSE_STEPS;
             for (int high = 0; high <= slots; high += step) {
                 for (int low = 0; low + high <= slots; low += step) {
-                    look(high, low);
+                    tryQuotas(high, low);
                 }
             }
             while (step > 1) {
                 step = (step + 1) / 2;
-                lookAround(best, step);
+                tryNeighbours(best, step);
             }
             return best;
         }
 
-        private void lookAround(Quotas centre, int step) {
+        private void tryNeighbours(Quotas centre, int step) {
             for (int high = -1; high <= 1; high++) {
                 for (int low = -1; low <= 1; low++) {
-                    look(centre.high() + high * step, centre.low() + low * step);
+                    tryQuotas(centre.high() + high * step, centre.low() + low * step);
                 }
             }
         }
 
-        private void look(int high, int low) {
+        private void tryQuotas(int high, int low) {
             if (high < 0 || low < 0 || high + low > slots) {
                 return;
             }
             if (highInPool[high] == null) {
-                highInPool[high] = new ErlangLoss(highArrivals * highReserve.loss(high) / departures, slots);
+                highInPool[high] =
+                        new ErlangLoss(highArrivals * highReserve.blockingProbability(high) / departureRate, slots);
             }
             if (lowInPool[low] == null) {
-                lowInPool[low] = new ErlangLoss(lowArrivals * lowReserve.loss(low) / departures, slots);
+                lowInPool[low] =
+                        new ErlangLoss(lowArrivals * lowReserve.blockingProbability(low) / departureRate, slots);
             }
-            double payoff = departures
-                    * (highWorth * highReserve.mean(high)
-                            + lowWorth * lowReserve.mean(low)
-                            + pool(slots - high - low, highInPool[high], lowInPool[low]));
-            if (payoff > most + TOLERANCE) {
-                most = payoff;
+            double payoff = departureRate
+                    * (highWorth * highReserve.carriedLoad(high)
+                            + lowWorth * lowReserve.carriedLoad(low)
+                            + poolPayoff(slots - high - low, highInPool[high], lowInPool[low]));
+            if (payoff > bestPayoff + PAYOFF_TOLERANCE) {
+                bestPayoff = payoff;
                 best = new Quotas(high, low);
             }
         }
--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -132,7 +132,10 @@
             case "boot" ->
                 instances.put(
                         id,
-                        new Choice(SettingsReader.read(e.object("options")), e.longInteger("entropy"), new Writer(id)));
+                        new Choice(
+                                SettingsReader.read(e.object("options")),
+                                e.longInteger("entropy"),
+                                new ActionWriter(id)));
             case "halt" -> instances.remove(id);
             default -> {
                 Director d = instances.get(id);
@@ -257,18 +260,18 @@
     }
 
     /** Writes one instance's actions into the reply of the batch in hand. */
-    private final class Writer implements Director.Actions {
-        private interface Body {
+    private final class ActionWriter implements Director.Actions {
+        private interface FieldsWriter {
             void write() throws IOException;
         }
 
         private final String instance;
 
-        Writer(String instance) {
+        ActionWriter(String instance) {
             this.instance = instance;
         }
 
-        private void action(String name, Body body) {
+        private void action(String name, FieldsWriter body) {
             try {
                 out.writeStartObject();
                 out.writeObjectFieldStart(name);
--- a/src/test/java/dockshed/Bench.java
+++ b/src/test/java/dockshed/DirectorFixture.java
@@ -21,18 +21,19 @@
 import java.util.List;
 
 /** A director on a recording sink, with small settings that tests change as they need. */
-final class Bench implements Director.Actions {
-    static final long S = 1_000_000;
+final class DirectorFixture implements Director.Actions {
+    static final long SECOND_US = 1_000_000;
 
     static final List<Double> RATES = List.of(200.0, 340.0, 600.0, 1000.0, 1700.0);
 
     /** Lines such as "send r1 a", "refuse r1", "fail r1", "rate r1 2". */
     final List<String> log = new ArrayList<>();
 
-    List<SessionClass> classes = List.of(new SessionClass("film", Effect.SAFE, S, 4 * S, 1, 1, 0, 4, 0));
-    Rules rules = new Rules(250_000, 0.4, 12 * S, 2, 2 * S, 0, 0, 0);
-    int balancers = 1;
-    int me = 0;
+    List<SessionClass> classes =
+            List.of(new SessionClass("film", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 0, 4, 0));
+    Rules rules = new Rules(250_000, 0.4, 12 * SECOND_US, 2, 2 * SECOND_US, 0, 0, 0);
+    int brokers = 1;
+    int brokerNumber = 0;
     long seed = 42;
     int cells = 3;
     int streams = 40;
@@ -40,19 +41,19 @@
     int attempts = 3;
     double handshake = 0;
     double uplinkKb = 60000;
-    long now = 1000 * S;
-    Choice d;
+    long now = 1000 * SECOND_US;
+    Choice director;
 
     /** One of so many directors, each with a seed of its own. */
-    static Bench one(int me, int of) {
-        Bench b = new Bench();
-        b.balancers = of;
-        b.me = me;
+    static DirectorFixture numbered(int me, int of) {
+        DirectorFixture b = new DirectorFixture();
+        b.brokers = of;
+        b.brokerNumber = me;
         b.seed = 1000 + me;
         return b;
     }
 
-    Bench start(Server... servers) {
+    DirectorFixture start(Server... servers) {
         Ladder ladder = new Ladder(
                 RATES,
                 List.of(0.2, 0.42, 0.62, 0.81, 1.0),
@@ -65,19 +66,19 @@
                 7,
                 800_000);
         Settings settings = new Settings(
-                me,
-                balancers,
+                brokerNumber,
+                brokers,
                 "here",
                 classes,
                 List.of(new ServerKind("box", streams)),
                 ladder,
-                new Limits(attempts, false, false, 250_000, 500_000, 800_000, 3 * S),
+                new Limits(attempts, false, false, 250_000, 500_000, 800_000, 3 * SECOND_US),
                 rules,
                 new Prices(0.04, 0.05, 0, handshake),
                 List.of(ReportField.LINK));
-        d = new Choice(settings, seed, this);
-        d.serversChanged(now, ListScope.DISK, List.of(servers));
-        d.serversChanged(now, ListScope.CHANGES, List.of());
+        director = new Choice(settings, seed, this);
+        director.serversChanged(now, ListScope.DISK, List.of(servers));
+        director.serversChanged(now, ListScope.CHANGES, List.of());
         return this;
     }
 
@@ -89,18 +90,18 @@
         return new Server(id, "here", "box", cell, state, 1, upSince);
     }
 
-    private static Request wish(String id, String cls) {
-        return new Request(id, cls, "v" + id, "title", 4 * S, 0, 0, 3, 4, false, false, false);
+    private static Request newRequest(String id, String cls) {
+        return new Request(id, cls, "v" + id, "title", 4 * SECOND_US, 0, 0, 3, 4, false, false, false);
     }
 
     void request(String id, String cls) {
-        d.request(now, wish(id, cls));
+        director.request(now, newRequest(id, cls));
     }
 
     /** A session that plays already at the start. */
-    void open(String id, String server, int rung) {
-        d.adoptSession(now, wish(id, classes.get(0).name()), server);
-        d.metricReceived(now, id, server, Metric.RENDITION, rung);
+    void openSession(String id, String server, int rung) {
+        director.adoptSession(now, newRequest(id, classes.get(0).name()), server);
+        director.metricReceived(now, id, server, Metric.RENDITION, rung);
     }
 
     void request(String id) {
@@ -112,18 +113,18 @@
         request(id, cls);
         String to = sentTo(id);
         if (to != null) {
-            d.sessionStarted(now, id, 0, to);
-            d.metricReceived(now, id, to, Metric.LINK, 0.5);
+            director.sessionStarted(now, id, 0, to);
+            director.metricReceived(now, id, to, Metric.LINK, 0.5);
         }
     }
 
     void end(String id, Outcome outcome, boolean last) {
-        d.outcome(now, id, 0, sentTo(id), outcome, last, LoadReport.NONE);
+        director.outcome(now, id, 0, sentTo(id), outcome, last, LoadReport.NONE);
     }
 
     /** The same of a request whose lines are no longer kept. */
     void end(String id, String server, Outcome outcome, boolean last) {
-        d.outcome(now, id, 0, server, outcome, last, LoadReport.NONE);
+        director.outcome(now, id, 0, server, outcome, last, LoadReport.NONE);
     }
 
     String sentTo(String id) {
--- a/src/test/java/dockshed/RulesTest.java
+++ b/src/test/java/dockshed/RulesTest.java
@@ -18,42 +18,42 @@
 
 /** The six rules, each without a bench. */
 class RulesTest {
-    private static final long S = Bench.S;
+    private static final long SECOND_US = DirectorFixture.SECOND_US;
 
-    private static List<SessionClass> paid() {
-        return List.of(new SessionClass("paid", Effect.AT_MOST_ONCE, S, 4 * S, 1, 1, 0, 4, 0));
+    private static List<SessionClass> paidClass() {
+        return List.of(new SessionClass("paid", Effect.AT_MOST_ONCE, SECOND_US, 4 * SECOND_US, 1, 1, 0, 4, 0));
     }
 
     @Test
     void aTimeoutAtTheDeadlineIsAnsweredInThatBatch() {
-        Bench b = new Bench().start(Bench.server("a", 0), Bench.server("b", 1));
+        DirectorFixture b = new DirectorFixture().start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1));
         b.request("r");
-        b.now += 4 * S;
+        b.now += 4 * SECOND_US;
         b.end("r", Outcome.TIMEOUT, false);
         assertEquals(1, b.count("fail r"));
         b.end("r", Outcome.TIMEOUT, false);
-        b.d.requestCancelled(b.now, "r");
+        b.director.requestCancelled(b.now, "r");
         assertEquals(1, b.count("fail r") + b.count("refuse r"));
     }
 
     @Test
     void whatIsOverIsNeverAnsweredAgain() {
-        Bench b = new Bench().start(Bench.server("a", 0));
+        DirectorFixture b = new DirectorFixture().start(DirectorFixture.server("a", 0));
         b.request("r");
-        b.d.sessionStarted(b.now, "r", 0, "a");
+        b.director.sessionStarted(b.now, "r", 0, "a");
         b.end("r", Outcome.RESET, true);
-        b.d.sessionStarted(b.now, "r", 0, "a");
-        b.d.metricReceived(b.now, "r", "nowhere", Metric.LINK, 2);
-        b.d.outcome(b.now, "r", 0, "nowhere", Outcome.OK, true, LoadReport.NONE);
+        b.director.sessionStarted(b.now, "r", 0, "a");
+        b.director.metricReceived(b.now, "r", "nowhere", Metric.LINK, 2);
+        b.director.outcome(b.now, "r", 0, "nowhere", Outcome.OK, true, LoadReport.NONE);
         assertEquals(0, b.count("fail r") + b.count("refuse r"));
     }
 
     @Test
     void paidSetUpIsRepeatedOnlyAfterProofThatItNeverRan() {
         for (Outcome outcome : Outcome.values()) {
-            Bench b = new Bench();
-            b.classes = paid();
-            b.start(Bench.server("a", 0), Bench.server("b", 1), Bench.server("c", 2));
+            DirectorFixture b = new DirectorFixture();
+            b.classes = paidClass();
+            b.start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1), DirectorFixture.server("c", 2));
             b.request("r");
             b.end("r", outcome, false);
             boolean proof = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
@@ -65,11 +65,11 @@
 
     @Test
     void anotherAttemptGoesOutOnlyAfterTheFirstIsOver() {
-        Bench b = new Bench().start(Bench.server("a", 0), Bench.server("b", 1));
+        DirectorFixture b = new DirectorFixture().start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1));
         b.request("r");
         for (int i = 0; i < 10; i++) {
-            b.now += S / 10;
-            b.d.timer(b.now, "sweep");
+            b.now += SECOND_US / 10;
+            b.director.timer(b.now, "sweep");
         }
         assertEquals(1, b.count("send r"));
         String first = b.sentTo("r");
@@ -80,11 +80,12 @@
 
     @Test
     void nothingGoesToAServerThatDrainsOrIsAbsentFromASnapshot() {
-        Bench b = new Bench().start(Bench.server("a", 0), Bench.server("b", 1));
-        b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("a", 0, State.DRAINING, 0)));
+        DirectorFixture b = new DirectorFixture().start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1));
+        b.director.serversChanged(b.now, ListScope.CHANGES, List.of(DirectorFixture.server("a", 0, State.DRAINING, 0)));
         b.request("r1");
         assertEquals("b", b.sentTo("r1"));
-        b.d.serversChanged(b.now, ListScope.SNAPSHOT, List.of(Bench.server("a", 0, State.DRAINING, 0)));
+        b.director.serversChanged(
+                b.now, ListScope.SNAPSHOT, List.of(DirectorFixture.server("a", 0, State.DRAINING, 0)));
         b.request("r2");
         assertNull(b.sentTo("r2"));
         assertEquals(1, b.count("refuse r2"));
@@ -95,14 +96,15 @@
         // Streams 40 over 12 s, from 0.4: in the first 2 s at most 2 * 0.4 * 40 / 12 * 2 s = 5.3 set-ups of three.
         long sent = 0;
         for (int me = 0; me < 3; me++) {
-            Bench b = new Bench();
-            b.balancers = 3;
-            b.me = me;
-            b.start(Bench.server("a", 0));
-            b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("a", 0, State.UP, b.now)));
+            DirectorFixture b = new DirectorFixture();
+            b.brokers = 3;
+            b.brokerNumber = me;
+            b.start(DirectorFixture.server("a", 0));
+            b.director.serversChanged(
+                    b.now, ListScope.CHANGES, List.of(DirectorFixture.server("a", 0, State.UP, b.now)));
             for (int i = 0; i < 40; i++) {
                 b.request("r" + i);
-                b.now += S / 20;
+                b.now += SECOND_US / 20;
             }
             sent += b.count("send ");
         }
@@ -111,10 +113,10 @@
 
     @Test
     void afterItsOwnRestartADirectorPacesUntilNewsComes() {
-        Bench b = new Bench();
-        b.balancers = 3;
-        b.start(Bench.server("a", 0));
-        b.d.serversChanged(b.now, ListScope.DISK, List.of(Bench.server("a", 0)));
+        DirectorFixture b = new DirectorFixture();
+        b.brokers = 3;
+        b.start(DirectorFixture.server("a", 0));
+        b.director.serversChanged(b.now, ListScope.DISK, List.of(DirectorFixture.server("a", 0)));
         b.request("r1");
         b.request("r2");
         assertEquals(1, b.count("send "));
@@ -122,7 +124,7 @@
 
     @Test
     void aServerNotReachedIsLeftAloneThenPaced() {
-        Bench b = new Bench().start(Bench.server("a", 0));
+        DirectorFixture b = new DirectorFixture().start(DirectorFixture.server("a", 0));
         b.request("r1");
         b.end("r1", Outcome.CONNECT_FAILED, false);
         b.request("r2");
@@ -131,9 +133,9 @@
 
     @Test
     void floorAndSeatsAreKept() {
-        Bench b = new Bench();
-        b.classes = List.of(new SessionClass("seated", Effect.SAFE, S, 4 * S, 1, 1, 2, 3, 2));
-        b.start(Bench.server("a", 0), Bench.server("b", 1), Bench.server("c", 2));
+        DirectorFixture b = new DirectorFixture();
+        b.classes = List.of(new SessionClass("seated", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 2, 3, 2));
+        b.start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1), DirectorFixture.server("c", 2));
         for (int i = 0; i < 3; i++) {
             b.play("r" + i, "seated");
         }
@@ -152,16 +154,16 @@
 
     @Test
     void furtherAttemptsStayWithinTheirBudget() {
-        Bench b = new Bench();
-        b.rules = new Rules(250_000, 0.4, 12 * S, 2, 2 * S, 1, 0.2, 10 * S);
+        DirectorFixture b = new DirectorFixture();
+        b.rules = new Rules(250_000, 0.4, 12 * SECOND_US, 2, 2 * SECOND_US, 1, 0.2, 10 * SECOND_US);
         b.attempts = 4;
-        b.start(Bench.server("a", 0), Bench.server("b", 1), Bench.server("c", 2));
+        b.start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1), DirectorFixture.server("c", 2));
         for (int i = 0; i < 10; i++) {
             b.request("r" + i);
             if (b.sentTo("r" + i) != null) {
                 b.end("r" + i, Outcome.FULL, false);
             }
-            b.now += S / 2;
+            b.now += SECOND_US / 2;
             long extra = b.count("send ")
                     - b.log.stream()
                             .filter(l -> l.startsWith("send "))
@@ -177,16 +179,19 @@
         // In the first 2 s the rule bears 2 * 0.4 * 40 / 12 * 2 s = 5.3 set-ups and slack; the aim is 3.7.
         long sent = 0;
         for (int me = 0; me < 100; me++) {
-            Bench b = Bench.one(me, 100);
-            b.start(Bench.server("a", 0));
-            b.now += me * S / 50;
+            DirectorFixture b = DirectorFixture.numbered(me, 100);
+            b.start(DirectorFixture.server("a", 0));
+            b.now += me * SECOND_US / 50;
             for (int i = 0; i < 10; i++) { // half a request a second each, as usual there
                 b.request("u" + i);
                 b.end("u" + i, Outcome.OK, true);
-                b.now += 2 * S;
+                b.now += 2 * SECOND_US;
             }
             long before = b.count("send ");
-            b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("a", 0, State.UP, b.now - me * S / 50)));
+            b.director.serversChanged(
+                    b.now,
+                    ListScope.CHANGES,
+                    List.of(DirectorFixture.server("a", 0, State.UP, b.now - me * SECOND_US / 50)));
             b.request("r");
             sent += b.count("send ") - before;
         }
@@ -194,30 +199,35 @@
     }
 
     /** How tries come to the directors of a cold server. */
-    private record Ramp(int directors, double perSecond, boolean uneven, boolean full, boolean again) {}
+    private record Ramp(int brokers, double perSecond, boolean uneven, boolean othersFull, boolean retries) {}
 
     /**
-     * The real module, so many of it, and one server of four that has just started: the most that it gets in a window of the
-     * fall over what it may, N + 2 x root of N + 2, of the window's first moment; and all that it gets.
+     * The real module, so many of it, and one server of four that has just started: the most that it gets in a window
+     * of the fall over what it may, N + 2 x root of N + 2, of the window's first moment; and all that it gets.
      */
-    private static double[] ramp(Ramp r, long seed) {
+    private static double[] loadColdServer(Ramp r, long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
-        long begin = 1000 * S;
-        long window = 2 * S;
-        long warmUp = 12 * S;
-        List<Bench> all = new java.util.ArrayList<>();
-        double[] upTo = new double[r.directors];
+        long begin = 1000 * SECOND_US;
+        long window = 2 * SECOND_US;
+        long warmUp = 12 * SECOND_US;
+        List<DirectorFixture> all = new java.util.ArrayList<>();
+        double[] upTo = new double[r.brokers];
         double sum = 0;
-        for (int me = 0; me < r.directors; me++) {
-            Bench b = Bench.one(me, r.directors);
+        for (int me = 0; me < r.brokers; me++) {
+            DirectorFixture b = DirectorFixture.numbered(me, r.brokers);
             b.seed = seed * 10_000 + me;
-            b.attempts = r.again ? 4 : 1;
-            b.start(Bench.server("w0", 0), Bench.server("w1", 1), Bench.server("w2", 2), Bench.server("c", 0));
-            for (int i = 0; r.full && i < 3; i++) {
-                b.open("o" + i, "w" + i, 0);
-                b.d.metricReceived(b.now, "o" + i, "w" + i, Director.Metric.LINK, 1.3);
+            b.attempts = r.retries ? 4 : 1;
+            b.start(
+                    DirectorFixture.server("w0", 0),
+                    DirectorFixture.server("w1", 1),
+                    DirectorFixture.server("w2", 2),
+                    DirectorFixture.server("c", 0));
+            for (int i = 0; r.othersFull && i < 3; i++) {
+                b.openSession("o" + i, "w" + i, 0);
+                b.director.metricReceived(b.now, "o" + i, "w" + i, Director.Metric.LINK, 1.3);
             }
-            b.d.serversChanged(b.now, ListScope.CHANGES, List.of(Bench.server("c", 0, State.UP, begin)));
+            b.director.serversChanged(
+                    b.now, ListScope.CHANGES, List.of(DirectorFixture.server("c", 0, State.UP, begin)));
             all.add(b);
             sum += r.uneven && me % 10 == 0 ? 8 : 1; // one in ten has several times the mean
             upTo[me] = sum;
@@ -225,15 +235,15 @@
         java.util.ArrayDeque<Long> sends = new java.util.ArrayDeque<>();
         double worst = 0;
         long got = 0;
-        int tries = (int) (r.perSecond * warmUp / S);
+        int tries = (int) (r.perSecond * warmUp / SECOND_US);
         for (int k = 0; k < tries; k++) {
-            long now = begin + (long) (k / r.perSecond * S);
+            long now = begin + (long) (k / r.perSecond * SECOND_US);
             double at = random.nextDouble() * sum;
             int me = 0;
             while (upTo[me] < at) {
                 me++;
             }
-            Bench b = all.get(me);
+            DirectorFixture b = all.get(me);
             b.now = now;
             b.log.clear();
             b.request("r" + k);
@@ -242,7 +252,7 @@
                     sends.add(now);
                     got++;
                 }
-                boolean refused = r.again && random.nextInt(4) == 0;
+                boolean refused = r.retries && random.nextInt(4) == 0;
                 b.log.clear();
                 b.end("r" + k, to, refused ? Outcome.RESET : Outcome.OK, !refused);
                 to = b.sentTo("r" + k);
@@ -268,12 +278,12 @@
                     new Ramp(directors, 400, true, true, false),
                     new Ramp(directors, 40, true, true, true))) {
                 for (long seed = 1; seed <= 2; seed++) {
-                    double[] got = ramp(r, seed);
+                    double[] got = loadColdServer(r, seed);
                     assertTrue(got[0] <= 1, r + " seed " + seed + ": " + got[0]);
                     // What stands unused beside a full fleet is a loss, too: a quarter at least of what it takes
                     // meanwhile.
                     assertTrue(
-                            !r.full || r.perSecond < 400 || got[1] >= 40 * 0.7 / 4,
+                            !r.othersFull || r.perSecond < 400 || got[1] >= 40 * 0.7 / 4,
                             r + " seed " + seed + ": " + got[1]);
                 }
             }
@@ -285,15 +295,15 @@
         // With slots dealt out by number, a restart of all without news refused all for a whole warm-up.
         long sent = 0;
         for (int me = 0; me < 112; me++) {
-            Bench b = Bench.one(me, 112);
+            DirectorFixture b = DirectorFixture.numbered(me, 112);
             Director.Server[] fleet = new Director.Server[90];
             for (int i = 0; i < fleet.length; i++) {
-                fleet[i] = Bench.server("n" + i, i);
+                fleet[i] = DirectorFixture.server("n" + i, i);
             }
             b.cells = fleet.length;
             b.start(fleet);
-            b.d.serversChanged(b.now, ListScope.DISK, List.of(fleet));
-            b.now += S;
+            b.director.serversChanged(b.now, ListScope.DISK, List.of(fleet));
+            b.now += SECOND_US;
             b.request("r");
             sent += b.count("send ");
         }
--- a/src/test/java/dockshed/SameDecisionsTest.java
+++ b/src/test/java/dockshed/SameDecisionsTest.java
@@ -19,7 +19,7 @@
  * has the hash that it had before. A change that means to decide otherwise sets new hashes, in a commit that says so.
  */
 class SameDecisionsTest {
-    private static final long S = Bench.S;
+    private static final long SECOND_US = DirectorFixture.SECOND_US;
 
     /** Settings of one day and the hash of its log. */
     private record Golden(String hash, Consumer<ScriptedDay> settings) {}
@@ -33,155 +33,155 @@
 
     static {
         day("alone, much room", "a22becbf13c1a907990b98a2", day -> {
-            day.balancers = 1;
-            day.arrivals = 1.5;
-            day.foreign = 0.1;
+            day.brokers = 1;
+            day.arrivalsPerSecond = 1.5;
+            day.foreignShare = 0.1;
             day.seconds = 300;
         });
         day("three directors", "eb59e55c83be0e881cd4536a", day -> {
-            day.arrivals = 2;
+            day.arrivalsPerSecond = 2;
             day.servers = 14;
-            day.failures = true;
+            day.linksCollapse = true;
             day.seconds = 200;
         });
         day("overload", "a771353d346512232aa66cf8", day -> {
-            day.arrivals = 14;
-            day.foreign = 0.6;
-            day.troubles = 0.15;
-            day.attemptsWindow = 5 * S;
+            day.arrivalsPerSecond = 14;
+            day.foreignShare = 0.6;
+            day.failureShare = 0.15;
+            day.attemptsWindow = 5 * SECOND_US;
         });
         day("overload of many classes, lengths known", "cb2e2cb49a5b368affc2e2a9", day -> {
             day.classes = ScriptedDay.manyClasses();
-            day.arrivals = 12;
+            day.arrivalsPerSecond = 12;
             day.knownLength = true;
-            day.balancers = 2;
-            day.stay = 60;
+            day.brokers = 2;
+            day.meanStaySeconds = 60;
         });
         day("uplinks told", "83fe96d3bef9c35122ff4b95", day -> {
-            day.tellsUplink = true;
-            day.failures = true;
+            day.reportsUplink = true;
+            day.linksCollapse = true;
             day.uplinkKb = 20_000;
-            day.arrivals = 3;
-            day.foreign = 0.3;
+            day.arrivalsPerSecond = 3;
+            day.foreignShare = 0.3;
             day.seconds = 240;
             day.classes = ScriptedDay.manyClasses();
         });
         day("uplinks short and not told", "b71aedc28c3df26f809aca21", day -> {
-            day.balancers = 2;
+            day.brokers = 2;
             day.uplinkKb = 12_000;
-            day.arrivals = 8;
-            day.foreign = 0.2;
+            day.arrivalsPerSecond = 8;
+            day.foreignShare = 0.2;
             day.racks = 3;
             day.servers = 9;
         });
         day("handshakes have a price", "ede778deea45889114338f3f", day -> {
             day.handshake = 0.05;
             day.servers = 24;
-            day.balancers = 14;
+            day.brokers = 14;
             day.racks = 4;
         });
         day("a hundred directors, uplinks told", "3496e86f508d40fb4766ebc6", day -> {
-            day.balancers = 100;
-            day.tellsUplink = true;
-            day.foreign = 0.95;
+            day.brokers = 100;
+            day.reportsUplink = true;
+            day.foreignShare = 0.95;
             day.openAtStart = 12;
             day.handshake = 0.02;
-            day.arrivals = 2;
-            day.troubles = 0.2;
+            day.arrivalsPerSecond = 2;
+            day.failureShare = 0.2;
             day.seconds = 240;
         });
         day("sessions open at the start", "4ce91f6c6ec47db4d649a5d5", day -> {
             day.openAtStart = 40;
-            day.arrivals = 6;
+            day.arrivalsPerSecond = 6;
             day.seed = 5;
         });
         day("cold servers, few directors", "1ba3653037949056d36a9b6f", day -> {
             day.coldStart = true;
             day.restarts = true;
             day.streams = 60;
-            day.arrivals = 8;
+            day.arrivalsPerSecond = 8;
         });
         day("cold servers, many directors", "9bbef5b94f949c0db26df873", day -> {
             day.coldStart = true;
             day.restarts = true;
-            day.balancers = 36;
-            day.tellsUplink = true;
+            day.brokers = 36;
+            day.reportsUplink = true;
             day.streams = 30;
-            day.arrivals = 6;
-            day.troubles = 0.1;
+            day.arrivalsPerSecond = 6;
+            day.failureShare = 0.1;
         });
         day("cold servers with a price of handshakes and no fall", "4762542745cd899881438080", day -> {
             day.coldStart = true;
             day.restarts = true;
-            day.balancers = 9;
-            day.fall = 0;
+            day.brokers = 9;
+            day.overloadWindow = 0;
             day.handshake = 0.04;
         });
         day("a pace told from outside", "7f77e3f18fe743d3e9d33cf6", day -> {
             day.coldStart = true;
             day.restarts = true;
             day.paced = true;
-            day.shuns = true;
-            day.newcomers = 0.5;
-            day.budget = false;
-            day.troubles = 0.2;
+            day.avoidsServers = true;
+            day.newSessionShare = 0.5;
+            day.retriesAlwaysAllowed = false;
+            day.failureShare = 0.2;
         });
         day("reserves of few slots", "14cb501f5d1e233105bd03cf", day -> {
             day.linkKb = 30_000;
             day.uplinkKb = 1_000_000;
-            day.foreign = 0.7;
+            day.foreignShare = 0.7;
             day.servers = 3;
-            day.arrivals = 10;
-            day.balancers = 1;
-            day.stay = 40;
+            day.arrivalsPerSecond = 10;
+            day.brokers = 1;
+            day.meanStaySeconds = 40;
         });
         day("reserves of many slots", "63728d1d0c180afee262359b", day -> {
             day.linkKb = 300_000;
             day.uplinkKb = 3_000_000;
             day.streams = 140;
             day.servers = 2;
-            day.foreign = 0.9;
-            day.arrivals = 12;
-            day.balancers = 1;
-            day.stay = 40;
+            day.foreignShare = 0.9;
+            day.arrivalsPerSecond = 12;
+            day.brokers = 1;
+            day.meanStaySeconds = 40;
             day.seconds = 60;
         });
         day("servers of unlike weights, readings seldom", "906efeb887a4737b4013dc3f", day -> {
-            day.unlikeWeights = true;
-            day.reportsEvery = S / 4;
-            day.troubles = 0.3;
-            day.attemptsWindow = 2 * S;
+            day.differentWeights = true;
+            day.reportInterval = SECOND_US / 4;
+            day.failureShare = 0.3;
+            day.attemptsWindow = 2 * SECOND_US;
             day.cells = 2;
         });
         day("uplinks that all but fail, sessions past their told length", "2e25c7f234c3514abd3d6f42", day -> {
             day.uplinkKb = 5_000;
-            day.foreign = 0.15;
+            day.foreignShare = 0.15;
             day.racks = 4;
-            day.balancers = 2;
+            day.brokers = 2;
             day.knownLength = true;
-            day.arrivals = 3;
+            day.arrivalsPerSecond = 3;
             day.openAtStart = 30;
             day.seconds = 240;
         });
         day("links that give next to nothing", "f729051aee90bb9ab87bfcf1", day -> {
-            day.failures = true;
-            day.failing = 0.02;
-            day.balancers = 1;
-            day.arrivals = 1;
-            day.foreign = 0.02;
-            day.troubles = 0.2;
-            day.attemptsWindow = S / 4;
+            day.linksCollapse = true;
+            day.collapsedShare = 0.02;
+            day.brokers = 1;
+            day.arrivalsPerSecond = 1;
+            day.foreignShare = 0.02;
+            day.failureShare = 0.2;
+            day.attemptsWindow = SECOND_US / 4;
             day.knownLength = true;
             day.seconds = 300;
         });
         day("one rack, weak links", "aa5b1df2ebe902af3d8be356", day -> {
             day.racks = 1;
             day.linkKb = 2_000;
-            day.failures = true;
-            day.arrivals = 6;
-            day.foreign = 0.1;
+            day.linksCollapse = true;
+            day.arrivalsPerSecond = 6;
+            day.foreignShare = 0.1;
             day.classes = ScriptedDay.manyClasses();
-            day.balancers = 7;
+            day.brokers = 7;
         });
     }
 
--- a/src/test/java/dockshed/ScriptedDay.java
+++ b/src/test/java/dockshed/ScriptedDay.java
@@ -29,95 +29,96 @@
 /**
  * A scripted day of one director against modelled edge servers: arrivals, answers of every outcome, readings, short
  * deliveries, restarts and drains, all drawn from one seed. What the director does is written down with all arguments,
- * so two directors that decide alike leave the same log. The fields are the day's settings; set them before {@link #play}.
+ * so two directors that decide alike leave the same log. The fields are the day's settings; set them before {@link
+ * #play}.
  */
 final class ScriptedDay implements Director.Actions {
-    private static final long S = Bench.S;
-    private static final long TICK = S / 20;
-    private static final long READINGS_EVERY = 3 * S;
-    private static final long SEEN_AFTER = 800_000;
+    private static final long SECOND_US = DirectorFixture.SECOND_US;
+    private static final long TICK_US = SECOND_US / 20;
+    private static final long READING_INTERVAL_US = 3 * SECOND_US;
+    private static final long REPORT_DELAY_US = 800_000;
 
     /** Every action with its time and arguments. */
     final List<String> log = new ArrayList<>();
 
     long seed = 1;
     int seconds = 120;
-    int balancers = 3;
+    int brokers = 3;
     int servers = 8;
     int racks = 2;
     int cells = 4;
     int streams = 40;
     double linkKb = 6000;
     double uplinkKb = 30_000;
-    double arrivals = 4; // a second
-    double foreign = 0.4; // share of a link that other directors' sessions ask
-    double troubles = 0.05; // share of attempts that end badly
-    double stay = 25; // seconds, mean
+    double arrivalsPerSecond = 4; // a second
+    double foreignShare = 0.4; // share of a link that other directors' sessions ask
+    double failureShare = 0.05; // share of attempts that end badly
+    double meanStaySeconds = 25; // seconds, mean
     int openAtStart = 0;
     double handshake = 0;
-    boolean tellsUplink = false;
+    boolean reportsUplink = false;
     boolean coldStart = false;
     boolean restarts = false;
     boolean knownLength = false;
-    boolean unlikeWeights = false;
-    boolean failures = false; // links collapse and come back
-    double failing = 0.3; // share that a collapsed link gives
-    long reportsEvery = READINGS_EVERY;
+    boolean differentWeights = false;
+    boolean linksCollapse = false; // links collapse and come back
+    double collapsedShare = 0.3; // share that a collapsed link gives
+    long reportInterval = READING_INTERVAL_US;
     long attemptsWindow = 0;
-    double newcomers = -1;
+    double newSessionShare = -1;
     boolean paced = false;
-    boolean shuns = false;
-    boolean budget = true;
+    boolean avoidsServers = false;
+    boolean retriesAlwaysAllowed = true;
     double coldFrom = 0.4;
     double tipMultiple = 2;
-    long fall = 2 * S;
+    long overloadWindow = 2 * SECOND_US;
     List<SessionClass> classes = twoClasses();
 
-    private final Map<String, Call> calls = new LinkedHashMap<>();
-    private final Map<String, Box> boxes = new LinkedHashMap<>();
+    private final Map<String, ModelSession> sessions = new LinkedHashMap<>();
+    private final Map<String, ModelServer> edgeServers = new LinkedHashMap<>();
     private final TreeMap<Long, List<String>> timers = new TreeMap<>();
     private Random random;
     private Choice director;
-    private long now = 1000 * S;
-    private int numbered;
+    private long now = 1000 * SECOND_US;
+    private int nextNumber;
 
     /** One request as its edge server sees it. */
-    private static final class Call {
+    private static final class ModelSession {
         final Request request;
         String server;
-        int rung;
+        int rendition;
         int attempt;
         boolean playing;
         long answerAt;
         long endAt;
 
-        Call(Request request) {
+        ModelSession(Request request) {
             this.request = request;
         }
     }
 
     /** An edge server of the model. */
-    private static final class Box {
+    private static final class ModelServer {
         Server info;
-        double gives = 1;
-        double foreign;
-        long toldAt;
+        double capacityShare = 1;
+        double foreignShare;
+        long lastReportAt;
     }
 
     static List<SessionClass> twoClasses() {
         return List.of(
-                new SessionClass("plain", Effect.SAFE, S, 4 * S, 1, 1, 0, 4, 0),
-                new SessionClass("premium", Effect.SAFE, S, 4 * S, 2.5, 1, 0, 4, 0));
+                new SessionClass("plain", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 0, 4, 0),
+                new SessionClass("premium", Effect.SAFE, SECOND_US, 4 * SECOND_US, 2.5, 1, 0, 4, 0));
     }
 
     /** Every effect, a class with seats, one that earns nothing, other scales and floors. */
     static List<SessionClass> manyClasses() {
         return List.of(
-                new SessionClass("plain", Effect.SAFE, S, 4 * S, 1, 1, 0, 4, 0),
-                new SessionClass("premium", Effect.SAFE, 2 * S, 4 * S, 3, 1.2, 1, 4, 0),
-                new SessionClass("exam", Effect.AT_MOST_ONCE, S, 4 * S, 2, 0.7, 1, 3, 0),
-                new SessionClass("room", Effect.KEYED, S, 4 * S, 1.5, 1, 0, 4, 2),
-                new SessionClass("free", Effect.SAFE, S, 4 * S, 1e-6, 1, 0, 4, 0));
+                new SessionClass("plain", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 0, 4, 0),
+                new SessionClass("premium", Effect.SAFE, 2 * SECOND_US, 4 * SECOND_US, 3, 1.2, 1, 4, 0),
+                new SessionClass("exam", Effect.AT_MOST_ONCE, SECOND_US, 4 * SECOND_US, 2, 0.7, 1, 3, 0),
+                new SessionClass("room", Effect.KEYED, SECOND_US, 4 * SECOND_US, 1.5, 1, 0, 4, 2),
+                new SessionClass("free", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1e-6, 1, 0, 4, 0));
     }
 
     /** Plays the whole day with a director of that seed. */
@@ -126,31 +127,31 @@
         director = new Choice(settings(), seed * 31 + 7, this);
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            list.add(server(i, State.UP, coldStart && i % 2 == 0 ? now - (i % 5) * S : 0));
+            list.add(server(i, State.UP, coldStart && i % 2 == 0 ? now - (i % 5) * SECOND_US : 0));
         }
         members(ListScope.DISK, list);
         for (int i = 0; i < openAtStart; i++) {
-            openOne(list.get(i % servers).id());
+            openSession(list.get(i % servers).id());
         }
         members(ListScope.CHANGES, coldStart ? list.subList(0, servers / 2) : List.of());
-        for (int tick = 0; tick < seconds * (S / TICK); tick++) {
-            now += TICK;
+        for (int tick = 0; tick < seconds * (SECOND_US / TICK_US); tick++) {
+            now += TICK_US;
             fireTimers();
             if (tick % 400 == 399) {
-                change(tick / 400);
+                changeServers(tick / 400);
             }
-            wander();
-            arrive();
-            answer();
-            end();
-            tell();
+            varyForeignLoad();
+            sendRequests();
+            answerAttempts();
+            endSessions();
+            reportReadings();
         }
         return this;
     }
 
     private Settings settings() {
         Ladder ladder = new Ladder(
-                Bench.RATES,
+                DirectorFixture.RATES,
                 List.of(0.2, 0.42, 0.62, 0.81, 1.0),
                 linkKb * servers,
                 linkKb,
@@ -162,15 +163,15 @@
                 800_000);
         return new Settings(
                 0,
-                balancers,
+                brokers,
                 "here",
                 classes,
                 List.of(new ServerKind("box", streams), new ServerKind("tower", 2 * streams)),
                 ladder,
-                new Limits(3, false, false, 250_000, 500_000, SEEN_AFTER, reportsEvery),
-                new Rules(250_000, coldFrom, 12 * S, tipMultiple, fall, 2, 0.1, attemptsWindow),
+                new Limits(3, false, false, 250_000, 500_000, REPORT_DELAY_US, reportInterval),
+                new Rules(250_000, coldFrom, 12 * SECOND_US, tipMultiple, overloadWindow, 2, 0.1, attemptsWindow),
                 new Prices(0.04, 0.05, 0, handshake),
-                tellsUplink
+                reportsUplink
                         ? List.of(ReportField.STREAMS, ReportField.LINK, ReportField.UPLINK)
                         : List.of(ReportField.STREAMS, ReportField.LINK, ReportField.OTHER));
     }
@@ -182,26 +183,26 @@
                 number % 4 == 3 ? "tower" : number % 7 == 6 ? "unheard of" : "box",
                 number,
                 state,
-                unlikeWeights ? 1 + number % 3 / 2.0 : 1,
+                differentWeights ? 1 + number % 3 / 2.0 : 1,
                 upSince);
     }
 
     private void members(ListScope scope, List<Server> list) {
         for (Server info : list) {
-            boxes.computeIfAbsent(info.id(), id -> new Box()).info = info;
+            edgeServers.computeIfAbsent(info.id(), id -> new ModelServer()).info = info;
         }
         director.serversChanged(now, scope, list);
     }
 
-    private Request wish(String id) {
+    private Request newRequest(String id) {
         SessionClass c = classes.get((int) (random.nextDouble() * random.nextDouble() * classes.size()));
         return new Request(
                 id,
                 random.nextInt(400) == 0 ? "no such class" : c.name(),
                 "v" + id,
                 "title" + random.nextInt(4),
-                2 * S + random.nextInt(3) * S,
-                knownLength ? (long) (stay * 2 * S * random.nextDouble()) : 0,
+                2 * SECOND_US + random.nextInt(3) * SECOND_US,
+                knownLength ? (long) (meanStaySeconds * 2 * SECOND_US * random.nextDouble()) : 0,
                 random.nextInt(cells),
                 1 + random.nextInt(cells),
                 1 + random.nextInt(4),
@@ -210,20 +211,20 @@
                 false);
     }
 
-    private void openOne(String server) {
-        String id = "o" + numbered++;
-        Call call = new Call(wish(id));
+    private void openSession(String server) {
+        String id = "o" + nextNumber++;
+        ModelSession call = new ModelSession(newRequest(id));
         call.server = server;
         call.playing = true;
-        call.rung = random.nextInt(5);
-        call.endAt = now + length();
-        calls.put(id, call);
+        call.rendition = random.nextInt(5);
+        call.endAt = now + drawStay();
+        sessions.put(id, call);
         director.adoptSession(now, call.request, server);
-        director.metricReceived(now, id, server, Metric.RENDITION, call.rung);
+        director.metricReceived(now, id, server, Metric.RENDITION, call.rendition);
     }
 
-    private long length() {
-        return (long) (-Math.log(1 - random.nextDouble()) * stay * S);
+    private long drawStay() {
+        return (long) (-Math.log(1 - random.nextDouble()) * meanStaySeconds * SECOND_US);
     }
 
     private void fireTimers() {
@@ -235,16 +236,16 @@
     }
 
     /** News of the servers: a drain, one that left, a newcomer, a restart, an error, a whole list. */
-    private void change(int step) {
+    private void changeServers(int step) {
         int some = step % servers;
         switch (step % 6) {
             case 0 -> members(ListScope.CHANGES, List.of(server(some, State.DRAINING, 0)));
-            case 1 -> members(ListScope.CHANGES, List.of(server(servers + step, State.UP, now - S)));
+            case 1 -> members(ListScope.CHANGES, List.of(server(servers + step, State.UP, now - SECOND_US)));
             case 2 -> members(ListScope.ERROR, List.of());
             case 3 -> {
                 List<Server> all = new ArrayList<>();
                 for (int i = 0; i < servers; i++) {
-                    all.add(server(i, State.UP, restarts && i % 3 == 0 ? now - S / 2 : 0));
+                    all.add(server(i, State.UP, restarts && i % 3 == 0 ? now - SECOND_US / 2 : 0));
                 }
                 members(ListScope.SNAPSHOT, all);
             }
@@ -253,38 +254,38 @@
         }
     }
 
-    private void wander() {
-        for (Box box : boxes.values()) {
-            box.foreign += 0.05 * (foreign - box.foreign) + 0.02 * random.nextGaussian();
-            box.foreign = Math.max(0, box.foreign);
-            if (failures && random.nextInt(1500) == 0) {
-                box.gives = box.gives < 1 ? 1 : failing;
+    private void varyForeignLoad() {
+        for (ModelServer box : edgeServers.values()) {
+            box.foreignShare += 0.05 * (foreignShare - box.foreignShare) + 0.02 * random.nextGaussian();
+            box.foreignShare = Math.max(0, box.foreignShare);
+            if (linksCollapse && random.nextInt(1500) == 0) {
+                box.capacityShare = box.capacityShare < 1 ? 1 : collapsedShare;
             }
         }
     }
 
-    private void arrive() {
-        double due = arrivals * TICK / S * (now / (20 * S) % 3 == 2 ? 3 : 1);
+    private void sendRequests() {
+        double due = arrivalsPerSecond * TICK_US / SECOND_US * (now / (20 * SECOND_US) % 3 == 2 ? 3 : 1);
         for (int i = 0; i < 8; i++) {
             if (random.nextDouble() * 8 < due) {
-                String id = "r" + numbered++;
-                Call call = new Call(wish(id));
-                calls.put(id, call);
+                String id = "r" + nextNumber++;
+                ModelSession call = new ModelSession(newRequest(id));
+                sessions.put(id, call);
                 director.request(now, call.request);
             }
         }
     }
 
-    private void answer() {
-        for (Call call : List.copyOf(calls.values())) {
+    private void answerAttempts() {
+        for (ModelSession call : List.copyOf(sessions.values())) {
             if (call.playing || call.server == null || now < call.answerAt) {
                 continue;
             }
             String id = call.request.id();
             if (random.nextInt(60) == 0) {
-                calls.remove(id);
+                sessions.remove(id);
                 director.requestCancelled(now, id);
-            } else if (random.nextDouble() < troubles) {
+            } else if (random.nextDouble() < failureShare) {
                 Outcome[] bad = Outcome.values();
                 Outcome outcome = bad[1 + random.nextInt(bad.length - 1)];
                 String from = call.server;
@@ -292,23 +293,23 @@
                 director.outcome(now, id, call.attempt, from, outcome, false, report(from));
             } else {
                 call.playing = true;
-                call.endAt = now + length();
+                call.endAt = now + drawStay();
                 director.sessionStarted(now, id, call.attempt, call.server);
-                director.metricReceived(now, id, call.server, Metric.LINK, asked(call.server));
-                if (tellsUplink && calls.containsKey(id)) {
-                    director.metricReceived(now, id, call.server, Metric.UPLINK, uplinkAsked(call.server));
+                director.metricReceived(now, id, call.server, Metric.LINK, linkLoad(call.server));
+                if (reportsUplink && sessions.containsKey(id)) {
+                    director.metricReceived(now, id, call.server, Metric.UPLINK, uplinkLoad(call.server));
                 }
             }
         }
     }
 
-    private void end() {
-        for (Call call : List.copyOf(calls.values())) {
+    private void endSessions() {
+        for (ModelSession call : List.copyOf(sessions.values())) {
             if (!call.playing || now < call.endAt) {
                 continue;
             }
             String id = call.request.id();
-            calls.remove(id);
+            sessions.remove(id);
             int how = random.nextInt(20);
             if (how == 0) {
                 director.requestCancelled(now, id);
@@ -320,60 +321,60 @@
     }
 
     private LoadReport report(String server) {
-        return random.nextInt(3) == 0 ? LoadReport.NONE : new LoadReport(List.of(1.0, asked(server), 0.5));
+        return random.nextInt(3) == 0 ? LoadReport.NONE : new LoadReport(List.of(1.0, linkLoad(server), 0.5));
     }
 
     /** Readings of each server with sessions, and what it delivers. */
-    private void tell() {
-        for (Box box : boxes.values()) {
-            if (now - box.toldAt < READINGS_EVERY) {
+    private void reportReadings() {
+        for (ModelServer box : edgeServers.values()) {
+            if (now - box.lastReportAt < READING_INTERVAL_US) {
                 continue;
             }
-            box.toldAt = now + random.nextInt(5) * TICK;
-            List<Call> here = calls.values().stream()
+            box.lastReportAt = now + random.nextInt(5) * TICK_US;
+            List<ModelSession> here = sessions.values().stream()
                     .filter(c -> c.playing && box.info.id().equals(c.server))
                     .toList();
             if (here.isEmpty()) {
                 continue;
             }
-            Call one = here.get(random.nextInt(here.size()));
+            ModelSession one = here.get(random.nextInt(here.size()));
             String id = one.request.id();
             String server = one.server;
-            double asked = asked(server);
-            double uplink = uplinkAsked(server);
+            double asked = linkLoad(server);
+            double uplink = uplinkLoad(server);
             director.metricReceived(now, id, server, Metric.LINK, asked);
-            if (tellsUplink) {
+            if (reportsUplink) {
                 director.metricReceived(now, id, server, Metric.UPLINK, uplink);
             }
             director.metricReceived(
                     now, id, server, Metric.DELIVERED, Math.min(1, 1 / Math.max(1e-3, Math.max(asked, uplink))));
             if (random.nextInt(10) == 0) {
-                one.rung = random.nextInt(5);
-                director.metricReceived(now, id, server, Metric.RENDITION, one.rung);
+                one.rendition = random.nextInt(5);
+                director.metricReceived(now, id, server, Metric.RENDITION, one.rendition);
             }
         }
     }
 
-    private double own(String server) {
-        return calls.values().stream()
+    private double ownLoadKb(String server) {
+        return sessions.values().stream()
                 .filter(c -> c.playing && server.equals(c.server))
-                .mapToDouble(c -> Bench.RATES.get(c.rung))
+                .mapToDouble(c -> DirectorFixture.RATES.get(c.rendition))
                 .sum();
     }
 
     /** What is asked at a link over what it gives. */
-    private double asked(String server) {
-        Box box = boxes.get(server);
+    private double linkLoad(String server) {
+        ModelServer box = edgeServers.get(server);
         double link = linkKb * box.info.weight();
-        return (box.foreign * link + own(server)) / (link * box.gives);
+        return (box.foreignShare * link + ownLoadKb(server)) / (link * box.capacityShare);
     }
 
-    private double uplinkAsked(String server) {
-        int rack = boxes.get(server).info.cell() % racks;
+    private double uplinkLoad(String server) {
+        int rack = edgeServers.get(server).info.cell() % racks;
         double asked = 0;
-        for (Box box : boxes.values()) {
+        for (ModelServer box : edgeServers.values()) {
             if (box.info.cell() % racks == rack) {
-                asked += box.foreign * linkKb + own(box.info.id());
+                asked += box.foreignShare * linkKb + ownLoadKb(box.info.id());
             }
         }
         return asked / uplinkKb;
@@ -391,28 +392,28 @@
     @Override
     public void send(String request, String server, long allow) {
         write("send", request, server, allow);
-        Call call = calls.get(request);
+        ModelSession call = sessions.get(request);
         call.server = server;
         call.attempt++;
-        call.answerAt = now + (1 + random.nextInt(6)) * TICK;
+        call.answerAt = now + (1 + random.nextInt(6)) * TICK_US;
     }
 
     @Override
     public void refuse(String request, long comeBack) {
         write("refuse", request, comeBack);
-        calls.remove(request);
+        sessions.remove(request);
     }
 
     @Override
     public void fail(String request) {
         write("fail", request);
-        calls.remove(request);
+        sessions.remove(request);
     }
 
     @Override
     public void setRendition(String request, int rung) {
         write("rate", request, rung);
-        calls.get(request).rung = rung;
+        sessions.get(request).rendition = rung;
     }
 
     @Override
@@ -438,7 +439,7 @@
 
     @Override
     public boolean mayRetry() {
-        return budget || now / S % 3 != 0;
+        return retriesAlwaysAllowed || now / SECOND_US % 3 != 0;
     }
 
     @Override
@@ -446,16 +447,16 @@
         if (!paced) {
             return Pace.UNKNOWN;
         }
-        return Pace.values()[(int) ((now / (S / 2) + server.hashCode()) % 3)];
+        return Pace.values()[(int) ((now / (SECOND_US / 2) + server.hashCode()) % 3)];
     }
 
     @Override
     public double newSessionShare() {
-        return newcomers;
+        return newSessionShare;
     }
 
     @Override
     public boolean shouldAvoid(String server) {
-        return shuns && (now / (4 * S) + server.hashCode()) % 5 == 0;
+        return avoidsServers && (now / (4 * SECOND_US) + server.hashCode()) % 5 == 0;
     }
 }
--- a/src/test/java/dockshed/queueing/QuotaOptimizerTest.java
+++ b/src/test/java/dockshed/queueing/QuotaOptimizerTest.java
@@ -20,8 +20,8 @@
     @Test
     void erlangLossAgreesWithTables() {
         // 10 erlang on 10 trunks lose 21.46 %, 2 on 5 lose 3.67 %.
-        assertEquals(0.2146, new ErlangLoss(10, 10).loss(10), 5e-5);
-        assertEquals(0.0367, new ErlangLoss(2, 5).loss(5), 5e-5);
+        assertEquals(0.2146, new ErlangLoss(10, 10).blockingProbability(10), 5e-5);
+        assertEquals(0.0367, new ErlangLoss(2, 5).blockingProbability(5), 5e-5);
         ErlangLoss e = new ErlangLoss(7.3, 12);
         assertEquals(
                 1.0,
@@ -29,7 +29,7 @@
                         .mapToDouble(i -> e.probability(i, 12))
                         .sum(),
                 1e-12);
-        assertEquals(7.3 * (1 - e.loss(12)), e.mean(12), 1e-12); // carried load
+        assertEquals(7.3 * (1 - e.blockingProbability(12)), e.carriedLoad(12), 1e-12); // carried load
     }
 
     @Test
