--- a/src/main/java/dockshed/choice/Choice.java
+++ b/src/main/java/dockshed/choice/Choice.java
@@ -12,25 +12,29 @@
 import java.util.Random;
 
 /**
- * All decisions. The interface (types, events, actions, units) is in Director.java. Here events come in and the parts
- * are told of them: {@link Admission}, {@link SlowStart} and {@link Attempts} for newcomers; {@link Steps} and
- * {@link Readings} for sessions that play; {@link Headroom}, {@link Pricing} and {@link Reserves} for what may be
- * spent, at which price, and what is kept back. What is known is in {@code dockshed.model}.
+ * The decision module. Its interface (types, events, actions, units) is in Director.java. This class receives the
+ * events and passes them to the parts: {@link Admission}, {@link SlowStart} and {@link Attempts} for new sessions;
+ * {@link Steps} and {@link Readings} for playing sessions; {@link Headroom}, {@link Pricing} and {@link Reserves} for
+ * the capacity that may be used, its price, and the slots that are reserved. State is kept in {@code dockshed.model}.
  */
 public final class Choice implements Director {
+    /** One second in microseconds, the unit of all times. */
     static final long SECOND_US = 1_000_000;
-    private static final long SWEEP_INTERVAL_US = SECOND_US / 2; // between looks at playing sessions
-    private static final long QUOTA_INTERVAL_US = 5 * SECOND_US; // between recomputes of Method II
-    private static final double PRIOR_STAY_WEIGHT = 3; // ends that the prior stay weighs as much as
-    private static final long SET_UP_WINDOW_US = 2 * SECOND_US; // own set-ups are counted over that
-    private static final long REQUEST_WINDOW_MARGIN_US =
-            SECOND_US / 100; // requests are counted over less than their attempts
-    private static final double UPLINK_OVERESTIMATE =
-            1.2; // told uplink is tried so far up where only shortage can tell
-    private static final int MANY_BROKERS = 6; // so many would try it at once and learn too late: none does
-    private static final int MAX_ERRORS_PER_REQUEST =
-            2; // servers in a row seldom err by chance: the request is at fault
-    private static final long MIN_TIME_LEFT_US = SECOND_US / 1000; // before the deadline
+
+    private static final long SWEEP_INTERVAL_US = SECOND_US / 2; // between checks of playing sessions
+    private static final long QUOTA_INTERVAL_US = 5 * SECOND_US; // between updates of the reserved slots
+    private static final double PRIOR_STAY_WEIGHT = 3; // in observed ends of sessions
+    private static final long SET_UP_WINDOW_US = 2 * SECOND_US; // for the rate of own set-ups
+    private static final long REQUEST_WINDOW_MARGIN_US = SECOND_US / 100; // less than the window for retries
+
+    /** Of the configured rate: an uplink that no load report covers shows its limit only by delivering short. */
+    private static final double UPLINK_OVERESTIMATE = 1.2;
+
+    /** So many brokers would overload an uplink together before any of them noticed: then none overestimates it. */
+    private static final int MANY_BROKERS = 6;
+
+    private static final int MAX_ERRORS_PER_REQUEST = 2; // two servers rarely fail by chance: the request is at fault
+    private static final long MIN_TIME_LEFT_US = SECOND_US / 1000; // to the client deadline, for a retry
 
     private final Settings settings;
     private final Actions actions;
@@ -46,14 +50,20 @@
     private final Reserves reserves;
     private long nextQuotaUpdateAt;
 
+    /**
+     * Creates a module that knows no servers and no sessions yet.
+     *
+     * @param seed of all random decisions; the same seed, settings and events give the same actions
+     * @param actions where decisions go; called only while an event is being handled
+     */
     public Choice(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         Random random = new Random(seed);
         RenditionLadder ladder = new RenditionLadder(settings.ladder());
         sessions = new Sessions(settings, ladder, new StayEstimate(Pricing.PRIOR_STAY_S, PRIOR_STAY_WEIGHT));
-        boolean hope = !EdgeServers.uplinksReported(settings) && settings.brokers() < MANY_BROKERS;
-        servers = new EdgeServers(settings, hope ? UPLINK_OVERESTIMATE : 1, random::nextDouble);
+        boolean probeUplinks = !EdgeServers.uplinksReported(settings) && settings.brokers() < MANY_BROKERS;
+        servers = new EdgeServers(settings, probeUplinks ? UPLINK_OVERESTIMATE : 1, random::nextDouble);
         rates = new AttemptRates(settings.rules(), REQUEST_WINDOW_MARGIN_US, SET_UP_WINDOW_US);
         Context context = new Context(settings, actions, random, ladder, servers, sessions, rates);
         pricing = new Pricing(context);
@@ -65,11 +75,12 @@
         reserves = new Reserves(context, pricing);
     }
 
-    /** Edge servers known, for tests. */
+    /** Number of edge servers known; for tests. */
     public int knownServers() {
         return servers.all().size();
     }
 
+    /** Starts the counters and the timer on the first event. */
     private void startOnFirstEvent(long now) {
         if (rates.start(now)) {
             nextQuotaUpdateAt = now + QUOTA_INTERVAL_US;
@@ -78,10 +89,10 @@
     }
 
     @Override
-    public void serversChanged(long now, ListScope scope, List<Server> news) {
+    public void serversChanged(long now, ListScope scope, List<Server> list) {
         startOnFirstEvent(now);
         if (scope != ListScope.ERROR) {
-            servers.update(now, scope, news);
+            servers.update(now, scope, list);
         }
     }
 
@@ -93,7 +104,7 @@
             actions.fail(request.id());
             return;
         }
-        rates.requested(now, session.sessionClass());
+        rates.recordRequest(now, session.sessionClass());
         admission.place(now, session);
     }
 
@@ -140,6 +151,7 @@
         }
     }
 
+    /** Continues after a failed attempt: with a retry or a refusal, or an error if none can succeed any more. */
     private void retryOrFail(long now, Session session, Outcome outcome) {
         session.attemptEnded(outcome);
         boolean late = outcome == Outcome.TIMEOUT && now + MIN_TIME_LEFT_US >= session.deadline();
@@ -151,7 +163,7 @@
         }
     }
 
-    /** Takes a session off its server. */
+    /** Removes a session from its server; sub-rated sessions there may step up again after a premium one. */
     private void removeFromServer(long now, Session session) {
         EdgeServer server = session.server();
         session.leaveServer(now);
@@ -169,13 +181,13 @@
     }
 
     @Override
-    public void metricReceived(long now, String request, String id, Metric topic, double value) {
+    public void metricReceived(long now, String request, String id, Metric metric, double value) {
         EdgeServer server = servers.get(id);
         if (server == null) {
             return;
         }
         Session session = sessions.get(request);
-        switch (topic) {
+        switch (metric) {
             case RENDITION -> renditionReported(now, server, session, value);
             case LINK -> linkLoadReported(now, server, session, value);
             case UPLINK -> uplinkLoadReported(now, server, session, value);
@@ -191,10 +203,11 @@
     }
 
     private void linkLoadReported(long now, EdgeServer server, Session session, double value) {
-        boolean setUp = session != null && session.awaitsLinkReading(); // its own reading is of now
+        // The reading that a set-up brings is current; all others are delayed.
+        boolean ownSetUp = session != null && session.awaitsLinkReading();
         readings.linkLoad(
-                now, server, value, setUp ? now : now - settings.limits().reportDelay());
-        if (setUp && session.linkReadingReceived(servers.uplinksReported())) {
+                now, server, value, ownSetUp ? now : now - settings.limits().reportDelay());
+        if (ownSetUp && session.linkReadingReceived(servers.uplinksReported())) {
             steps.stepUpNewcomer(now, session);
         }
     }
@@ -207,17 +220,18 @@
     }
 
     @Override
-    public void probed(long now, String server, boolean healthy, LoadReport report) {} // none is sent
+    public void probed(long now, String server, boolean healthy, LoadReport report) {} // this module sends no probes
 
     @Override
-    public void peerMessageReceived(long now, int from, byte[] message) {} // nothing is asked of the other directors
+    public void peerMessageReceived(long now, int from, byte[] message) {} // this module exchanges no messages
 
     @Override
     public void timer(long now, String key) {
         actions.timer(key, now + SWEEP_INTERVAL_US);
         readings.recoverUplinks(now, SWEEP_INTERVAL_US);
         servers.decayTrust(sessions.stays().remainingShare(SWEEP_INTERVAL_US / (double) SECOND_US));
-        headroom.update(rates.setUpsPerSecond(now), actions.newSessionShare()); // refused tries take no room
+        // Set-ups, not placements: refused requests take no room.
+        headroom.update(rates.setUpsPerSecond(now), actions.newSessionShare());
         pricing.updatePrice(now, headroom.budget(now));
         servers.all().forEach(server -> steps.stepUp(now, server));
         servers.removeGone();
--- a/src/main/java/dockshed/choice/Context.java
+++ b/src/main/java/dockshed/choice/Context.java
@@ -8,7 +8,7 @@
 import dockshed.model.Sessions;
 import java.util.Random;
 
-/** What all parts of the module share: settings, what they may do, what is drawn at random, and what is known. */
+/** What all parts of the module share: settings, actions, the random source, and the state kept between events. */
 record Context(
         Settings settings,
         Actions actions,
--- a/src/main/java/dockshed/choice/Pricing.java
+++ b/src/main/java/dockshed/choice/Pricing.java
@@ -6,105 +6,114 @@
 import dockshed.queueing.Bisection;
 import java.util.List;
 
-/** The going price of a kB: at it this director's sessions, each at its best rendition, fill its headroom. */
+/** The price of a kB: the one at which this broker's sessions, each at its best rendition, use exactly its budget. */
 final class Pricing {
-    private static final double MIN_WORTH_SHARE = 1e-3; // of the highest worth: a class that earns less sets no price
-    private static final double MAX_PRICE_SHARE = 0.98; // of what a kB earns at best in the class that earns least
-    private static final double MAX_GROWTH = 3; // sessions to come over those now, as the price heeds it
-    static final double PRIOR_STAY_S = 25; // seconds of stay before any was seen
-    private static final double PRIOR_RATE_WEIGHT = 2; // tries that the usual rate weighs as much as
-    private static final double MIN_SWITCH_RETURN = 4; // a step up must earn its switch cost so many times over
-    private static final double MIN_STAY_SHARE = 0.25; // of the mean: a session stays at least so long
+    private static final double MIN_WORTH_SHARE = 1e-3; // of the highest worth: a class worth less does not set prices
+    private static final double MAX_PRICE_SHARE = 0.98; // of the most that a kB earns in the class that earns least
+    private static final double MAX_GROWTH = 3; // of expected sessions over present ones, in the price
+    static final double PRIOR_STAY_S = 25; // assumed mean stay until sessions have ended
+    private static final double PRIOR_RATE_WEIGHT = 2; // in observed placements
+    private static final double MIN_SWITCH_RETURN = 4; // a step up must earn this multiple of its switching cost
+    private static final double MIN_STAY_SHARE = 0.25; // of the mean stay: least remaining stay assumed
     private static final int BISECTION_STEPS = 24; // in the search for the price
 
     private final Context context;
     private final RenditionLadder ladder;
     private final List<SessionClass> classes;
     private final double leastWorth;
-    private double price; // worth that a kB must earn
+    private double price; // least worth that a kB must earn
 
     Pricing(Context context) {
         this.context = context;
         ladder = context.ladder();
         classes = context.settings().classes();
-        double most = classes.stream().mapToDouble(SessionClass::worth).max().orElse(1);
+        double highestWorth =
+                classes.stream().mapToDouble(SessionClass::worth).max().orElse(1);
         leastWorth = classes.stream()
                 .mapToDouble(SessionClass::worth)
-                .filter(worth -> worth > MIN_WORTH_SHARE * most)
+                .filter(worth -> worth > MIN_WORTH_SHARE * highestWorth)
                 .min()
                 .orElse(1);
     }
 
-    boolean isPremium(SessionClass c) {
-        return c.worth() > leastWorth;
+    /** Whether the class is worth more than the least of those that set prices. */
+    boolean isPremium(SessionClass sessionClass) {
+        return sessionClass.worth() > leastWorth;
     }
 
-    /** Whether a newcomer may push a session of that class down. */
-    boolean mayBeSubRatedFor(SessionClass c, SessionClass newcomer) {
-        return c.worth() <= Math.max(leastWorth, newcomer.worth());
+    /** Whether sessions of class {@code sessionClass} may be sub-rated for a newcomer of the other class. */
+    boolean mayBeSubRatedFor(SessionClass sessionClass, SessionClass newcomer) {
+        return sessionClass.worth() <= Math.max(leastWorth, newcomer.worth());
     }
 
+    /** What the session earns per second at the rendition after the price of its rate. */
     double netWorth(Session session, int rendition) {
         return ladder.netWorth(session.sessionClass(), rendition, price);
     }
 
-    /** The rate of the rendition that earns most. */
+    /** Rate in kB/s of the session's rendition that earns most at the present price. */
     double bestRateKb(Session session) {
         return session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
     }
 
-    /** A slot of Method II: the rate that the first class asks. */
+    /** Rate in kB/s that one slot of Method II stands for: that of the first class. */
     double slotKb() {
-        SessionClass c = classes.get(0);
-        int top = Math.min(c.top(), ladder.count() - 1);
-        return ladder.rateKb(c, ladder.bestRendition(c, top, price));
+        SessionClass sessionClass = classes.get(0);
+        int top = Math.min(sessionClass.top(), ladder.count() - 1);
+        return ladder.rateKb(sessionClass, ladder.bestRendition(sessionClass, top, price));
     }
 
-    /** Seconds that a session will probably still play. */
+    /** Expected remaining stay of a session in seconds. */
     double remainingStay(long now, Session session) {
         return context.sessions().remainingStay(now, session, MIN_STAY_SHARE);
     }
 
-    /** What a step down costs over the rest of the stay, with the switches down and up again. */
+    /** Cost of a step down over the remaining stay, including the switches down and up again. */
     double dropCost(long now, Session session, int rendition) {
-        double less = -session.moreWorth(rendition) * remainingStay(now, session);
-        return session.sessionClass().worth() * (less + 2 * ladder.switchSeconds());
+        double lostWorth = -session.moreWorth(rendition) * remainingStay(now, session);
+        return session.sessionClass().worth() * (lostWorth + 2 * ladder.switchSeconds());
     }
 
-    /** Whether a step up earns enough over the rest of the stay. */
+    /** Whether a step up earns its switching cost back over the remaining stay. */
     boolean repays(long now, Session session, int rendition) {
         double worth = session.sessionClass().worth();
-        double more = worth * session.moreWorth(rendition) - price / 2 * session.moreKb(rendition);
-        return more * remainingStay(now, session) > MIN_SWITCH_RETURN * worth * ladder.switchSeconds();
+        double gain = worth * session.moreWorth(rendition) - price / 2 * session.moreKb(rendition);
+        return gain * remainingStay(now, session) > MIN_SWITCH_RETURN * worth * ladder.switchSeconds();
     }
 
-    /** Finds the price for a budget of kB a second. */
+    /** Sets the price at which expected demand equals the budget in kB/s. */
     void updatePrice(long now, double budget) {
-        int directors = context.settings().brokers();
-        double usual = context.servers().linksKb() / (ladder.middleRateKb() * PRIOR_STAY_S) / directors;
-        double tries = context.rates().placementsPerSecond(now, usual, PRIOR_RATE_WEIGHT);
+        int brokers = context.settings().brokers();
+        double usualPerSecond = context.servers().linksKb() / (ladder.middleRateKb() * PRIOR_STAY_S) / brokers;
+        double placementsPerSecond = context.rates().placementsPerSecond(now, usualPerSecond, PRIOR_RATE_WEIGHT);
         int sessions = Math.max(1, context.sessions().size());
-        double growth =
-                Math.max(1, Math.min(MAX_GROWTH, context.sessions().stays().concurrentSessions(tries) / sessions));
+        double growth = Math.max(
+                1, Math.min(MAX_GROWTH, context.sessions().stays().concurrentSessions(placementsPerSecond) / sessions));
         price = Bisection.largest(0, maxPrice(), BISECTION_STEPS, candidate -> demandKb(candidate) * growth > budget);
     }
 
-    /** What all sessions would ask at another price. */
+    /** The kB/s that all sessions would use at that price. */
     private double demandKb(double price) {
-        double asked = 0;
+        double demand = 0;
         for (Session session : context.sessions().all()) {
-            asked += session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
+            demand += session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
         }
-        return asked;
+        return demand;
     }
 
-    /** A newcomer of any class is welcome where there is room; those that earn nothing where room costs nothing. */
+    /**
+     * Highest price considered: newcomers of every class still earn something at it where there is room. Classes worth
+     * next to nothing are left out; they are served where room has no price.
+     */
     private double maxPrice() {
         double highest = Double.MAX_VALUE;
-        for (SessionClass c : classes) {
-            int r = ladder.mostEfficientRendition(c);
-            double most = MAX_PRICE_SHARE * c.worth() * ladder.worth(r) / ladder.rateKb(c, r);
-            highest = c.worth() < leastWorth ? highest : Math.min(highest, most);
+        for (SessionClass sessionClass : classes) {
+            int rendition = ladder.mostEfficientRendition(sessionClass);
+            double classLimit = MAX_PRICE_SHARE
+                    * sessionClass.worth()
+                    * ladder.worth(rendition)
+                    / ladder.rateKb(sessionClass, rendition);
+            highest = sessionClass.worth() < leastWorth ? highest : Math.min(highest, classLimit);
         }
         return highest;
     }
--- a/src/main/java/dockshed/choice/Reserves.java
+++ b/src/main/java/dockshed/choice/Reserves.java
@@ -7,16 +7,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The slots of each edge server that are reserved for premium sessions and for the others, by Method II. */
+/** Reserves slots of each edge server for premium sessions and for the others, by Method II. */
 record Reserves(Context context, Pricing pricing) {
-    private static final int MIN_ARRIVALS = 12; // arrivals under which every slot stays in the pool
+    private static final int MIN_ARRIVALS = 12; // with fewer nothing is reserved
 
-    /** Reckons the quotas anew from what has arrived since the start. */
+    /** Recalculates the quotas from all arrivals since the start. */
     void recompute(long now) {
         ClassMix high = new ClassMix();
         ClassMix low = new ClassMix();
-        for (SessionClass c : context.settings().classes()) {
-            (pricing.isPremium(c) ? high : low).add(context.rates().requested(c), c.worth());
+        for (SessionClass sessionClass : context.settings().classes()) {
+            (pricing.isPremium(sessionClass) ? high : low)
+                    .add(context.rates().requestsSinceStart(sessionClass), sessionClass.worth());
         }
         int listed = context.servers().listed().size();
         if (high.arrivals() + low.arrivals() < MIN_ARRIVALS
@@ -26,10 +27,10 @@
             context.servers().all().forEach(server -> server.reserve(QuotaOptimizer.Quotas.NONE));
             return;
         }
-        double perServer = context.settings().brokers() / (context.rates().elapsed(now) * listed);
+        double ratePerServer = context.settings().brokers() / (context.rates().elapsed(now) * listed);
         QuotaOptimizer method = new QuotaOptimizer(
-                high.arrivals() * perServer,
-                low.arrivals() * perServer,
+                high.arrivals() * ratePerServer,
+                low.arrivals() * ratePerServer,
                 context.sessions().stays().endRate(),
                 high.meanWorth(),
                 low.meanWorth(),
--- a/src/main/java/dockshed/choice/Steps.java
+++ b/src/main/java/dockshed/choice/Steps.java
@@ -10,86 +10,103 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** Steps of playing sessions from one rendition to another, down for what is asked too much and up as room allows. */
+/** Steps playing sessions from one rendition to another: down where a link is overloaded, up as headroom allows. */
 record Steps(Context context, Pricing pricing, Headroom headroom) {
     private static final long MIN_STEP_UP_INTERVAL_US =
-            8 * SECOND_US; // from a step of a session to its next step up: steadiness
+            8 * SECOND_US; // since the session's last step; avoids oscillation
 
     private void step(long now, Session session, int rendition) {
         session.step(now, rendition);
         context.actions().setRendition(session.id(), rendition);
     }
 
-    /** For a newcomer; the session steps up again to where it was once a premium session has left. */
+    /** Sub-rates a session for a newcomer; it steps up again once a premium session has left. */
     void subRate(long now, SubRating drop) {
         drop.session().markSubRated();
         step(now, drop.session(), drop.rendition());
     }
 
-    /** All lower renditions of a session. */
+    /** Step-downs of a session to each lower rendition. */
     Stream<SubRating> drops(long now, Session session) {
         return IntStream.range(session.floor(), session.rendition())
-                .mapToObj(r -> new SubRating(session, r, -session.moreKb(r), pricing.dropCost(now, session, r)));
+                .mapToObj(rendition -> new SubRating(
+                        session, rendition, -session.moreKb(rendition), pricing.dropCost(now, session, rendition)));
     }
 
-    /** Whole renditions for this director's part of an excess; the last at random, or all would overshoot. */
-    void shed(long now, Collection<Session> among, double excess) {
-        List<SubRating> all = among.stream()
+    /**
+     * Steps sessions down for this broker's share of an excess, the cheapest per kB first. The last step is taken at
+     * random in proportion to the need, as steps are whole renditions and all brokers together would shed too much.
+     *
+     * @param excessKb in kB/s
+     */
+    void shed(long now, Collection<Session> among, double excessKb) {
+        List<SubRating> possible = among.stream()
                 .filter(Session::playing)
                 .flatMap(session -> drops(now, session))
                 .sorted(Comparator.comparingDouble(drop -> drop.cost() / drop.freedKb()))
                 .toList();
-        double left = excess;
-        for (SubRating drop : all) {
+        double remainingKb = excessKb;
+        for (SubRating drop : possible) {
             Session session = drop.session();
-            double freed = drop.freedKb();
-            boolean stands = session.rendition() > drop.rendition() && freed == -session.moreKb(drop.rendition());
-            if (left > 0 && stands) {
-                if (left < freed && context.random().nextDouble() > left / freed) {
+            double freedKb = drop.freedKb();
+            boolean stillValid = session.rendition() > drop.rendition() && freedKb == -session.moreKb(drop.rendition());
+            if (remainingKb > 0 && stillValid) {
+                if (remainingKb < freedKb && context.random().nextDouble() > remainingKb / freedKb) {
                     return;
                 }
-                left -= freed;
+                remainingKb -= freedKb;
                 step(now, session, drop.rendition());
             }
         }
     }
 
-    /** Steps up as headroom and price allow, where the stay repays it. */
+    /** Steps the server's sessions up as headroom and price allow, where the remaining stay repays the switch. */
     void stepUp(long now, EdgeServer server) {
         List.copyOf(server.sessions()).stream()
-                .filter(s -> now - s.steppedAt() >= MIN_STEP_UP_INTERVAL_US
+                .filter(session -> now - session.steppedAt() >= MIN_STEP_UP_INTERVAL_US
                         && server.load().trust() > Headroom.MIN_TRUST)
-                .forEach(s -> stepUp(now, s, s.top(), 0));
+                .forEach(session -> stepUp(now, session, session.top(), 0));
     }
 
-    /** Steps sub-rated sessions up to where they were: a premium session has left. */
+    /** Steps sub-rated sessions up to their former rendition, after a premium session has left. */
     void restoreSubRated(long now, EdgeServer server) {
         List.copyOf(server.sessions()).stream()
                 .filter(Session::subRated)
-                .forEach(s -> stepUp(now, s, s.renditionBeforeSubRating(), 0));
+                .forEach(session -> stepUp(now, session, session.renditionBeforeSubRating(), 0));
     }
 
-    /** A newcomer takes its rendition by its own set-up's reading, which tells nobody else. */
+    /**
+     * Steps a newcomer up by the reading of its own set-up. No other broker gets that reading, so it need not be
+     * shared.
+     */
     void stepUpNewcomer(long now, Session session) {
         stepUp(now, session, session.top(), 1);
     }
 
-    private void stepUp(long now, Session session, int top, double part) {
+    /**
+     * Steps a session up to the rendition that earns most, if it fits the headroom. Beyond this broker's share it is
+     * taken with a probability, so that all brokers together use the headroom.
+     *
+     * @param share of the headroom; 0 means the even share
+     */
+    private void stepUp(long now, Session session, int top, double share) {
         if (!session.playing() || session.rendition() >= top) {
             return;
         }
-        double room = headroom.forSession(now, session.server(), session, part);
-        double whole = headroom.forSession(now, session.server(), session, 1);
-        double luck = session.server().readingDraw();
-        int best = session.rendition();
-        for (int r = session.rendition() + 1; r <= top; r++) {
-            double more = session.moreKb(r);
-            boolean fits = more <= room || more <= whole && more * luck < room;
-            best = fits && pricing.netWorth(session, r) > pricing.netWorth(session, best) ? r : best;
+        double room = headroom.forSession(now, session.server(), session, share);
+        double unsharedRoom = headroom.forSession(now, session.server(), session, 1);
+        double draw = session.server().readingDraw();
+        int target = session.rendition();
+        for (int rendition = session.rendition() + 1; rendition <= top; rendition++) {
+            double more = session.moreKb(rendition);
+            boolean fits = more <= room || more <= unsharedRoom && more * draw < room;
+            target = fits && pricing.netWorth(session, rendition) > pricing.netWorth(session, target)
+                    ? rendition
+                    : target;
         }
-        if (best > session.rendition() && pricing.repays(now, session, best)) {
+        if (target > session.rendition() && pricing.repays(now, session, target)) {
             session.clearSubRated();
-            step(now, session, best);
+            step(now, session, target);
         }
     }
 }
--- a/src/main/java/dockshed/choice/SubRating.java
+++ b/src/main/java/dockshed/choice/SubRating.java
@@ -3,25 +3,27 @@
 import dockshed.model.Session;
 import java.util.List;
 
-/** A step of a playing session to a lower rendition: the kB a second that it frees and the worth that it costs. */
+/**
+ * A possible step of a playing session to a lower rendition, with the kB/s that it frees and the worth that it costs.
+ */
 record SubRating(Session session, int rendition, double freedKb, double cost) {
-    static final int MAX_PER_NEWCOMER = 2; // sessions sub-rated for one newcomer (the paper's alpha)
+    static final int MAX_PER_NEWCOMER = 2; // sessions sub-rated for one newcomer, alpha in the paper
 
-    /** The cheapest of at most ALPHA sessions that free what is needed, or null. */
-    static List<SubRating> cheapest(List<SubRating> all, double neededKb) {
+    /** The cheapest set of at most MAX_PER_NEWCOMER sessions that frees the needed kB/s, or null. */
+    static List<SubRating> cheapest(List<SubRating> candidates, double neededKb) {
         List<SubRating> best = null;
-        double least = Double.MAX_VALUE;
-        for (SubRating a : all) {
-            if (a.cost >= least) {
+        double lowestCost = Double.MAX_VALUE;
+        for (SubRating first : candidates) {
+            if (first.cost >= lowestCost) {
                 continue;
             }
-            for (SubRating b : all) { // b == a: that one alone
-                double freed = a.freedKb + (b == a ? 0 : b.freedKb);
-                double cost = a.cost + (b == a ? 0 : b.cost);
-                boolean twice = b != a && b.session == a.session;
-                if (!twice && freed >= neededKb && cost < least) {
-                    best = b == a ? List.of(a) : List.of(a, b);
-                    least = cost;
+            for (SubRating second : candidates) { // the same twice: that session alone
+                double freed = first.freedKb + (second == first ? 0 : second.freedKb);
+                double cost = first.cost + (second == first ? 0 : second.cost);
+                boolean sameSession = second != first && second.session == first.session;
+                if (!sameSession && freed >= neededKb && cost < lowestCost) {
+                    best = second == first ? List.of(first) : List.of(first, second);
+                    lowestCost = cost;
                 }
             }
         }
--- a/src/main/java/dockshed/choice/package-info.java
+++ b/src/main/java/dockshed/choice/package-info.java
@@ -1,2 +1,2 @@
-/** The decision module: which server, at which rendition, whether to try again, what to turn away. */
+/** The decision module: which edge server, at which rendition, whether to retry, and which requests to refuse. */
 package dockshed.choice;
--- a/src/main/java/dockshed/model/AttemptRates.java
+++ b/src/main/java/dockshed/model/AttemptRates.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many requests, tries and attempts there are: since the start, within sliding windows, and a second. */
+/** Counts requests, placements and set-ups: since the start, within sliding windows, and per second. */
 public final class AttemptRates {
     private static final double SECOND_US = 1e6;
     private static final long NOT_STARTED = Long.MIN_VALUE;
@@ -17,27 +17,27 @@
     private final EventWindow requests;
     private final EventWindow recentPlacements;
     private final EventWindow setUps;
-    private final Map<String, Double> requested = new HashMap<>();
-    private double recordPlacement;
+    private final Map<String, Double> requestsByClass = new HashMap<>();
+    private double placements;
     private long startedAt = NOT_STARTED;
 
     /**
-     * Nothing yet.
+     * Creates empty counters.
      *
-     * @param rules where further attempts are rationed, over which time, and over which time cold servers fall
-     * @param rationMargin by how much less requests are counted over than further attempts
-     * @param setUpsOver the span over which set-ups are counted
+     * @param rules for the windows of retries and of placements
+     * @param requestWindowMargin by which the window for requests is shorter than that for retries, in microseconds
+     * @param setUpWindow over which set-ups are counted, in microseconds
      */
-    public AttemptRates(Rules rules, long rationMargin, long setUpsOver) {
-        this.setUpWindow = setUpsOver;
+    public AttemptRates(Rules rules, long requestWindowMargin, long setUpWindow) {
+        this.setUpWindow = setUpWindow;
         placementWindow = rules.overloadWindow();
         retries = new EventWindow(rules.retryWindow());
-        requests = new EventWindow(rules.retryWindow() - rationMargin);
+        requests = new EventWindow(rules.retryWindow() - requestWindowMargin);
         recentPlacements = new EventWindow(placementWindow);
-        setUps = new EventWindow(setUpsOver);
+        setUps = new EventWindow(setUpWindow);
     }
 
-    /** Counting begins; whether it had not begun. */
+    /** Starts counting if it has not started yet; returns whether it did. */
     public boolean start(long now) {
         boolean first = startedAt == NOT_STARTED;
         startedAt = first ? now : startedAt;
@@ -49,52 +49,54 @@
         return (now - startedAt) / SECOND_US;
     }
 
-    /** A new request of a class has come. */
-    public void requested(long now, SessionClass sessionClass) {
+    /** Counts a new request of a class. */
+    public void recordRequest(long now, SessionClass sessionClass) {
         requests.add(now);
-        requested.merge(sessionClass.name(), 1.0, Double::sum);
+        requestsByClass.merge(sessionClass.name(), 1.0, Double::sum);
     }
 
     /** New requests of a class since the start. */
-    public double requested(SessionClass sessionClass) {
-        return requested.getOrDefault(sessionClass.name(), 0.0);
+    public double requestsSinceStart(SessionClass sessionClass) {
+        return requestsByClass.getOrDefault(sessionClass.name(), 0.0);
     }
 
-    /** A request is to be placed, for the first time or again. */
+    /** Counts a placement: a request is about to be placed, for the first time or again. */
     public void recordPlacement(long now) {
-        recordPlacement++;
+        placements++;
         recentPlacements.add(now);
     }
 
-    /** A set-up goes out; {@code again}: not the first of its request. */
-    public void recordSetUp(long now, boolean again) {
+    /** Counts a set-up that is sent; {@code isRetry}: not the first of its request. */
+    public void recordSetUp(long now, boolean isRetry) {
         setUps.add(now);
-        if (again) {
+        if (isRetry) {
             retries.add(now);
         }
     }
 
-    /** Further attempts in their window. */
+    /** Retries within their window: set-ups after the first of a request. */
     public int retries(long now) {
         return retries.count(now);
     }
 
-    /** New requests in their window. */
+    /** New requests within their window. */
     public int requests(long now) {
         return requests.count(now);
     }
 
-    /** Set-ups a second, in their window. */
+    /** Set-ups per second within their window. */
     public double setUpsPerSecond(long now) {
         return setUps.count(now) / (setUpWindow / SECOND_US);
     }
 
     /**
-     * Tries a second: since the start, where the usual rate weighs as much as {@code prior} tries, or within their
-     * window where those are more.
+     * Placements per second: since the start, or within their window if that is more.
+     *
+     * @param usual rate assumed before any was observed, per second
+     * @param priorWeight weight of the assumed rate, in placements
      */
-    public double placementsPerSecond(long now, double usual, double prior) {
-        double ever = (recordPlacement + prior) / (elapsed(now) + prior / usual);
-        return Math.max(ever, (recentPlacements.count(now) - 1) * SECOND_US / Math.max(1, placementWindow));
+    public double placementsPerSecond(long now, double usual, double priorWeight) {
+        double sinceStart = (placements + priorWeight) / (elapsed(now) + priorWeight / usual);
+        return Math.max(sinceStart, (recentPlacements.count(now) - 1) * SECOND_US / Math.max(1, placementWindow));
     }
 }
--- a/src/main/java/dockshed/model/EdgeServer.java
+++ b/src/main/java/dockshed/model/EdgeServer.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** An edge server's link, its state in the list, and this director's sessions there. */
+/** An edge server: its link, its state in the server list, and this broker's sessions there. */
 public final class EdgeServer extends Link {
     private static final long NOT_COLD = Long.MIN_VALUE;
     private static final long NEVER_SENT_AT_US = -60_000_000;
@@ -39,19 +39,19 @@
         expectedSetUps = new EventWindow(rules.overloadWindow() - 1);
     }
 
-    // ---- The list.
+    // ---- The server list.
 
-    /** Its entry of the list. */
+    /** Its latest entry in the list; null before the first. */
     public Server info() {
         return info;
     }
 
-    /** Its name. */
+    /** Its id. */
     public String id() {
         return info.id();
     }
 
-    /** The rack that it stands in. */
+    /** Its rack. */
     public Rack rack() {
         return rack;
     }
@@ -61,7 +61,7 @@
         rack.add(this);
     }
 
-    /** The streams that it runs at most. */
+    /** Maximum number of concurrent streams. */
     public int streams() {
         return streams;
     }
@@ -70,7 +70,7 @@
         this.streams = streams;
     }
 
-    /** Whether it is up, by the list. */
+    /** Whether the list has it as up. */
     public boolean listed() {
         return listed;
     }
@@ -80,84 +80,87 @@
         return gone;
     }
 
-    /** Nothing is heard of it for now; {@code complete}: a whole list does not name it. */
+    /** An update does not name it; {@code complete}: the update was a complete list, so that it is no longer listed. */
     void absentFromList(boolean complete) {
         listed &= !complete;
         gone |= complete;
     }
 
-    /** The list names it. */
+    /** An update names it. */
     void presentInList(Server entry) {
         info = entry;
         listed = entry.state() == Director.State.UP;
         gone = entry.state() == Director.State.GONE;
     }
 
-    // ---- Its start.
+    // ---- Start and warm-up.
 
-    /** The share of its rate that it gives since it started (rule 4). */
+    /** Share of its rate that it gives while warming up after a start, up to 1 (rule 4). */
     public double warmth(long now) {
         return coldSince == NOT_COLD ? 1 : rules.warmth(now, coldSince);
     }
 
-    /** Whether it is taken for cold only for lack of news. */
+    /** Whether it counts as cold only because the list in use is old. */
     public boolean presumedCold() {
         return presumedCold;
     }
 
+    /** Counts as started now, until an update tells when it started. */
     void presumeCold(long now) {
         coldSince = now;
         presumedCold = true;
     }
 
-    /** It started when the list says. */
+    /** Sets its start to the time in its list entry. */
     void startedAsListed() {
         presumedCold = false;
         coldSince = info.upSince() > 0 ? info.upSince() : NOT_COLD;
     }
 
+    /** Counts as started long ago. */
     void markWarm() {
         presumedCold = false;
         coldSince = NOT_COLD;
     }
 
-    /** Its process may be gone, and start anew. */
+    /** A connection was lost: its process may have ended and start again cold. */
     public void connectionLost(long now) {
         coldSince = now;
     }
 
-    /** Set-ups that this director was expected to send while it was cold, each with its chance. */
+    /** Set-ups that this broker was expected to send while the server was cold, each weighted by its probability. */
     public EventWindow expectedSetUps() {
         return expectedSetUps;
     }
 
     // ---- Failures.
 
-    /** An attempt came to nothing. */
+    /** Counts an attempt that ended without an answer. */
     public void attemptFailed() {
         failures++;
     }
 
-    /** An attempt was answered. */
+    /** Resets the failures: an attempt was answered. */
     void attemptAnswered() {
         failures = 0;
     }
 
-    /** Attempts in a row that came to nothing. */
+    /** Consecutive attempts without an answer. */
     public int failures() {
         return failures;
     }
 
-    /** It is left alone until then. */
+    /** Excludes it from new attempts until that time. */
     public void pauseUntil(long time) {
         pausedUntil = time;
     }
 
-    /** Whether it may be sent anything: listed as up (rule 3) and not left alone. */
+    /** Whether it may be sent anything: listed as up (rule 3) and not paused. */
     public boolean usable(long now) {
         return listed && now >= pausedUntil;
     }
 
+    /** Resets what was learnt of the process that ran before a restart. */
     void forgetFailures() {
         pausedUntil = 0;
         failures = 0;
@@ -171,41 +174,50 @@
         return configuredKb();
     }
 
-    /** The share of its link that it gives, as learnt. */
+    /** Share of its configured rate that the link gives, as estimated from readings. */
     public double linkShare() {
         return linkShare;
     }
 
-    /** The share of its link that it gives is learnt to be this. */
+    /** Sets the share of its configured rate that the link is estimated to give. */
     public void setLinkShare(double share) {
         linkShare = share;
     }
 
-    /** A reading of all that is asked of its link, and a random draw from 0 to 1 that goes with it. */
+    /**
+     * Records a reading of its link.
+     *
+     * @param levelKb the demand of all brokers' sessions in kB/s
+     * @param at when the reading was current, microseconds
+     * @param draw a random number from 0 to 1, used for all decisions made by this reading
+     */
     public void recordReading(double levelKb, long at, double draw) {
         load().recordReading(levelKb, at);
         readingDraw = draw;
     }
 
-    /** The draw that went with the last reading. */
+    /** The random number that was drawn for the last reading. */
     public double readingDraw() {
         return readingDraw;
     }
 
-    /** Books changes of this director's playing sessions and of its set-ups, here and at the uplink. */
+    /**
+     * Records a change in the load of this broker's playing sessions and of its set-ups in kB/s, here and at the
+     * uplink.
+     */
     public void recordChange(long now, double playingKb, double setUpKb) {
         load().recordChange(now, playingKb, setUpKb);
         rack.load().recordChange(now, playingKb, setUpKb);
     }
 
-    // ---- This director's sessions.
+    // ---- This broker's sessions.
 
-    /** This director's sessions, set-ups included. */
+    /** This broker's sessions, including set-ups in progress. */
     public Collection<Session> sessions() {
         return Collections.unmodifiableCollection(sessions.values());
     }
 
-    /** Whether this director has no session there. */
+    /** Whether this broker has no session or set-up there. */
     public boolean idle() {
         return sessions.isEmpty();
     }
@@ -222,39 +234,43 @@
         lastSentAt = now;
     }
 
-    /** Whether a connection to it is probably up, if one without sessions is kept for so long. */
-    public boolean probablyConnected(long now, long kept) {
-        return !idle() || now - lastSentAt < kept;
+    /** Whether a connection to it is probably open, given for how many microseconds one without sessions is kept. */
+    public boolean probablyConnected(long now, long keptFor) {
+        return !idle() || now - lastSentAt < keptFor;
     }
 
-    /** When this director last sent it a set-up. */
+    /** When this broker last sent it a set-up. */
     public long lastSentAt() {
         return lastSentAt;
     }
 
-    /** Whether it holds the title asked for, in a ring of so many cells. */
+    /** Whether it holds the requested title, in a ring of {@code cells} cells. */
     public boolean holds(Request request, int cells) {
         return Math.floorMod(info.cell() - request.homeCell(), cells) < request.copies();
     }
 
-    /** A try was for a title that it holds or not; its share moves by one part in {@code memory}. */
+    /**
+     * Updates the share of titles that it holds by one more placement.
+     *
+     * @param memory number of placements that the moving average spans
+     */
     public void recordPlacement(Request request, int cells, double memory) {
-        double usual = Math.min(1, request.copies() / (double) cells);
-        holderShare = Double.isNaN(holderShare) ? usual : holderShare;
+        double expectedShare = Math.min(1, request.copies() / (double) cells);
+        holderShare = Double.isNaN(holderShare) ? expectedShare : holderShare;
         holderShare += ((holds(request, cells) ? 1 : 0) - holderShare) / memory;
     }
 
-    /** The share of the latest tries whose title it holds. */
+    /** Share of the latest placements whose title it holds. */
     public double holderShare() {
         return holderShare;
     }
 
-    /** Slots that are reserved there. */
+    /** Slots reserved there for each group of classes. */
     public QuotaOptimizer.Quotas quotas() {
         return quotas;
     }
 
-    /** Reserves slots. */
+    /** Sets the reserved slots. */
     public void reserve(QuotaOptimizer.Quotas quotas) {
         this.quotas = quotas;
     }
--- a/src/main/java/dockshed/model/EdgeServers.java
+++ b/src/main/java/dockshed/model/EdgeServers.java
@@ -12,7 +12,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.stream.Stream;
 
-/** The list of edge servers and their racks, and what their links are told to give. */
+/** All known edge servers and their racks, with the configured rates of their links. */
 public final class EdgeServers {
     private final Settings settings;
     private final double uplinkOverestimate;
@@ -24,10 +24,10 @@
     private double linksKb;
 
     /**
-     * No servers yet.
+     * Creates an empty list.
      *
-     * @param uplinkHope what an uplink is first taken to give over what is told
-     * @param draws random numbers from 0 to 1: one goes with each reading of a link
+     * @param uplinkOverestimate factor on the configured rate of an uplink for its first estimate
+     * @param randomDraws random numbers from 0 to 1, one for each reading of a link
      */
     public EdgeServers(Settings settings, double uplinkHope, DoubleSupplier draws) {
         this.settings = settings;
@@ -37,17 +37,17 @@
         uplinksReported = uplinksReported(settings);
     }
 
-    /** Whether load reports tell of uplinks. */
+    /** Whether load reports contain the load of uplinks under these settings. */
     public static boolean uplinksReported(Settings settings) {
         return settings.reportFields().contains(ReportField.UPLINK);
     }
 
-    /** Whether readings of uplinks come. */
+    /** Whether the load of uplinks is reported. */
     public boolean uplinksReported() {
         return uplinksReported;
     }
 
-    /** The server, or null. */
+    /** The server, or null if it is not known. */
     public EdgeServer get(String id) {
         return byId.get(id);
     }
@@ -62,25 +62,25 @@
         return racks;
     }
 
-    /** Those that are up, by the list. */
+    /** Servers that the list has as up. */
     public List<EdgeServer> listed() {
         return listed;
     }
 
-    /** All links as told. */
+    /** Sum of the configured rates of all links in kB/s. */
     public double linksKb() {
         return linksKb;
     }
 
-    /** News of the list. */
-    public void update(long now, ListScope scope, List<Server> news) {
+    /** Applies an update of the server list. */
+    public void update(long now, ListScope scope, List<Server> entries) {
         for (EdgeServer server : byId.values()) {
             server.absentFromList(scope != ListScope.CHANGES); // unless it is named below
             if (scope != ListScope.DISK && server.presumedCold()) {
-                server.startedAsListed(); // fresh news names all that changed since the list was kept
+                server.startedAsListed(); // an update names every server changed since the stored list
             }
         }
-        for (Server entry : news) {
+        for (Server entry : entries) {
             updateServer(now, scope, entry);
         }
         listed = byId.values().stream().filter(EdgeServer::listed).toList();
@@ -93,7 +93,7 @@
         boolean restarted = !isNew && entry.upSince() > server.info().upSince();
         server.presentInList(entry);
         if (scope == ListScope.DISK) {
-            server.presumeCold(now); // may have restarted since the list was kept
+            server.presumeCold(now); // may have restarted since the list was stored
         } else if (isNew || restarted) {
             server.startedAsListed();
             if (restarted) {
@@ -103,27 +103,27 @@
         }
     }
 
-    /** All has been running for long. */
+    /** All servers have been running for long. */
     public void markAllWarm() {
         byId.values().forEach(EdgeServer::markWarm);
     }
 
-    /** Lowers the trust in all readings. */
+    /** Multiplies the trust in all readings by a factor. */
     public void decayTrust(double factor) {
         byId.values().forEach(server -> server.load().decayTrust(factor));
         racks.forEach(rack -> rack.load().decayTrust(factor));
     }
 
-    /** Forgets servers that have left the list and have no session here. */
+    /** Removes servers that have left the list and have no session of this broker. */
     public void removeGone() {
         if (byId.values().removeIf(server -> server.gone() && server.idle())) {
             updateCapacity();
         }
     }
 
-    /** Links as told: by weight, or by streams where all weights are alike. */
+    /** Sets the configured rates of all links: by weight, or by streams where all weights are equal. */
     private void updateCapacity() {
-        boolean alike = byId.values().stream()
+        boolean equalWeights = byId.values().stream()
                         .mapToDouble(server -> server.info().weight())
                         .distinct()
                         .count()
@@ -136,22 +136,22 @@
         linksKb = 0;
         racks.forEach(Rack::clear);
         for (EdgeServer server : byId.values()) {
-            double unit = settings.ladder().weightKb() * server.info().weight();
-            server.setConfiguredKb(
-                    Math.max(1, alike && streams > 0 ? unit * server.streams() * byId.size() / streams : unit));
+            double rateKb = settings.ladder().weightKb() * server.info().weight();
+            server.setConfiguredKb(Math.max(
+                    1, equalWeights && streams > 0 ? rateKb * server.streams() * byId.size() / streams : rateKb));
             server.setRack(racks.get(Math.floorMod(server.info().cell(), racks.size())));
             linksKb += server.configuredKb();
         }
         racks.forEach(this::updateCapacity);
     }
 
-    /** Uplinks as told, by the links behind them; they stay as they are when servers come and go. */
+    /** Sets a rack's uplink by its share of all links, once: it stays as it is when servers are added or removed. */
     private void updateCapacity(Rack rack) {
         if (rack.configuredKb() > 0 || rack.servers().isEmpty()) {
             return;
         }
-        double part =
+        double share =
                 rack.servers().stream().mapToDouble(EdgeServer::configuredKb).sum() / linksKb;
-        rack.setInitialUplink(settings.ladder().uplinkKb() * racks.size() * part * uplinkOverestimate);
+        rack.setInitialUplink(settings.ladder().uplinkKb() * racks.size() * share * uplinkOverestimate);
     }
 }
--- a/src/main/java/dockshed/model/Link.java
+++ b/src/main/java/dockshed/model/Link.java
@@ -1,6 +1,8 @@
 package dockshed.model;
 
-/** A link that carries sessions: its load, what it is told to give, and when it was last found short. */
+/**
+ * A link that carries sessions: its load, its configured rate, and when it last delivered less than its sessions need.
+ */
 public abstract class Link {
     private static final long NEVER_SHORT_AT_US = -1_000_000;
 
@@ -9,12 +11,12 @@
     private long relievedAt;
     private long shortAt = NEVER_SHORT_AT_US;
 
-    /** What is asked there and what this director has there. */
+    /** The estimate of its load. */
     public final LoadEstimate load() {
         return load;
     }
 
-    /** What it carries, as told; an edge server's when warm. */
+    /** Its configured rate in kB/s; for an edge server, when it is warm. */
     public final double configuredKb() {
         return configuredKb;
     }
@@ -23,25 +25,25 @@
         configuredKb = kb;
     }
 
-    /** What it carries when nothing at either end holds it back. */
+    /** Its estimated rate in kB/s when no server behind it is cold. */
     public abstract double nominalKb();
 
-    /** Sessions are being sub-rated since it is overfull. */
+    /** Records that sessions are being stepped down because it is overloaded. */
     public final void markRelieved(long now) {
         relievedAt = now;
     }
 
-    /** When sessions were last sub-rated since it was overfull. */
+    /** When sessions were last stepped down because it was overloaded, microseconds. */
     public final long relievedAt() {
         return relievedAt;
     }
 
-    /** It delivers short. */
+    /** Records that it delivers less than its sessions need. */
     public final void markShort(long now) {
         shortAt = now;
     }
 
-    /** When it was last found to deliver short. */
+    /** When it was last found to deliver less than its sessions need, microseconds. */
     public final long shortAt() {
         return shortAt;
     }
--- a/src/main/java/dockshed/model/LoadEstimate.java
+++ b/src/main/java/dockshed/model/LoadEstimate.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * The load of a link as one of its users knows it: what was read last, how far that is still to be trusted, and what
- * this user has changed since. Loads are in kB a second.
+ * The load of a link as one broker knows it: the last reading, how far that can still be trusted, and the changes by
+ * this broker since. Loads are in kB/s, times in microseconds.
  */
 public final class LoadEstimate {
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
@@ -17,7 +17,7 @@
 
     private record Change(long at, double deltaKb) {}
 
-    /** A reading of all that is asked there: own changes up to its time are in it. */
+    /** Records a reading of the total load; it includes own changes up to its time. */
     public void recordReading(double level, long at) {
         this.levelKb = level;
         trust = 1;
@@ -28,22 +28,22 @@
         changedKb = changedUntil(Long.MAX_VALUE);
     }
 
-    /** Lowers the trust in the last reading, as the sessions of others come and go. */
+    /** Lowers the trust in the last reading, since sessions of other brokers start and end. */
     public void decayTrust(double factor) {
         trust *= factor;
     }
 
-    /** Books a change of this user's established load, and of the load of its set-ups that are under way. */
-    public void recordChange(long now, double established, double setUp) {
-        ownKb += established + setUp;
+    /** Records a change in the load of own playing sessions, and of own set-ups in progress. */
+    public void recordChange(long now, double playing, double setUp) {
+        ownKb += playing + setUp;
         pendingKb += setUp;
-        changedKb += established;
-        if (established != 0) {
-            changes.add(new Change(now, established));
+        changedKb += playing;
+        if (playing != 0) {
+            changes.add(new Change(now, playing));
         }
     }
 
-    /** This user's changes since the last reading up to a time. */
+    /** Own changes since the last reading up to a time. */
     public double changedUntil(long at) {
         return changes.stream()
                 .filter(change -> change.at() <= at)
@@ -51,12 +51,12 @@
                 .sum();
     }
 
-    /** The same as far as the last reading is trusted. */
+    /** Own changes since the last reading up to a time, times the trust in that reading. */
     public double trustedChangeUntil(long at) {
         return trust * changedUntil(at);
     }
 
-    /** What was asked in all by the last reading. */
+    /** Total load in the last reading. */
     public double levelKb() {
         return levelKb;
     }
@@ -66,17 +66,17 @@
         return trust;
     }
 
-    /** This user's load, set-ups included. */
+    /** Own load, including set-ups in progress. */
     public double ownKb() {
         return ownKb;
     }
 
-    /** The load of this user's set-ups that are under way. */
+    /** Load of own set-ups in progress. */
     public double pendingKb() {
         return pendingKb;
     }
 
-    /** This user's established load that came since the last reading, less what went. */
+    /** Net change in the load of own playing sessions since the last reading. */
     public double changedKb() {
         return changedKb;
     }
--- a/src/main/java/dockshed/model/Rack.java
+++ b/src/main/java/dockshed/model/Rack.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A rack's uplink, and the edge servers behind it. */
+/** A rack: its uplink and the edge servers behind it. */
 public final class Rack extends Link {
     private static final long NEVER_CONFIRMED_AT_US = -1_000_000;
 
@@ -25,7 +25,7 @@
         servers.add(server);
     }
 
-    /** What the uplink gives, as learnt. */
+    /** Estimated rate of the uplink in kB/s. */
     public double uplinkKb() {
         return uplinkKb;
     }
@@ -35,29 +35,30 @@
         uplinkKb = kb;
     }
 
-    /** The uplink is found to give no more than this. */
+    /** Lowers the estimated rate of the uplink, which delivers less than its sessions need. */
     public void lowerUplink(long now, double kb) {
         markShort(now);
         uplinkKb = Math.min(uplinkKb, kb);
     }
 
-    /** The uplink may give so much more than was found, up to what was told. */
-    public void raiseUplink(double by) {
+    /** Raises the estimated rate of the uplink by {@code deltaKb}, up to the configured one. */
+    public void raiseUplink(double deltaKb) {
         if (uplinkKb < configuredKb()) {
-            uplinkKb = Math.min(configuredKb(), uplinkKb + by);
+            uplinkKb = Math.min(configuredKb(), uplinkKb + deltaKb);
         }
     }
 
-    /** This director's sessions at its servers. */
+    /** This broker's sessions at its servers. */
     public List<Session> sessions() {
         return servers.stream().flatMap(s -> s.sessions().stream()).toList();
     }
 
-    /** Whether most servers with sessions here, and more than one, were found short within that span. */
+    /** Whether at least half of the servers with own sessions, and more than one, delivered short within that time. */
     public boolean mostShort(long now, long within) {
-        long shorts = servers.stream().filter(s -> now - s.shortAt() < within).count();
-        long heard = servers.stream().filter(s -> !s.idle()).count();
-        return shorts > 1 && 2 * shorts >= heard;
+        long shortServers =
+                servers.stream().filter(s -> now - s.shortAt() < within).count();
+        long serversWithSessions = servers.stream().filter(s -> !s.idle()).count();
+        return shortServers > 1 && 2 * shortServers >= serversWithSessions;
     }
 
     @Override
@@ -65,12 +66,12 @@
         return uplinkKb;
     }
 
-    /** Most of its servers deliver short. */
+    /** Records that most of its servers deliver short. */
     public void confirmShort(long now) {
         confirmedShortAt = now;
     }
 
-    /** When most of its servers were last found to deliver short. */
+    /** When most of its servers were last found to deliver short, microseconds. */
     public long confirmedShortAt() {
         return confirmedShortAt;
     }
--- a/src/main/java/dockshed/model/Session.java
+++ b/src/main/java/dockshed/model/Session.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request, then its attempts, then the session that plays. */
+/** A session from its request through its attempts until it stops playing. */
 public final class Session {
     private final Request request;
     private final SessionClass sessionClass;
     private final RenditionLadder ladder;
     private final int top;
     private final long deadline;
-    private final List<EdgeServer> tried = new ArrayList<>();
+    private final List<EdgeServer> triedServers = new ArrayList<>();
     private EdgeServer server;
     private int attempts;
     private int errors;
@@ -29,7 +29,7 @@
     private long startedAt;
     private long steppedAt;
 
-    /** A request that has come. */
+    /** Creates a session for a request received now. */
     public Session(Request request, SessionClass sessionClass, RenditionLadder ladder, long now) {
         this.request = request;
         this.sessionClass = sessionClass;
@@ -39,19 +39,19 @@
         startedAt = now;
     }
 
-    // ---- What was asked for.
+    // ---- The request.
 
     /** The request. */
     public Request request() {
         return request;
     }
 
-    /** The request's name. */
+    /** The id of the request and session. */
     public String id() {
         return request.id();
     }
 
-    /** The class of the request. */
+    /** Its class. */
     public SessionClass sessionClass() {
         return sessionClass;
     }
@@ -61,36 +61,36 @@
         return sessionClass.floor();
     }
 
-    /** The best rendition that it may have. */
+    /** The highest rendition that it may have. */
     public int top() {
         return top;
     }
 
-    /** When its client gives up. */
+    /** When the client gives up waiting, microseconds. */
     public long deadline() {
         return deadline;
     }
 
-    /** The rate that it asks at a rendition. */
+    /** Its rate at a rendition in kB/s. */
     public double rateKb(int rendition) {
         return ladder.rateKb(sessionClass, rendition);
     }
 
     // ---- Attempts.
 
-    /** An attempt goes out at a rendition; the set-up is booked there. */
-    public void send(long now, EdgeServer to, int rendition) {
+    /** Starts an attempt at a server and rendition; its load is recorded there as a set-up. */
+    public void send(long now, EdgeServer target, int rendition) {
         attempts++;
-        tried.add(to);
+        triedServers.add(target);
         this.rendition = rendition;
-        server = to;
+        server = target;
         sentAt = now;
-        to.add(this);
-        to.recordChange(now, 0, rateKb());
-        to.setUpSent(now);
+        target.add(this);
+        target.recordChange(now, 0, rateKb());
+        target.setUpSent(now);
     }
 
-    /** The attempt is answered: it plays. */
+    /** The attempt was answered: the session plays from now on. */
     public void startPlaying(long now) {
         playing = true;
         startedAt = now;
@@ -99,61 +99,61 @@
         server.recordChange(now, rateKb(), -rateKb());
     }
 
-    /** It played there already at the start, at its lowest rendition. */
-    public void restorePlaying(long now, EdgeServer there) {
+    /** The session was already playing at the server when this broker started; assumes its lowest rendition. */
+    public void restorePlaying(long now, EdgeServer at) {
         playing = true;
         linkReadingReceived = true;
         attempts = 1;
         rendition = floor();
-        server = there;
-        there.add(this);
-        there.recordChange(now, rateKb(), 0);
+        server = at;
+        at.add(this);
+        at.recordChange(now, rateKb(), 0);
     }
 
-    /** Takes it off its server's account. */
+    /** Removes the session and its load from its server. */
     public void leaveServer(long now) {
         server.remove(this);
         server.recordChange(now, playing ? -rateKb() : 0, playing ? 0 : -rateKb());
         server = null;
     }
 
-    /** Where an attempt is out or the session plays, else null. */
+    /** The server of the attempt in progress or of the playing session, else null. */
     public EdgeServer server() {
         return server;
     }
 
-    /** Attempts up to now. */
+    /** Number of attempts so far. */
     public int attempts() {
         return attempts;
     }
 
-    /** Whether an attempt went to the server. */
-    public boolean tried(EdgeServer at) {
-        return tried.contains(at);
+    /** Whether an attempt was sent to the server. */
+    public boolean hasTried(EdgeServer at) {
+        return triedServers.contains(at);
     }
 
-    /** Whether it played already at the start. */
+    /** Whether it was already playing when this broker started. */
     public boolean openedAtStart() {
         return sentAt == 0;
     }
 
-    /** Its attempt ended; a full server, a refused connection and what was moot prove that it never ran. */
+    /** Records the end of an attempt; FULL, CONNECT_FAILED and MOOT prove that the set-up did not run. */
     public void attemptEnded(Outcome outcome) {
         mayHaveRun |= outcome != Outcome.FULL && outcome != Outcome.CONNECT_FAILED && outcome != Outcome.MOOT;
         errors += outcome == Outcome.ERROR ? 1 : 0;
     }
 
-    /** Whether a set-up may be repeated, whatever became of it. */
+    /** Whether a set-up may be repeated even if an earlier one may have run. */
     public boolean repeatable() {
         return sessionClass.effect() == Effect.SAFE;
     }
 
-    /** Whether it may have run, and must not run again. */
+    /** Whether a set-up may have run and must not be repeated. */
     public boolean mustNotRepeat() {
         return mayHaveRun && !repeatable();
     }
 
-    /** Attempts that ended in an error. */
+    /** Number of attempts that ended with ERROR. */
     public int errors() {
         return errors;
     }
@@ -165,62 +165,62 @@
         return playing;
     }
 
-    /** When it came, and once it plays, since when. */
+    /** When the request was received, or once the session plays, when that began; microseconds. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** The rendition in force. */
+    /** The current rendition. */
     public int rendition() {
         return rendition;
     }
 
-    /** Whether a figure that was told names a rendition. */
-    public boolean hasRendition(double told) {
-        return told >= 0 && told < ladder.count();
+    /** Whether a reported number is a rendition of the ladder. */
+    public boolean hasRendition(double reported) {
+        return reported >= 0 && reported < ladder.count();
     }
 
-    /** The rate of the rendition in force. */
+    /** Its rate at the current rendition in kB/s. */
     public double rateKb() {
         return rateKb(rendition);
     }
 
-    /** What a rendition asks over the one in force. */
+    /** Rate of a rendition less the current rate, in kB/s. */
     public double moreKb(int rendition) {
         return rateKb(rendition) - rateKb();
     }
 
-    /** What a rendition earns a second over the one in force, of what the class is worth. */
+    /** What a rendition earns per second more than the current one, relative to the worth of the class. */
     public double moreWorth(int rendition) {
         return ladder.worth(rendition) - ladder.worth(this.rendition);
     }
 
-    /** A step to another rendition. */
-    public void step(long now, int to) {
-        server.recordChange(now, moreKb(to), 0);
+    /** Steps to another rendition. */
+    public void step(long now, int target) {
+        server.recordChange(now, moreKb(target), 0);
         steppedAt = now;
-        rendition = to;
+        rendition = target;
     }
 
-    /** The rendition in force is told to be another, at a server. */
+    /** A server reported that another rendition is in use. */
     public void renditionReported(long now, EdgeServer at, int rendition) {
         double more = moreKb(rendition);
         this.rendition = rendition;
         at.recordChange(now, more, 0);
     }
 
-    /** When it last stepped to another rendition, or began to play. */
+    /** When it last stepped to another rendition or began to play, microseconds. */
     public long steppedAt() {
         return steppedAt;
     }
 
-    /** It is about to be sub-rated for a newcomer. */
+    /** Marks it as sub-rated for a newcomer and keeps its present rendition. Called before the step. */
     public void markSubRated() {
         subRated = true;
         renditionBeforeSubRating = rendition;
     }
 
-    /** It has stepped up again. */
+    /** Marks it as no longer sub-rated: it has stepped up again. */
     public void clearSubRated() {
         subRated = false;
     }
@@ -230,26 +230,29 @@
         return subRated;
     }
 
-    /** The rendition that it had before. */
+    /** The rendition that it had before it was sub-rated. */
     public int renditionBeforeSubRating() {
         return renditionBeforeSubRating;
     }
 
-    // ---- The readings of its own set-up.
+    // ---- Readings that its own set-up brings.
 
-    /** Whether its set-up's reading of the link is still to come. */
+    /** Whether the link reading of its set-up is still expected. */
     public boolean awaitsLinkReading() {
         return !linkReadingReceived;
     }
 
-    /** The reading of the link has come; {@code uplinkFollows}: that of the uplink does. Whether this was the last. */
+    /**
+     * The link reading was received; {@code uplinkFollows}: an uplink reading is expected. Returns whether it was the
+     * last.
+     */
     public boolean linkReadingReceived(boolean uplinkFollows) {
         linkReadingReceived = true;
         awaitsUplinkReading = uplinkFollows;
         return !awaitsUplinkReading;
     }
 
-    /** A reading of the uplink has come. Whether it was its set-up's. */
+    /** An uplink reading was received. Returns whether it was the one of its set-up. */
     public boolean uplinkReadingReceived() {
         boolean awaited = awaitsUplinkReading;
         awaitsUplinkReading = false;
--- a/src/main/java/dockshed/model/Sessions.java
+++ b/src/main/java/dockshed/model/Sessions.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** All requests and sessions by id, and how long they stay. */
+/** All requests and sessions by id, and the estimate of how long sessions stay. */
 public final class Sessions {
     private static final double SECOND_US = 1e6;
 
@@ -18,14 +18,14 @@
     private final RenditionLadder ladder;
     private final StayEstimate stays;
 
-    /** None yet, with what is known of their stay. */
+    /** Creates an empty table. */
     public Sessions(Settings settings, RenditionLadder ladder, StayEstimate stays) {
         this.settings = settings;
         this.ladder = ladder;
         this.stays = stays;
     }
 
-    /** The session of a request, from now on among all; null where nobody knows its class. */
+    /** Adds a session for a request; null if the class of the request is unknown. */
     public Session add(long now, Request request) {
         for (SessionClass sessionClass : settings.classes()) {
             if (sessionClass.name().equals(request.className())) {
@@ -37,59 +37,63 @@
         return null;
     }
 
-    /** The session, or null. */
+    /** The session, or null if it is unknown. */
     public Session get(String id) {
         return byId.get(id);
     }
 
-    /** The session, if it is out or plays at that server, else null. */
+    /** The session if its attempt or playback is at that server, else null. */
     public Session findAt(String id, String server) {
         Session session = byId.get(id);
-        boolean there = session != null
+        boolean matches = session != null
                 && session.server() != null
                 && session.server().id().equals(server);
-        return there ? session : null;
+        return matches ? session : null;
     }
 
-    /** The session that was there, or null. */
+    /** Removes a session; null if it is unknown. */
     public Session remove(String id) {
         return byId.remove(id);
     }
 
-    /** The session is over; {@code byItself}: it was not cut off. */
-    public void ended(long now, Session session, boolean byItself) {
+    /** Removes a session that has ended; {@code normally}: it was not cut off. */
+    public void ended(long now, Session session, boolean normally) {
         remove(session.id());
         if (session.playing()) {
-            stays.recordEnd((now - session.startedAt()) / SECOND_US, byItself);
+            stays.recordEnd((now - session.startedAt()) / SECOND_US, normally);
         }
     }
 
-    /** All, in the order in which they came. */
+    /** All sessions in the order of their requests. */
     public Collection<Session> all() {
         return Collections.unmodifiableCollection(byId.values());
     }
 
-    /** How many there are. */
+    /** Number of requests and sessions. */
     public int size() {
         return byId.size();
     }
 
-    /** How long sessions stay. */
+    /** The estimate of how long sessions stay. */
     public StayEstimate stays() {
         return stays;
     }
 
-    /** Seconds that a session will probably still play; at least a part of the mean. */
-    public double remainingStay(long now, Session session, double leastPart) {
+    /**
+     * Expected remaining stay of a session in seconds: by the client's estimate if there is one, else the mean.
+     *
+     * @param minShare least remaining stay as a share of the mean, where the client's estimate is used up
+     */
+    public double remainingStay(long now, Session session, double minShare) {
         double mean = stays.meanSeconds();
         if (session.request().expectedDuration() <= 0) {
             return mean;
         }
-        double left = (session.startedAt() + session.request().expectedDuration() - now) / SECOND_US;
-        return Math.max(left, mean * leastPart);
+        double remaining = (session.startedAt() + session.request().expectedDuration() - now) / SECOND_US;
+        return Math.max(remaining, mean * minShare);
     }
 
-    /** Whether a seat of the newcomer's class is free at its title. */
+    /** Whether the newcomer's class has a free seat at its title. */
     public boolean hasFreeSeat(Session newcomer) {
         int seats = newcomer.sessionClass().seats();
         return seats == 0
--- a/src/main/java/dockshed/queueing/Bisection.java
+++ b/src/main/java/dockshed/queueing/Bisection.java
@@ -2,15 +2,19 @@
 
 import java.util.function.DoublePredicate;
 
-/** Search for a threshold by halving an interval. */
+/** Search for a threshold by bisection. */
 public final class Bisection {
     private Bisection() {}
 
-    /** About the largest value from {@code low} to {@code high} that is still too low, after so many halvings. */
-    public static double largest(double low, double high, int halvings, DoublePredicate tooLow) {
+    /**
+     * Approximately the largest value between {@code low} and {@code high} that is still too low.
+     *
+     * @param steps how often the interval is halved
+     */
+    public static double largest(double low, double high, int steps, DoublePredicate tooLow) {
         double from = low;
         double to = high;
-        for (int i = 0; i < halvings; i++) {
+        for (int step = 0; step < steps; step++) {
             double middle = (from + to) / 2;
             if (tooLow.test(middle)) {
                 from = middle;
--- a/src/main/java/dockshed/queueing/ClassMix.java
+++ b/src/main/java/dockshed/queueing/ClassMix.java
@@ -1,22 +1,22 @@
 package dockshed.queueing;
 
-/** Arrivals of several classes of one kind, and what they are worth on the mean. */
+/** Arrivals of a group of classes, and their mean worth. */
 public final class ClassMix {
     private double arrivals;
     private double totalWorth;
 
-    /** So many arrivals, each of that worth. */
+    /** Adds arrivals of one class. */
     public void add(double count, double worthEach) {
         arrivals += count;
         totalWorth += count * worthEach;
     }
 
-    /** All arrivals. */
+    /** Number of arrivals. */
     public double arrivals() {
         return arrivals;
     }
 
-    /** The mean worth of an arrival. */
+    /** Mean worth of an arrival; NaN without arrivals. */
     public double meanWorth() {
         return totalWorth / arrivals;
     }
--- a/src/main/java/dockshed/queueing/EventWindow.java
+++ b/src/main/java/dockshed/queueing/EventWindow.java
@@ -2,36 +2,36 @@
 
 import java.util.ArrayDeque;
 
-/** The latest events of one kind, each with a weight, within a window that slides with the time. */
+/** Weighted events within a sliding time window. */
 public final class EventWindow {
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final long span;
 
     private record Event(long at, double weight) {}
 
-    /** A window that holds what is {@code span} old, and nothing older. */
+    /** Creates a window that keeps events up to {@code span} microseconds old. */
     public EventWindow(long span) {
         this.span = span;
     }
 
-    /** An event of weight 1; times never go backwards. */
+    /** Adds an event of weight 1; times must not go backwards. */
     public void add(long now) {
         add(now, 1);
     }
 
-    /** An event of that weight; times never go backwards. */
+    /** Adds an event of a weight; times must not go backwards. */
     public void add(long now, double weight) {
         evictOlder(now);
         events.addLast(new Event(now, weight));
     }
 
-    /** Events in the window. */
+    /** Number of events in the window. */
     public int count(long now) {
         evictOlder(now);
         return events.size();
     }
 
-    /** The sum of the weights in the window. */
+    /** Sum of the weights in the window. */
     public double sum(long now) {
         evictOlder(now);
         return events.stream().mapToDouble(Event::weight).sum();
--- a/src/main/java/dockshed/queueing/QuotaOptimizer.java
+++ b/src/main/java/dockshed/queueing/QuotaOptimizer.java
@@ -1,15 +1,16 @@
 package dockshed.queueing;
 
 /**
- * Method II of dynamic quota admission with sub-rating (the paper, section 5): what two classes of sessions earn at one
- * server whose slots are split into a reserve for each and a pool for both.
+ * Method II of dynamic quota admission with sub-rating (section 5 of the paper): the payoff of two classes of sessions
+ * at one server whose slots are split into a reserve for each class and a pool for both, and the split that maximizes
+ * it.
  *
- * @param highArrivals arrivals a second of the class worth more
- * @param lowArrivals arrivals a second of the class worth less
- * @param departureRate ends a second of each session
- * @param highWorth worth a second of a session of the first
- * @param lowWorth worth a second of a session of the second; a refusal costs as much as a session is worth
- * @param maxSubRated sessions that may be sub-rated for one newcomer (the paper's alpha)
+ * @param highArrivals arrivals per second of the class worth more
+ * @param lowArrivals arrivals per second of the class worth less
+ * @param departureRate ends per second of each session
+ * @param highWorth worth per second of a session of the first class
+ * @param lowWorth worth per second of a session of the second class; a refusal costs as much as a session is worth
+ * @param maxSubRated sessions that may be sub-rated for one newcomer (alpha in the paper)
  */
 public record QuotaOptimizer(
         double highArrivals,
@@ -19,31 +20,32 @@
         double lowWorth,
         int maxSubRated) {
 
-    /** Slots up to which each pair of quotas is tried. */
+    /** Up to this number of slots every pair of quotas is tried. */
     private static final int MAX_EXHAUSTIVE_SLOTS = 64;
 
-    /** Of more slots, pairs of so many parts are tried first. */
+    /** With more slots, the first search tries multiples of one of so many parts. */
     private static final int COARSE_STEPS = 32;
 
-    /** By how much a payoff must be higher to be better: less is rounding. */
+    /** A payoff must be higher by this much to be better; less is rounding. */
     private static final double PAYOFF_TOLERANCE = 1e-9;
 
     /** Slots reserved for each class. */
     public record Quotas(int high, int low) {
+        /** Nothing reserved. */
         public static final Quotas NONE = new Quotas(0, 0);
     }
 
-    /** The number of slots that stands for this one: of large servers a few sizes stand for all. */
+    /** Rounds a large number of slots down, so that servers of similar size share one search. */
     public static int representativeSlots(int slots) {
         return slots > MAX_EXHAUSTIVE_SLOTS ? slots - slots % (slots / COARSE_STEPS) : slots;
     }
 
-    /** The quotas of the highest payoff. */
+    /** The quotas with the highest payoff for a server of {@code slots} slots. */
     public Quotas best(int slots) {
         return new Search(slots).best();
     }
 
-    /** (2) + (3) + (7) + (11) - (9); the inner sum of (7) runs over j. */
+    /** Payoff per second by the paper's formulas: (2) + (3) + (7) + (11) - (9); the inner sum of (7) runs over j. */
     public double payoff(int high, int low, int pool) {
         ErlangLoss highReserve = new ErlangLoss(highArrivals / departureRate, high);
         ErlangLoss lowReserve = new ErlangLoss(lowArrivals / departureRate, low);
@@ -56,25 +58,25 @@
                         + poolPayoff(pool, highInPool, lowInPool));
     }
 
-    /** (7) + (11) - (9) over the departures, at what both reserves leave to the pool. */
+    /** (7) + (11) - (9) divided by the departure rate, for the loads that both reserves overflow to the pool. */
     private double poolPayoff(int pool, ErlangLoss high, ErlangLoss low) {
         double sum = 0;
         for (int i = 0; i <= pool; i++) {
-            double busy = high.probability(i, pool);
-            double full = busy * low.blockingProbability(pool - i);
-            int squeezed = (pool - i) / maxSubRated;
-            sum += busy * (i * highWorth + low.carriedLoad(pool - i) * lowWorth);
-            sum += full
-                    * ((highWorth - lowWorth) * high.carriedLoad(squeezed)
-                            - high.offeredLoad() * highWorth * high.blockingProbability(squeezed));
-            sum -= full * low.offeredLoad() * lowWorth;
+            double highBusy = high.probability(i, pool);
+            double allBusy = highBusy * low.blockingProbability(pool - i);
+            int freedSlots = (pool - i) / maxSubRated;
+            sum += highBusy * (i * highWorth + low.carriedLoad(pool - i) * lowWorth);
+            sum += allBusy
+                    * ((highWorth - lowWorth) * high.carriedLoad(freedSlots)
+                            - high.offeredLoad() * highWorth * high.blockingProbability(freedSlots));
+            sum -= allBusy * low.offeredLoad() * lowWorth;
         }
         return sum;
     }
 
     /**
-     * Enumeration of the pairs of quotas. Many slots are gone through in steps, then finer round the best: all pairs
-     * would cost the cube of the slots. Tables are shared by all pairs with the same reserve.
+     * Search over the pairs of quotas. Many slots are searched in steps, then more finely around the best pair: trying
+     * all pairs would take time cubic in the slots. All pairs with the same reserve share their tables.
      */
     private final class Search {
         private final int slots;
--- a/src/main/java/dockshed/queueing/StayEstimate.java
+++ b/src/main/java/dockshed/queueing/StayEstimate.java
@@ -1,20 +1,20 @@
 package dockshed.queueing;
 
-/** How long sessions stay, from those that have ended and a prior of some that count as seen. */
+/** Estimates how long sessions stay, from ended sessions and a prior. */
 public final class StayEstimate {
     private double totalSeconds;
     private double ends;
 
-    /** A prior mean in seconds, which weighs as much as so many ends. */
+    /** Starts from a prior mean in seconds that weighs as much as {@code priorEnds} ended sessions. */
     public StayEstimate(double priorMean, double priorEnds) {
         totalSeconds = priorMean * priorEnds;
         ends = priorEnds;
     }
 
-    /** A session is over after that many seconds; one that was cut off has been seen to stay, not to end. */
-    public void recordEnd(double seconds, boolean byItself) {
+    /** Records a session that is over. One that was cut off counts with its duration but not as an end. */
+    public void recordEnd(double seconds, boolean normally) {
         totalSeconds += seconds;
-        ends += byItself ? 1 : 0;
+        ends += normally ? 1 : 0;
     }
 
     /** Mean stay in seconds. */
@@ -22,17 +22,17 @@
         return totalSeconds / ends;
     }
 
-    /** Ends a second of each session. */
+    /** Ends per second of each session. */
     public double endRate() {
         return ends / totalSeconds;
     }
 
-    /** Sessions at once in the long run at that many arrivals a second, by Little's law. */
-    public double concurrentSessions(double arrivals) {
-        return arrivals * totalSeconds / ends;
+    /** Mean number of concurrent sessions at a number of arrivals per second, by Little's law. */
+    public double concurrentSessions(double arrivalsPerSecond) {
+        return arrivalsPerSecond * totalSeconds / ends;
     }
 
-    /** The part of sessions that is still there after that many seconds. */
+    /** Share of sessions that is still playing after {@code seconds}. */
     public double remainingShare(double seconds) {
         return Math.exp(-seconds * ends / totalSeconds);
     }
--- a/src/main/java/dockshed/queueing/WeightedMean.java
+++ b/src/main/java/dockshed/queueing/WeightedMean.java
@@ -1,23 +1,23 @@
 package dockshed.queueing;
 
-/** A mean of weighted values, with a prior that has a weight of its own. */
+/** Weighted mean with a weighted prior. */
 public final class WeightedMean {
     private double weight;
     private double sum;
 
-    /** The prior alone. */
+    /** Starts with the prior alone. */
     public WeightedMean(double prior, double priorWeight) {
         weight = priorWeight;
         sum = priorWeight * prior;
     }
 
-    /** Takes in a value. */
+    /** Adds a value. */
     public void add(double value, double valueWeight) {
         weight += valueWeight;
         sum += valueWeight * value;
     }
 
-    /** The mean of all. */
+    /** The mean of the prior and all values. */
     public double value() {
         return sum / weight;
     }
--- a/src/main/java/dockshed/queueing/package-info.java
+++ b/src/main/java/dockshed/queueing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Arithmetic that decisions are reckoned with, and that decides nothing itself: Erlang's loss formula and the payoff of
- * quotas by it, counts within a sliding window, the load of a link between two readings, and how long sessions stay.
- * No I/O, thread or clock: times come in as arguments, in microseconds of the caller's clock.
+ * Arithmetic behind the decisions: Erlang's loss formula and the payoff of quotas by it, counts within a sliding
+ * window, weighted means, a search by bisection, and the estimate of how long sessions stay. Nothing is decided here.
+ * No I/O, threads or clock: times are arguments, in microseconds of the caller's clock.
  */
 package dockshed.queueing;
