--- a/src/main/java/dockshed/DirectorFilter.java
+++ b/src/main/java/dockshed/DirectorFilter.java
@@ -3,32 +3,36 @@
 import java.util.List;
 
 /**
- * A director that stands before another and passes on whatever it does not treat itself; and the actions that it hands to
- * that one. The order of layers is set in {@code Wiring} alone.
+ * A director in front of another one: it forwards every event that it does not handle itself, and forwards the actions
+ * of the other one to its own. The order of filters is set in {@code Wiring} alone.
  */
 public abstract class DirectorFilter implements Director {
-    /** The next one; set by the constructor of the subclass, last, as it is built on the actions handed to it. */
+    /**
+     * The next director. The subclass sets it at the end of its constructor, since it is created on the filter's
+     * actions.
+     */
     protected Director nextDirector;
 
-    /** Called first in every event that is passed on as it is. */
-    protected abstract void beforeEvent(long at);
+    /** Called at the start of every event that is forwarded unchanged; {@code now} is its time. */
+    protected abstract void beforeEvent(long now);
 
-    /** Actions that go through to those that the layer itself was given. */
+    /** Forwards all actions to those that the filter itself was created with. */
     protected abstract static class ForwardingActions implements Actions {
+        /** The actions to forward to. */
         protected final Actions delegate;
 
-        protected ForwardingActions(Actions out) {
-            this.delegate = out;
+        protected ForwardingActions(Actions delegate) {
+            this.delegate = delegate;
         }
 
         @Override
-        public void send(String request, String server, long allow) {
-            delegate.send(request, server, allow);
+        public void send(String request, String server, long timeLimit) {
+            delegate.send(request, server, timeLimit);
         }
 
         @Override
-        public void refuse(String request, long comeBack) {
-            delegate.refuse(request, comeBack);
+        public void refuse(String request, long retryAfter) {
+            delegate.refuse(request, retryAfter);
         }
 
         @Override
@@ -37,8 +41,8 @@
         }
 
         @Override
-        public void setRendition(String request, int rung) {
-            delegate.setRendition(request, rung);
+        public void setRendition(String request, int rendition) {
+            delegate.setRendition(request, rendition);
         }
 
         @Override
@@ -57,8 +61,8 @@
         }
 
         @Override
-        public void timer(String key, long at) {
-            delegate.timer(key, at);
+        public void timer(String key, long now) {
+            delegate.timer(key, now);
         }
 
         @Override
@@ -88,69 +92,69 @@
     }
 
     @Override
-    public void request(long at, Request request) {
-        beforeEvent(at);
-        nextDirector.request(at, request);
+    public void request(long now, Request request) {
+        beforeEvent(now);
+        nextDirector.request(now, request);
     }
 
     @Override
-    public void adoptSession(long at, Request request, String server) {
-        beforeEvent(at);
-        nextDirector.adoptSession(at, request, server);
+    public void adoptSession(long now, Request request, String server) {
+        beforeEvent(now);
+        nextDirector.adoptSession(now, request, server);
     }
 
     @Override
-    public void sessionStarted(long at, String request, int attempt, String server) {
-        beforeEvent(at);
-        nextDirector.sessionStarted(at, request, attempt, server);
+    public void sessionStarted(long now, String request, int attempt, String server) {
+        beforeEvent(now);
+        nextDirector.sessionStarted(now, request, attempt, server);
     }
 
     @Override
     public void outcome(
-            long at, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
-        beforeEvent(at);
-        nextDirector.outcome(at, request, attempt, server, outcome, last, report);
+            long now, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
+        beforeEvent(now);
+        nextDirector.outcome(now, request, attempt, server, outcome, last, report);
     }
 
     @Override
-    public void metricReceived(long at, String request, String server, Metric topic, double value) {
-        beforeEvent(at);
-        nextDirector.metricReceived(at, request, server, topic, value);
+    public void metricReceived(long now, String request, String server, Metric topic, double value) {
+        beforeEvent(now);
+        nextDirector.metricReceived(now, request, server, topic, value);
     }
 
     @Override
-    public void requestCancelled(long at, String request) {
-        beforeEvent(at);
-        nextDirector.requestCancelled(at, request);
+    public void requestCancelled(long now, String request) {
+        beforeEvent(now);
+        nextDirector.requestCancelled(now, request);
     }
 
     @Override
-    public void serversChanged(long at, ListScope scope, List<Server> servers) {
-        beforeEvent(at);
-        nextDirector.serversChanged(at, scope, servers);
+    public void serversChanged(long now, ListScope scope, List<Server> servers) {
+        beforeEvent(now);
+        nextDirector.serversChanged(now, scope, servers);
     }
 
     @Override
-    public void probed(long at, String server, boolean healthy, LoadReport report) {
-        beforeEvent(at);
-        nextDirector.probed(at, server, healthy, report);
+    public void probed(long now, String server, boolean healthy, LoadReport report) {
+        beforeEvent(now);
+        nextDirector.probed(now, server, healthy, report);
     }
 
     @Override
-    public void peerMessageReceived(long at, int from, byte[] message) {
-        beforeEvent(at);
-        nextDirector.peerMessageReceived(at, from, message);
+    public void peerMessageReceived(long now, int from, byte[] message) {
+        beforeEvent(now);
+        nextDirector.peerMessageReceived(now, from, message);
     }
 
     @Override
-    public void timer(long at, String key) {
-        beforeEvent(at);
-        nextDirector.timer(at, key);
+    public void timer(long now, String key) {
+        beforeEvent(now);
+        nextDirector.timer(now, key);
     }
 
     @Override
-    public void connected(long at) {
-        beforeEvent(at);
-        nextDirector.connected(at);
+    public void connected(long now) {
+        beforeEvent(now);
+        nextDirector.connected(now);
     }
 }
--- a/src/main/java/dockshed/Main.java
+++ b/src/main/java/dockshed/Main.java
@@ -11,10 +11,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Command line: the broker, the module alone behind the simulator's wire, or a rehearsal for the build. */
+/**
+ * Command line: the broker, the decision module alone behind the simulator's protocol, or a training run of the build.
+ */
 public final class Main {
     private Main() {}
 
+    /**
+     * Runs the sub-command; exits with 1 after a failure and with 2 after wrong arguments or a faulty configuration.
+     */
     public static void main(String[] args) {
         String mode = args.length == 0 ? "" : args[0];
         if (mode.equals("simhost") && args.length == 1) {
@@ -22,11 +27,11 @@
         }
         if (mode.equals("rehearse") && args.length == 2) {
             try {
-                ArchiveTraining.play(Path.of(args[1]));
+                ArchiveTraining.run(Path.of(args[1]));
                 System.exit(0);
             } catch (Exception e) {
-                System.err.println("dockshed: not rehearsed: " + e);
-                Runtime.getRuntime().halt(1); // a planned end would end it with 0
+                System.err.println("dockshed: rehearsal failed: " + e);
+                Runtime.getRuntime().halt(1); // the shutdown hook would exit with 0
             }
         }
         Map<String, String> files = new HashMap<>();
@@ -53,7 +58,7 @@
         } catch (JsonFields.InvalidInputException e) {
             System.err.println("dockshed: " + e.getMessage());
             System.exit(2);
-        } catch (Exception e) { // a failed bind comes as a checked exception that nothing declares
+        } catch (Exception e) { // a failed bind throws a checked exception that is not declared
             System.err.println("dockshed: cannot serve: " + e);
             System.exit(1);
         }
--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -44,11 +44,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts the parts together; nothing is decided here. */
+/** Creates the components of the broker and connects them. It contains no logic of its own. */
 final class Wiring {
     private static final Logger LOG = LoggerFactory.getLogger(Wiring.class);
 
-    /** The parts' random numbers must not be one another's. */
+    /** Combined with the configured seed, so that no two components draw the same random numbers. */
     private static final long STORM_SEED = 0x73746f726dL;
 
     private static final long FLEET_SEED = 0x666c656574L;
@@ -57,78 +57,82 @@
     private final Config config;
     private final Net net;
     private final LoopClock clock;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final UdpPeers peers;
-    private final FleetHost fleet; // null: off
-    private final RolloutConfig rolloutConfig; // null: off
-    private final RolloutHost rollout; // null: off
+    private final FleetHost fleet; // null: disabled
+    private final RolloutConfig rolloutConfig; // null: disabled
+    private final RolloutHost rolloutHost; // null: disabled
     private final Broker broker;
-    private final EdgeServerConnections edges;
-    private final RtspFront rtsp;
-    private final Map<String, Long> upSince = new HashMap<>();
-    private DnsDiscovery names;
-    private LoadReporter loads;
-    private HlsEdgeServers origins;
+    private final EdgeServerConnections edgeConnections;
+    private final RtspFront rtspFront;
+    private final Map<String, Long> startTimes = new HashMap<>();
+    private DnsDiscovery discovery;
+    private LoadReporter loadReporter;
+    private HlsEdgeServers hlsEdgeServers;
     private HlsFront hlsFront;
-    private Map<String, ListedServer> boxes = Map.of();
-    private ListScope last;
+    private Map<String, ListedServer> hlsServers = Map.of();
+    private ListScope hlsServersScope;
 
     private Wiring(Config config, OperatorConfig operator, Net net) {
         this.config = config;
         this.net = net;
         clock = new LoopClock(net.loop());
-        deadlines = new TimerQueue(clock::wakeAt);
+        timers = new TimerQueue(clock::wakeAt);
         peers = new UdpPeers(config.peers(), config.allPeersAddress());
-        Director.Settings s = config.settings();
+        Director.Settings settings = config.settings();
         fleet = operator.fleet() == null || !config.fleetPossible()
                 ? null
-                : new FleetHost(operator.fleet(), s.brokerNumber(), config.peers(), clock, config.seed() ^ FLEET_SEED);
+                : new FleetHost(
+                        operator.fleet(), settings.brokerNumber(), config.peers(), clock, config.seed() ^ FLEET_SEED);
         rolloutConfig = operator.rollout();
-        rollout = fleet == null || rolloutConfig == null ? null : rollout(s.brokerNumber());
-        // From the broker inwards: the fleet's admission filter, the storm part, the module.
-        Function<Director.Actions, Director> module = actions -> new Choice(s, config.seed(), actions);
-        Function<Director.Actions, Director> damped = operator.storm() == null
+        rolloutHost = fleet == null || rolloutConfig == null ? null : createRolloutHost(settings.brokerNumber());
+        // Events pass from the broker through the fleet's admission filter and the retry-storm filter to the module.
+        Function<Director.Actions, Director> module = actions -> new Choice(settings, config.seed(), actions);
+        Function<Director.Actions, Director> stormFiltered = operator.storm() == null
                 ? module
-                : RetryStormFilter.before(s, operator.storm(), config.seed() ^ STORM_SEED, module);
+                : RetryStormFilter.before(settings, operator.storm(), config.seed() ^ STORM_SEED, module);
         AdmissionFilter[] admission = new AdmissionFilter[1];
         broker = new Broker(
-                s,
+                settings,
                 fleet == null
-                        ? damped
+                        ? stormFiltered
                         : actions -> {
-                            admission[0] = AdmissionFilter.before(s, fleet::snapshot, fleet::offer, damped)
+                            admission[0] = AdmissionFilter.before(
+                                            settings, fleet::snapshot, fleet::offer, stormFiltered)
                                     .apply(actions);
                             return admission[0];
                         },
                 fleet == null ? peers : fleet,
-                deadlines);
+                timers);
         clock.onWakeUp(broker::runDueTimers);
-        edges = new EdgeServerConnections(
+        edgeConnections = new EdgeServerConnections(
                 broker,
                 net,
                 clock,
-                deadlines,
+                timers,
                 new EdgeServerConnections.Options(
-                        s.limits().connectTimeout(),
+                        settings.limits().connectTimeout(),
                         config.idleTimeout(),
-                        s.limits().reportInterval(),
-                        s.limits().reportDelay(),
+                        settings.limits().reportInterval(),
+                        settings.limits().reportDelay(),
                         config.reportFields(),
                         config.maxEdgeConnections()),
                 fleet == null || !operator.fleet().healthProbes()
                         ? ProbeCoordinator.STANDALONE
-                        : new FleetHealthProber(s.brokerNumber(), fleet::snapshot, fleet::offer, admission[0]::avoid));
-        rtsp = new RtspFront(broker, edges, clock, deadlines, config.maxViewers());
+                        : new FleetHealthProber(
+                                settings.brokerNumber(), fleet::snapshot, fleet::offer, admission[0]::avoid));
+        rtspFront = new RtspFront(broker, edgeConnections, clock, timers, config.maxViewers());
     }
 
-    private RolloutHost rollout(int me) {
+    /** Creates the rollout of shared configurations; IllegalStateException if its state cannot be read. */
+    private RolloutHost createRolloutHost(int brokerNumber) {
         try {
             RolloutHost host = new RolloutHost(
-                    new RolloutSettings(me, config.peers().size(), rolloutConfig.voters()),
+                    new RolloutSettings(brokerNumber, config.peers().size(), rolloutConfig.voters()),
                     clock.now(),
-                    config.seed() ^ ROLLOUT_SEED ^ clock.now(), // of each life its own
+                    config.seed() ^ ROLLOUT_SEED ^ clock.now(), // differs after each restart
                     fleet::sendExtension,
-                    new FileVoteStorage(rolloutConfig.stateDirectory(), me),
+                    new FileVoteStorage(rolloutConfig.stateDirectory(), brokerNumber),
                     document -> net.loop().execute(() -> apply(document)));
             fleet.extend(host);
             return host;
@@ -137,191 +141,205 @@
         }
     }
 
-    /** Begins to serve; returns where viewers can connect. Throws IllegalStateException where it cannot. */
+    /**
+     * Starts serving.
+     *
+     * @param hls null: HLS is disabled
+     * @return the address that RTSP viewers can connect to
+     * @throws IllegalStateException if a component cannot start, such as the rollout without its state
+     */
     static SocketAddress start(Config config, HlsConfig hls, OperatorConfig operator) {
         Net net = new Net();
-        Wiring w = net.callOnLoop(
-                () -> { // all state belongs to the loop's thread from its first moment
-                    Wiring made = new Wiring(config, operator, net);
-                    made.lists();
+        Wiring wiring = net.callOnLoop(
+                () -> { // on the loop's thread, which alone may touch the state
+                    Wiring created = new Wiring(config, operator, net);
+                    created.startDiscovery();
                     if (hls != null) {
-                        made.hls(hls);
+                        created.startHls(hls);
                     }
-                    return made;
+                    return created;
                 });
-        if (w.fleet != null) {
-            w.fleet.start(config.peerListen());
+        if (wiring.fleet != null) {
+            wiring.fleet.start(config.peerListen());
             LOG.info(
-                    "fleet part on: me={} of={} {}",
+                    "fleet enabled: me={} of={} {}",
                     config.settings().brokerNumber(),
                     config.peers().size(),
                     operator.fleet());
         } else if (operator.fleet() != null) {
-            LOG.warn("fleet part off: the settings allow no talk among brokers, or name no peers");
+            LOG.warn("fleet disabled: why=settings forbid messages between brokers or name no peers");
         }
-        if (w.rollout != null) {
-            LOG.info("rollout part on: {}", operator.rollout());
+        if (wiring.rolloutHost != null) {
+            LOG.info("rollout enabled: {}", operator.rollout());
         } else if (operator.rollout() != null) {
-            LOG.warn("rollout part off: it needs the fleet part");
+            LOG.warn("rollout disabled: why=it requires the fleet section");
         }
-        if (config.peerListen() != null && w.fleet == null) {
-            w.peers.listen(
-                    w.net,
+        if (config.peerListen() != null && wiring.fleet == null) {
+            wiring.peers.listen(
+                    wiring.net,
                     config.peerListen(),
-                    (from, message) -> w.broker.peerMessageReceived(w.clock.now(), from, message));
+                    (from, message) -> wiring.broker.peerMessageReceived(wiring.clock.now(), from, message));
         }
-        SocketAddress rtspAt = w.net.listen(config.listen(), w.rtsp::accept, w.edges::closeIdleConnection, true)
+        SocketAddress rtspAddress = wiring.net
+                .listen(config.listen(), wiring.rtspFront::accept, wiring.edgeConnections::closeIdleConnection, true)
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
         if (hls != null) {
-            SocketAddress at = w.net.listen(hls.listen(), w.hlsFront::accept, w.edges::closeIdleConnection, false)
+            SocketAddress hlsAddress = wiring.net
+                    .listen(hls.listen(), wiring.hlsFront::accept, wiring.edgeConnections::closeIdleConnection, false)
                     .syncUninterruptibly()
                     .channel()
                     .localAddress();
             LOG.info(
                     "serving HLS: listen={} servers={} eureka={}",
-                    at,
+                    hlsAddress,
                     hls.servers().size(),
                     hls.eureka() == null ? "none" : hls.eureka().address());
         }
         if (operator.storm() != null) {
-            LOG.info("storm part on: {}", operator.storm());
+            LOG.info("storm protection enabled: {}", operator.storm());
         }
-        Signals.onHangUp(w::reload);
-        long longest = config.settings().classes().stream()
+        Signals.onHangUp(wiring::reload);
+        long longestDeadline = config.settings().classes().stream()
                 .mapToLong(Director.SessionClass::deadline)
                 .max()
                 .orElse(0);
-        new Signals(w.net, w.clock, w.deadlines, w.broker, longest).installShutdownHook(() -> {
-            if (w.fleet != null) {
-                w.fleet.offer(new LocalEvent.Leaving());
+        new Signals(wiring.net, wiring.clock, wiring.timers, wiring.broker, longestDeadline).installShutdownHook(() -> {
+            if (wiring.fleet != null) {
+                wiring.fleet.offer(new LocalEvent.Leaving());
             }
         });
         LOG.info(
                 "serving: name={} listen={} servers={} peers={}",
                 config.name(),
-                rtspAt,
-                w.upSince.size(),
+                rtspAddress,
+                wiring.startTimes.size(),
                 config.peers().size());
-        return rtspAt;
+        return rtspAddress;
     }
 
-    private void lists() {
-        names = new DnsDiscovery(this::news, clock, deadlines, config.nameServer(), config.seed());
+    /** Applies the configured server lists, the first as last known before the start, then asks the name server. */
+    private void startDiscovery() {
+        discovery = new DnsDiscovery(this::serversChanged, clock, timers, config.nameServer(), config.seed());
         boolean first = true;
         for (Config.ServerListNotice notice : config.knownServers()) {
-            names.applyConfigured(notice.number(), Config.scope(notice, first), notice.servers());
+            discovery.applyConfigured(notice.number(), Config.scope(notice, first), notice.servers());
             first = false;
         }
         if (config.nameServer() != null) {
-            names.start(net, new InetSocketAddress(config.listen().getAddress(), 0));
+            discovery.start(net, new InetSocketAddress(config.listen().getAddress(), 0));
         }
     }
 
-    /** A SIGHUP: proposes the operator's document where that part is on; else reads the configuration again. */
+    /** Handles SIGHUP: proposes the operator's document if the rollout is enabled, else reloads the configuration. */
     private void reload() {
-        if (rollout == null) {
-            readAgain();
+        if (rolloutHost == null) {
+            reloadNameServer();
         } else if (rolloutConfig.file() == null) {
             LOG.error(
                     "configuration not taken, the old one stands: why=section rollout: file: expected the path of a file,"
                             + " got nothing");
         } else {
-            rollout.propose(rolloutConfig.file());
+            rolloutHost.propose(rolloutConfig.file());
         }
     }
 
-    /** Reads the configuration again. Of it only the name server's address may change while the program runs. */
-    private void readAgain() {
+    /** Reloads the configuration. Only the name server's address can change while the program runs. */
+    private void reloadNameServer() {
         try {
-            InetSocketAddress to = Config.load(System.getenv()).nameServer();
-            if (to == null) {
+            InetSocketAddress address = Config.load(System.getenv()).nameServer();
+            if (address == null) {
                 throw new JsonFields.InvalidInputException("config: member 'names' is missing");
             }
-            net.loop().execute(() -> moveNames(to));
-        } catch (RuntimeException e) { // whatever is wrong with the file, what is in force stays
+            net.loop().execute(() -> changeNameServer(address));
+        } catch (RuntimeException e) { // a faulty file must not affect the configuration in use
             LOG.error("configuration not taken, the old one stands: why={}", e.getMessage());
         }
     }
 
-    /** Puts a document in force that all brokers share; on the loop. */
+    /** Applies a document that all brokers share. Called on the loop. */
     private void apply(RolloutDocument document) {
         if (document.nameServer() != null) {
-            moveNames(document.nameServer());
+            changeNameServer(document.nameServer());
         }
     }
 
-    private void moveNames(InetSocketAddress to) {
+    private void changeNameServer(InetSocketAddress address) {
         if (config.nameServer() == null) {
-            LOG.warn("name server's address not taken: there was no name server at the start");
+            LOG.warn("name server not changed: why=none was configured at the start");
             return;
         }
-        names.changeServer(to);
-        LOG.info("configuration read again: names={}", to);
+        discovery.changeServer(address);
+        LOG.info("configuration reloaded: names={}", address);
     }
 
-    private void hls(HlsConfig hls) {
-        Director.Settings s = config.settings();
-        hls.warnings(s).forEach(doubt -> LOG.warn("doubtful setting, taken as it is: {}", doubt));
-        loads = new LoadReporter(broker, deadlines, s);
-        origins = new HlsEdgeServers(
-                broker, net, clock, Math.max(100, (int) (s.limits().connectTimeout() / 1000)), loads);
+    private void startHls(HlsConfig hls) {
+        Director.Settings settings = config.settings();
+        hls.warnings(settings).forEach(warning -> LOG.warn("questionable setting: {}", warning));
+        loadReporter = new LoadReporter(broker, timers, settings);
+        hlsEdgeServers = new HlsEdgeServers(
+                broker, net, clock, Math.max(100, (int) (settings.limits().connectTimeout() / 1000)), loadReporter);
         hlsFront = new HlsFront(
                 broker,
-                origins,
+                hlsEdgeServers,
                 clock,
-                deadlines,
-                s,
+                timers,
+                settings,
                 hls.idleTimeout(),
                 config.maxSockets() / 6,
                 config.seed() ^ 0x5eed);
         if (!hls.servers().isEmpty()) {
-            boxes(ListScope.DISK, hls.servers());
+            hlsServersChanged(ListScope.DISK, hls.servers());
         }
         if (hls.eureka() != null) {
-            new EurekaClient(hls.eureka(), net, clock, deadlines, list -> boxes(ListScope.SNAPSHOT, list)).start();
+            new EurekaClient(hls.eureka(), net, clock, timers, list -> hlsServersChanged(ListScope.SNAPSHOT, list))
+                    .start();
         }
     }
 
-    /** The lesson boxes as HLS servers. */
-    private void boxes(ListScope scope, List<ListedServer> list) {
-        Map<String, ListedServer> now = new LinkedHashMap<>();
-        list.forEach(l -> now.put(l.server().id(), l));
-        if (now.equals(boxes) && scope == last) {
+    /**
+     * Passes a list of HLS edge servers to the components that use it, and reports those that have gone or restarted.
+     */
+    private void hlsServersChanged(ListScope scope, List<ListedServer> list) {
+        Map<String, ListedServer> current = new LinkedHashMap<>();
+        list.forEach(listed -> current.put(listed.server().id(), listed));
+        if (current.equals(hlsServers) && scope == hlsServersScope) {
             return;
         }
-        last = scope;
-        Map<String, ListedServer> before = boxes;
-        boxes = now;
+        hlsServersScope = scope;
+        Map<String, ListedServer> previous = hlsServers;
+        hlsServers = current;
         Map<String, InetSocketAddress> addresses = new HashMap<>();
-        now.forEach((id, l) -> addresses.put(id, l.address()));
-        origins.setAddresses(addresses);
-        List<Server> servers = now.values().stream().map(ListedServer::server).toList();
-        loads.updateServers(servers);
+        current.forEach((id, listed) -> addresses.put(id, listed.address()));
+        hlsEdgeServers.setAddresses(addresses);
+        List<Server> servers =
+                current.values().stream().map(ListedServer::server).toList();
+        loadReporter.updateServers(servers);
         broker.serversChanged(clock.now(), "eureka", scope, servers);
-        before.forEach((id, was) -> {
-            ListedServer is = now.get(id);
-            if (is == null || is.server().upSince() > was.server().upSince()) {
+        previous.forEach((id, old) -> {
+            ListedServer latest = current.get(id);
+            if (latest == null || latest.server().upSince() > old.server().upSince()) {
                 broker.serverLost(
                         clock.now(),
-                        origins,
+                        hlsEdgeServers,
                         id,
-                        is == null ? clock.now() : is.server().upSince());
+                        latest == null ? clock.now() : latest.server().upSince());
             }
         });
     }
 
-    private void news(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses) {
-        edges.updateAddresses(addresses);
+    /** Passes an update of the edge servers from the name server to the components that use it. */
+    private void serversChanged(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses) {
+        edgeConnections.updateAddresses(addresses);
         broker.serversChanged(clock.now(), "names", scope, servers);
-        for (Server s : servers) {
-            Long before = upSince.put(s.id(), s.upSince());
-            if (s.state() == State.GONE) {
-                upSince.remove(s.id());
-                edges.serverRemoved(s.id());
-            } else if (before != null && s.upSince() > before) {
-                edges.serverRestarted(s.id(), s.upSince());
+        for (Server server : servers) {
+            Long previousStart = startTimes.put(server.id(), server.upSince());
+            if (server.state() == State.GONE) {
+                startTimes.remove(server.id());
+                edgeConnections.serverRemoved(server.id());
+            } else if (previousStart != null && server.upSince() > previousStart) {
+                edgeConnections.serverRestarted(server.id(), server.upSince());
             }
         }
     }
--- a/src/test/java/dockshed/ProgramTest.java
+++ b/src/test/java/dockshed/ProgramTest.java
@@ -163,7 +163,7 @@
             asked(first);
             Files.writeString(file, named.replace("PORT", "" + second.getLocalPort()));
             hangUp();
-            line("configuration read again");
+            line("configuration reloaded: names=");
             asked(second);
             try (Socket s = new Socket("127.0.0.1", port)) {
                 assertEquals(200, ask(s, TEST).status());
@@ -229,7 +229,7 @@
                     asked(again);
                 }
                 hangUp();
-                line("configuration read again");
+                line("configuration reloaded: names=");
             } finally {
                 for (Socket s : idle) {
                     s.close();
@@ -327,7 +327,7 @@
     @Test
     void theOperatorsFileSwitchesTheStormPartOnAndAFaultyOneEndsIt() throws Exception {
         start(ConfigTest.COMPLETE_CONFIG, "serve", "--conf", "deploy/dockshed.conf");
-        line("storm part on:");
+        line("storm protection enabled:");
         try (Socket s = new Socket("127.0.0.1", port(line("serving:")))) {
             assertEquals(200, ask(s, TEST).status());
         }
