--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -31,199 +31,209 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts instances of the module behind the bench's wire: one line in, one line out. It decides nothing. */
+/**
+ * Hosts instances of the decision module for the simulator: for each line of JSON with a batch of events it writes one
+ * line with the resulting actions. It makes no decisions.
+ */
 public final class SimHost {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Map<String, Director> instances = new LinkedHashMap<>();
-    private final Map<Integer, List<Server>> rosters = new HashMap<>();
-    private JsonGenerator out;
+    private final Map<Integer, List<Server>> serverLists = new HashMap<>();
+    private JsonGenerator json; // writes the reply to the current batch
 
     private SimHost() {}
 
-    /** Serves batches until the input ends; returns the process's exit status. */
-    public static int run(InputStream in, OutputStream to, PrintStream complaints) {
-        SimHost link = new SimHost();
+    /**
+     * Handles batches until the input ends; returns the exit status of the process, 1 after invalid input or an I/O
+     * error.
+     */
+    public static int run(InputStream in, OutputStream out, PrintStream errors) {
+        SimHost host = new SimHost();
         try {
             BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                to.write(link.batch(line).getBytes(StandardCharsets.UTF_8));
-                to.flush();
+                out.write(host.handleBatch(line).getBytes(StandardCharsets.UTF_8));
+                out.flush();
             }
             return 0;
         } catch (JsonProcessingException e) {
-            complaints.println("simhost: not JSON: " + e.getOriginalMessage().replace('\n', ' '));
+            errors.println("simhost: not JSON: " + e.getOriginalMessage().replace('\n', ' '));
         } catch (JsonFields.InvalidInputException | IllegalArgumentException e) {
-            complaints.println("simhost: " + e.getMessage());
+            errors.println("simhost: " + e.getMessage());
         } catch (IOException e) {
-            complaints.println("simhost: input or output failed: " + e.getMessage());
+            errors.println("simhost: input or output failed: " + e.getMessage());
         }
         return 1;
     }
 
-    /** Reads the value at the parser's current token: maps, lists, doubles, strings, booleans or null. */
-    private static Object read(JsonParser in) throws IOException {
-        JsonToken token = in.currentToken();
+    /** Reads the value at the parser's current token as a map, list, long, double, string, boolean or null. */
+    private static Object readValue(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
             Map<String, Object> map = new LinkedHashMap<>();
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                in.nextToken();
-                map.put(name, read(in));
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                parser.nextToken();
+                map.put(name, readValue(parser));
             }
             return map;
         }
         if (token == JsonToken.START_ARRAY) {
             List<Object> list = new ArrayList<>();
-            while (in.nextToken() != JsonToken.END_ARRAY) {
-                list.add(read(in));
+            while (parser.nextToken() != JsonToken.END_ARRAY) {
+                list.add(readValue(parser));
             }
             return list;
         }
         if (token == JsonToken.VALUE_STRING) {
-            return in.getText();
+            return parser.getText();
         }
         if (token == JsonToken.VALUE_NUMBER_INT) {
-            return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                    ? (Object) in.getBigIntegerValue().longValue()
-                    : (Object) in.getLongValue();
+            return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                    ? (Object) parser.getBigIntegerValue().longValue()
+                    : (Object) parser.getLongValue();
         }
         if (token == JsonToken.VALUE_NUMBER_FLOAT) {
-            return in.getDoubleValue();
+            return parser.getDoubleValue();
         }
         if (token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE) {
             return token == JsonToken.VALUE_TRUE;
         }
         if (token == null) {
-            throw new JsonFields.InvalidInputException("line ends early");
+            throw new JsonFields.InvalidInputException("expected a JSON value, got the end of the line");
         }
         return null;
     }
 
-    private String batch(String line) throws IOException {
+    /** Handles the events of a batch in their order; returns the line with the resulting actions. */
+    private String handleBatch(String line) throws IOException {
         JsonFields batch;
         try (JsonParser parser = JSON.createParser(line)) {
             parser.nextToken();
-            batch = new JsonFields("batch", read(parser));
+            batch = new JsonFields("batch", readValue(parser));
         }
         long now = batch.millisAsMicros("now");
         StringWriter reply = new StringWriter();
-        out = JSON.createGenerator(reply);
-        out.writeStartObject();
-        out.writeArrayFieldStart("decisions");
+        json = JSON.createGenerator(reply);
+        json.writeStartObject();
+        json.writeArrayFieldStart("decisions");
         for (Object arrival : batch.list("arrivals")) {
             for (Object name : new JsonFields("event", arrival).memberNames()) {
-                event(now, (String) name, new JsonFields((String) name, ((Map<?, ?>) arrival).get(name)));
+                handleEvent(now, (String) name, new JsonFields((String) name, ((Map<?, ?>) arrival).get(name)));
             }
         }
-        out.writeEndArray();
-        out.writeEndObject();
-        out.close();
+        json.writeEndArray();
+        json.writeEndObject();
+        json.close();
         return reply.append('\n').toString();
     }
 
-    private void event(long now, String name, JsonFields e) {
+    private void handleEvent(long now, String name, JsonFields fields) {
         if (name.equals("roster")) {
-            rosters.put(e.integer("ref"), servers(e));
+            serverLists.put(fields.integer("ref"), servers(fields));
             return;
         }
-        String id = e.text("director_id");
+        String id = fields.text("director_id");
         switch (name) {
             case "boot" ->
                 instances.put(
                         id,
                         new Choice(
-                                SettingsReader.read(e.object("options")),
-                                e.longInteger("entropy"),
+                                SettingsReader.read(fields.object("options")),
+                                fields.longInteger("entropy"),
                                 new ActionWriter(id)));
             case "halt" -> instances.remove(id);
             default -> {
-                Director d = instances.get(id);
-                if (d == null) {
+                Director director = instances.get(id);
+                if (director == null) {
                     throw new JsonFields.InvalidInputException(
-                            name + ": member 'director_id' names no instance that runs");
+                            name + ": member 'director_id': expected the id of a running instance");
                 }
-                deliver(now, name, e, d);
+                deliver(now, name, fields, director);
             }
         }
     }
 
-    private void deliver(long now, String name, JsonFields e, Director d) {
+    private void deliver(long now, String name, JsonFields fields, Director director) {
         switch (name) {
             case "view" -> {
-                ListScope scope = scope(e.text("scope"));
-                List<Server> list = scope == ListScope.ERROR ? List.of() : rosters.get(e.integer("ref"));
+                ListScope scope = scope(fields.text("scope"));
+                List<Server> list = scope == ListScope.ERROR ? List.of() : serverLists.get(fields.integer("ref"));
                 if (list == null) {
-                    throw new JsonFields.InvalidInputException("view: member 'ref' names no roster");
+                    throw new JsonFields.InvalidInputException(
+                            "view: member 'ref': expected the number of an earlier roster");
                 }
-                d.serversChanged(now, scope, list);
+                director.serversChanged(now, scope, list);
             }
-            case "call" -> d.request(now, request(e));
-            case "already_open" -> d.adoptSession(now, request(e), e.text("node"));
-            case "opened" -> d.sessionStarted(now, e.text("call"), e.integer("n"), e.text("node"));
+            case "call" -> director.request(now, request(fields));
+            case "already_open" -> director.adoptSession(now, request(fields), fields.text("node"));
+            case "opened" ->
+                director.sessionStarted(now, fields.text("call"), fields.integer("n"), fields.text("node"));
             case "note" -> {
-                Metric topic =
-                        switch (e.integer("topic")) {
+                Metric metric =
+                        switch (fields.integer("topic")) {
                             case 1 -> Metric.DELIVERED;
                             case 2 -> Metric.RENDITION;
                             case 3 -> Metric.LINK;
                             case 4 -> Metric.UPLINK;
                             default -> null;
                         };
-                if (topic != null) {
-                    d.metricReceived(now, e.text("call"), e.text("node"), topic, e.number("x"));
+                if (metric != null) {
+                    director.metricReceived(now, fields.text("call"), fields.text("node"), metric, fields.number("x"));
                 }
             }
             case "ended" ->
-                d.outcome(
+                director.outcome(
                         now,
-                        e.text("call"),
-                        e.integer("n"),
-                        e.text("node"),
-                        outcome(e.integer("status")),
-                        e.flag("final"),
-                        report(e));
-            case "timed_out_client" -> d.requestCancelled(now, e.text("call"));
-            case "alarm" -> d.timer(now, e.text("key_back"));
-            case "health" -> d.probed(now, e.text("node"), e.integer("status") == 100, report(e));
-            case "datagram" -> d.peerMessageReceived(now, e.integer("author"), e.hexBytes("bytes"));
+                        fields.text("call"),
+                        fields.integer("n"),
+                        fields.text("node"),
+                        outcome(fields.integer("status")),
+                        fields.flag("final"),
+                        report(fields));
+            case "timed_out_client" -> director.requestCancelled(now, fields.text("call"));
+            case "alarm" -> director.timer(now, fields.text("key_back"));
+            case "health" -> director.probed(now, fields.text("node"), fields.integer("status") == 100, report(fields));
+            case "datagram" -> director.peerMessageReceived(now, fields.integer("author"), fields.hexBytes("bytes"));
             default -> throw new JsonFields.InvalidInputException("unknown event '" + name + "'");
         }
     }
 
-    private static Request request(JsonFields e) {
+    private static Request request(JsonFields fields) {
         return new Request(
-                e.text("call"),
-                e.text("kind"),
-                e.text("target_key", ""),
-                e.text("asset", ""),
-                e.millisAsMicros("budget", 0),
-                e.millisAsMicros("cost_guess", 0),
-                e.integer("home", 0),
-                e.integer("cells_in_row", 0),
-                e.integer("ceiling_rung", 0),
-                e.flag("is_retry"),
-                e.flag("back_from_move"),
-                e.flag("came_back"));
+                fields.text("call"),
+                fields.text("kind"),
+                fields.text("target_key", ""),
+                fields.text("asset", ""),
+                fields.millisAsMicros("budget", 0),
+                fields.millisAsMicros("cost_guess", 0),
+                fields.integer("home", 0),
+                fields.integer("cells_in_row", 0),
+                fields.integer("ceiling_rung", 0),
+                fields.flag("is_retry"),
+                fields.flag("back_from_move"),
+                fields.flag("came_back"));
     }
 
-    private static LoadReport report(JsonFields e) {
-        return e.has("usage") ? new LoadReport(e.numbers("usage")) : LoadReport.NONE;
+    private static LoadReport report(JsonFields fields) {
+        return fields.has("usage") ? new LoadReport(fields.numbers("usage")) : LoadReport.NONE;
     }
 
-    private static List<Server> servers(JsonFields e) {
-        List<Server> out = new ArrayList<>();
-        for (Object each : e.list("rows_in")) {
-            JsonFields row = new JsonFields("roster.rows_in", each);
+    private static List<Server> servers(JsonFields fields) {
+        List<Server> servers = new ArrayList<>();
+        for (Object entry : fields.list("rows_in")) {
+            JsonFields row = new JsonFields("roster.rows_in", entry);
             State state =
                     switch (row.text("status")) {
                         case "up" -> State.UP;
                         case "draining" -> State.DRAINING;
                         case "removed" -> State.GONE;
                         default ->
-                            throw new JsonFields.InvalidInputException("roster.rows_in: member 'status' is unknown");
+                            throw new JsonFields.InvalidInputException(
+                                    "roster.rows_in: member 'status': expected up, draining or removed");
                     };
-            out.add(new Server(
+            servers.add(new Server(
                     row.text("node"),
                     row.text("az", ""),
                     row.text("generation_hw", ""),
@@ -232,7 +242,7 @@
                     row.number("weight", 1),
                     row.millisAsMicros("up_since", 0)));
         }
-        return out;
+        return servers;
     }
 
     private static ListScope scope(String word) {
@@ -241,7 +251,9 @@
             case "snapshot" -> ListScope.SNAPSHOT;
             case "disk" -> ListScope.DISK;
             case "error" -> ListScope.ERROR;
-            default -> throw new JsonFields.InvalidInputException("view: member 'scope' is unknown: " + word);
+            default ->
+                throw new JsonFields.InvalidInputException(
+                        "view: member 'scope': expected diff, snapshot, disk or error, got " + word);
         };
     }
 
@@ -255,11 +267,13 @@
             case 305 -> Outcome.RESET;
             case 306 -> Outcome.CANCELLED;
             case 307 -> Outcome.MOOT;
-            default -> throw new JsonFields.InvalidInputException("ended: member 'status' is unknown: " + code);
+            default ->
+                throw new JsonFields.InvalidInputException(
+                        "ended: member 'status': expected 100 or 301 to 307, got " + code);
         };
     }
 
-    /** Writes one instance's actions into the reply of the batch in hand. */
+    /** Writes the actions of one instance into the reply to the current batch. */
     private final class ActionWriter implements Director.Actions {
         private interface FieldsWriter {
             void write() throws IOException;
@@ -271,76 +285,76 @@
             this.instance = instance;
         }
 
-        private void action(String name, FieldsWriter body) {
+        private void writeAction(String name, FieldsWriter body) {
             try {
-                out.writeStartObject();
-                out.writeObjectFieldStart(name);
-                out.writeStringField("director_id", instance);
+                json.writeStartObject();
+                json.writeObjectFieldStart(name);
+                json.writeStringField("director_id", instance);
                 body.write();
-                out.writeEndObject();
-                out.writeEndObject();
+                json.writeEndObject();
+                json.writeEndObject();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         }
 
-        private void millis(String name, long micros) throws IOException {
-            out.writeNumberField(name, micros / 1000.0);
+        private void writeMillis(String name, long micros) throws IOException {
+            json.writeNumberField(name, micros / 1000.0);
         }
 
         @Override
-        public void send(String request, String server, long allow) {
-            action("submit_to", () -> {
-                out.writeStringField("call", request);
-                out.writeStringField("node", server);
-                millis("allow_for", allow);
+        public void send(String request, String server, long timeLimit) {
+            writeAction("submit_to", () -> {
+                json.writeStringField("call", request);
+                json.writeStringField("node", server);
+                writeMillis("allow_for", timeLimit);
             });
         }
 
         @Override
-        public void refuse(String request, long comeBack) {
-            action("turn_away", () -> {
-                out.writeStringField("call", request);
-                millis("come_back", comeBack);
+        public void refuse(String request, long retryAfter) {
+            writeAction("turn_away", () -> {
+                json.writeStringField("call", request);
+                writeMillis("come_back", retryAfter);
             });
         }
 
         @Override
         public void fail(String request) {
-            action("respond_error", () -> out.writeStringField("call", request));
+            writeAction("respond_error", () -> json.writeStringField("call", request));
         }
 
         @Override
-        public void setRendition(String request, int rung) {
-            action("step_to", () -> {
-                out.writeStringField("call", request);
-                out.writeNumberField("rung", rung);
+        public void setRendition(String request, int rendition) {
+            writeAction("step_to", () -> {
+                json.writeStringField("call", request);
+                json.writeNumberField("rung", rendition);
             });
         }
 
         @Override
         public void move(String request) {
-            action("bounce", () -> out.writeStringField("call", request));
+            writeAction("bounce", () -> json.writeStringField("call", request));
         }
 
         @Override
         public void probe(String server) {
-            action("check", () -> out.writeStringField("node", server));
+            writeAction("check", () -> json.writeStringField("node", server));
         }
 
         @Override
         public void broadcast(byte[] message) {
-            action("share", () -> {
-                out.writeNullField("target");
-                out.writeStringField("bytes", HexFormat.of().formatHex(message));
+            writeAction("share", () -> {
+                json.writeNullField("target");
+                json.writeStringField("bytes", HexFormat.of().formatHex(message));
             });
         }
 
         @Override
         public void timer(String key, long at) {
-            action("timer", () -> {
-                out.writeStringField("key_back", key);
-                millis("moment", at);
+            writeAction("timer", () -> {
+                json.writeStringField("key_back", key);
+                writeMillis("moment", at);
             });
         }
     }
--- a/src/main/java/dockshed/simhost/package-info.java
+++ b/src/main/java/dockshed/simhost/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Hosts the decision module behind the simulator's wire protocol on standard input and output.
- */
+/** Runs the decision module for the simulator, over its JSON protocol on standard input and output. */
 package dockshed.simhost;
