--- a/src/test/java/dockshed/CapacityTest.java
+++ b/src/test/java/dockshed/CapacityTest.java
@@ -28,7 +28,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** 1,024 servers and as many brokers, and one more of each: no list is cut, nothing stands still, lines keep to their bound. */
+/**
+ * Capacity limits: with 1,024 and 1,025 servers and brokers no list is truncated, every request is served, and the
+ * number of connections stays within its limit.
+ */
 class CapacityTest {
     @TempDir
     Path dir;
@@ -56,18 +59,21 @@
     }
 
     @Test
-    void aListOfSomeHundredsIsReadWholeAndServed() throws Exception {
+    void listsOfMoreThanAThousandServersAreReadCompletelyAndServed() throws Exception {
         for (int count : new int[] {1024, 1025}) {
-            Config c = config(count);
-            List<Server> servers = c.knownServers().get(0).servers().stream()
+            Config config = config(count);
+            List<Server> servers = config.knownServers().get(0).servers().stream()
                     .map(l -> l.server())
                     .toList();
             assertEquals(count, servers.size());
-            assertEquals(count, c.peers().size());
+            assertEquals(count, config.peers().size());
             BrokerHarness stage = new BrokerHarness();
             Choice[] module = {null};
-            Broker broker =
-                    new Broker(c.settings(), a -> module[0] = new Choice(c.settings(), 1, a), m -> {}, stage.timers);
+            Broker broker = new Broker(
+                    config.settings(),
+                    actions -> module[0] = new Choice(config.settings(), 1, actions),
+                    m -> {},
+                    stage.timers);
             broker.serversChanged(stage.now, "names", ListScope.DISK, servers);
             broker.serversChanged(stage.now, "names", ListScope.CHANGES, List.of());
             assertEquals(count, module[0].knownServers());
@@ -93,27 +99,28 @@
     }
 
     @Test
-    void linesToServersWithSessionsKeepToTheirBound() throws Exception {
-        // One line a server, whatever the descriptors: beyond their limit no viewer could be accepted.
+    void connectionsToServersStayWithinTheirLimit() throws Exception {
+        // Guards against one connection per server regardless of the descriptors: beyond their limit no viewer could be
+        // accepted.
         Net net = new Net();
-        try (ServerSocket all = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket acceptor = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             BrokerHarness stage = new BrokerHarness();
             EdgeServerConnections edges = net.callOnLoop(() -> {
                 LoopClock clock = new LoopClock(net.loop());
                 TimerQueue deadlines = new TimerQueue(clock::wakeAt);
                 clock.onWakeUp(deadlines::runDue);
-                EdgeServerConnections made = new EdgeServerConnections(
+                EdgeServerConnections connections = new EdgeServerConnections(
                         stage.broker,
                         net,
                         clock,
                         deadlines,
                         new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of(), 8));
-                Map<String, InetSocketAddress> at = new TreeMap<>();
+                Map<String, InetSocketAddress> addresses = new TreeMap<>();
                 for (int i = 0; i < 1025; i++) {
-                    at.put("s-" + i, new InetSocketAddress("127.0.0.1", all.getLocalPort()));
+                    addresses.put("s-" + i, new InetSocketAddress("127.0.0.1", acceptor.getLocalPort()));
                 }
-                made.updateAddresses(at);
-                return made;
+                connections.updateAddresses(addresses);
+                return connections;
             });
             for (int i = 0; i < 1025; i++) {
                 String id = "s-" + i;
@@ -129,13 +136,13 @@
     }
 
     @Test
-    void peersOfAFullTierAreToldApart() throws Exception {
+    void peersOfAFullFleetAreDistinguished() throws Exception {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (int i = 0; i < 1025; i++) {
             peers.add(new InetSocketAddress("127.1." + i / 250 + "." + (i % 250 + 1), 7946));
         }
-        UdpPeers all = new UdpPeers(peers, null);
-        assertEquals(1024, all.brokerNumber(peers.get(1024)));
-        assertEquals(-1, all.brokerNumber(new InetSocketAddress("127.9.9.9", 7946)));
+        UdpPeers udpPeers = new UdpPeers(peers, null);
+        assertEquals(1024, udpPeers.brokerNumber(peers.get(1024)));
+        assertEquals(-1, udpPeers.brokerNumber(new InetSocketAddress("127.9.9.9", 7946)));
     }
 }
--- a/src/test/java/dockshed/ProgramTest.java
+++ b/src/test/java/dockshed/ProgramTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process: it starts, serves, and ends as planned. */
+/** The program as a process: it starts, serves, reloads, and shuts down gracefully. */
 class ProgramTest {
     @TempDir
     Path dir;
 
     private Process process;
-    private int limit; // of descriptors; 0: as it is here
-    private boolean ignoresHangUps; // inherited from whoever starts it, as under nohup
+    private int descriptorLimit; // file descriptors of the process; 0: as inherited
+    private boolean ignoresHangUps; // SIGHUP is ignored in the parent, as under nohup
     private BufferedReader log;
 
     private void start(String config, String... arguments) throws Exception {
@@ -41,15 +41,15 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "dockshed.Main"));
         command.addAll(List.of(arguments));
-        if (limit > 0) {
-            command.addAll(0, List.of("sh", "-c", "ulimit -n " + limit + "; exec \"$@\"", "sh"));
+        if (descriptorLimit > 0) {
+            command.addAll(0, List.of("sh", "-c", "ulimit -n " + descriptorLimit + "; exec \"$@\"", "sh"));
         }
         if (ignoresHangUps) {
             command.addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         }
-        ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-        b.environment().put("EDGE_CONFIG", file.toString());
-        process = b.start();
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+        builder.environment().put("EDGE_CONFIG", file.toString());
+        process = builder.start();
         log = process.inputReader();
     }
 
@@ -58,50 +58,54 @@
         process.destroyForcibly();
     }
 
-    private String line(String with) throws Exception {
+    /** The next line of the log that contains the text. */
+    private String awaitLine(String text) throws Exception {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            if (line.contains(with)) {
+            if (line.contains(text)) {
                 return line;
             }
         }
-        throw new AssertionError("never logged: " + with);
+        throw new AssertionError("log ended before a line with: " + text);
     }
 
     private static int port(String line) {
         return Integer.parseInt(line.replaceAll(".*listen=/?[0-9.]+:([0-9]+).*", "$1"));
     }
 
-    private static HttpStyleMessage ask(Socket s, String text) throws Exception {
-        s.setSoTimeout(20_000);
-        s.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(1 << 16);
-        InputStream in = s.getInputStream();
-        byte[] buf = new byte[1 << 16];
-        HttpStyleMessage m = null;
-        for (int n = in.read(buf); m == null && n >= 0; n = m == null ? in.read(buf) : -1) {
-            d.add(buf, 0, n);
-            m = d.next();
+    /** Writes the text and returns the next message; null if the connection is closed before. */
+    private static HttpStyleMessage exchange(Socket socket, String text) throws Exception {
+        socket.setSoTimeout(20_000);
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+        HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
+        InputStream in = socket.getInputStream();
+        byte[] buffer = new byte[1 << 16];
+        HttpStyleMessage message = null;
+        for (int length = in.read(buffer);
+                message == null && length >= 0;
+                length = message == null ? in.read(buffer) : -1) {
+            decoder.add(buffer, 0, length);
+            message = decoder.next();
         }
-        return m;
+        return message;
     }
 
-    private static final String TEST = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
+    private static final String OPTIONS = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
 
     @Test
-    void itServesGoesOnAfterSigtermForAWhileAndEndsWithZero() throws Exception {
+    void afterSigtermItServesForAWhileAndExitsWithZero() throws Exception {
         start(ConfigTest.COMPLETE_CONFIG, "serve");
-        int port = port(line("serving:"));
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            assertEquals(200, ask(s, TEST).status());
+        int port = port(awaitLine("serving:"));
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            assertEquals(200, exchange(socket, OPTIONS).status());
             process.toHandle().destroy(); // SIGTERM; the log stays open
-            line("planned end begun");
-            // Viewers still come at a planned end; they must be let in and answered.
-            try (Socket late = new Socket("127.0.0.1", port)) {
-                assertEquals(200, ask(late, TEST).status());
+            awaitLine("planned end begun");
+            // Viewers still connect during a graceful shutdown; they must be accepted and answered.
+            try (Socket lateSocket = new Socket("127.0.0.1", port)) {
+                assertEquals(200, exchange(lateSocket, OPTIONS).status());
                 assertEquals(
                         453,
-                        ask(
-                                        late,
+                        exchange(
+                                        lateSocket,
                                         "SETUP rtsp://media/t RTSP/1.0\r\nSession: 0123456789abcdef\r\n"
                                                 + "Priority-Class: paid\r\nExpires-Ms: 3000\r\nContent-Length: 5\r\n\r\nv=0\r\n")
                                 .status());
@@ -112,28 +116,29 @@
     }
 
     @Test
-    void aTrickleThatDoesNotStopAndASecondSigtermChangeNothingAtThePlannedEnd() throws Exception {
-        // It waited for the trickle to end before it told anybody; a set-up of its last moment was taken and lost.
+    void continuousRequestsAndASecondSigtermDoNotDelayTheShutdown() throws Exception {
+        // Guards against a shutdown that waits for requests to stop: it notified nobody until then, and accepted and
+        // lost a set-up received in its last moment.
         start(ConfigTest.COMPLETE_CONFIG, "serve");
-        int port = port(line("serving:"));
-        int asked = 0;
+        int port = port(awaitLine("serving:"));
+        int sent = 0;
         int refused = 0;
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            assertEquals(200, ask(s, TEST).status());
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            assertEquals(200, exchange(socket, OPTIONS).status());
             process.toHandle().destroy();
-            line("planned end begun");
+            awaitLine("planned end begun");
             process.toHandle().destroy();
             while (true) {
                 HttpStyleMessage answer;
                 try {
-                    answer = ask(
-                            s,
+                    answer = exchange(
+                            socket,
                             String.format(
                                     "SETUP rtsp://media/t RTSP/1.0\r\nSession: %016x\r\n"
                                             + "Priority-Class: paid\r\nExpires-Ms: 3000\r\nContent-Length: 5\r\n\r\nv=0\r\n",
-                                    ++asked));
+                                    ++sent));
                 } catch (java.net.SocketException e) {
-                    answer = null; // it came when the program was no more
+                    answer = null; // sent after the process had ended
                 }
                 if (answer == null) {
                     break;
@@ -142,94 +147,94 @@
                 refused++;
             }
         }
-        assertEquals(asked - 1, refused, "one whole answer each, but to the one that found nobody");
+        assertEquals(sent - 1, refused, "one complete answer to each request but the last, which found no process");
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
         assertTrue(refused > 1);
     }
 
     @Test
-    void sighupReadsTheConfigurationAgainAndABadFileLeavesTheOldOne() throws Exception {
-        // Without a handler a JVM takes SIGHUP for the planned end.
+    void sighupReloadsTheConfigurationAndIgnoresAFaultyOne() throws Exception {
+        // Guards against a missing handler: a JVM without one shuts down on SIGHUP.
         try (DatagramSocket first = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket second = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             String named = ConfigTest.COMPLETE_CONFIG.replace("\"127.0.0.1:9\"", "\"127.0.0.1:PORT\"");
             Path file = dir.resolve("config.json");
             start(named.replace("PORT", "" + first.getLocalPort()), "serve");
-            int port = port(line("serving:"));
+            int port = port(awaitLine("serving:"));
             Files.writeString(file, "{\"names\": 7");
-            hangUp();
-            assertTrue(line("configuration not taken").contains("old one stands"));
-            asked(first);
+            sendHangUp();
+            assertTrue(awaitLine("configuration not taken").contains("old one stands"));
+            awaitQuery(first);
             Files.writeString(file, named.replace("PORT", "" + second.getLocalPort()));
-            hangUp();
-            line("configuration reloaded: names=");
-            asked(second);
-            try (Socket s = new Socket("127.0.0.1", port)) {
-                assertEquals(200, ask(s, TEST).status());
+            sendHangUp();
+            awaitLine("configuration reloaded: names=");
+            awaitQuery(second);
+            try (Socket socket = new Socket("127.0.0.1", port)) {
+                assertEquals(200, exchange(socket, OPTIONS).status());
             }
         }
     }
 
     @Test
-    void whoIsStartedWithSighupIgnoredSaysThatItCannotReadTheConfigurationAgain() throws Exception {
+    void aProcessStartedWithSighupIgnoredLogsThatItCannotReload() throws Exception {
         ignoresHangUps = true;
         start(ConfigTest.COMPLETE_CONFIG, "serve");
-        assertTrue(line("SIGHUP was ignored").contains("needs a restart"));
-        line("serving:");
-        hangUp();
+        assertTrue(awaitLine("SIGHUP was ignored").contains("needs a restart"));
+        awaitLine("serving:");
+        sendHangUp();
         assertTrue(process.isAlive());
     }
 
     @Test
-    void idleViewersThatFillTheDescriptorsWhileDiscoveryIsDownLeaveRoomForWhoAsks() throws Exception {
-        try (ServerSocket box = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                DatagramSocket names = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+    void idleViewersThatUseUpTheDescriptorsDoNotBlockRequestsDiscoveryOrReload() throws Exception {
+        try (ServerSocket edgeServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+                DatagramSocket nameServer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             int port;
-            int namesPort = names.getLocalPort();
-            names.close(); // out of reach
-            String config = served(box)
+            int namesPort = nameServer.getLocalPort();
+            nameServer.close(); // discovery is unreachable
+            String config = configWithServer(edgeServer)
                     .replace("\"sockets\":512", "\"sockets\":192")
                     .replace("\"127.0.0.1:9\"", "\"127.0.0.1:" + namesPort + "\"");
-            // The jars of the tests' class path take a few more than the program's one.
-            limit = 192 + 24;
+            // The jars on the class path of the tests need more descriptors than the program's single one.
+            descriptorLimit = 192 + 24;
             start(config, "serve");
-            port = port(line("serving:"));
+            port = port(awaitLine("serving:"));
             List<Socket> idle = new ArrayList<>();
             try {
                 for (int i = 0; i < 300; i++) {
                     Socket s = new Socket("127.0.0.1", port);
                     idle.add(s);
                     if (i % 2 == 0) {
-                        s.getOutputStream().write(TEST.getBytes(StandardCharsets.UTF_8));
+                        s.getOutputStream().write(OPTIONS.getBytes(StandardCharsets.UTF_8));
                     }
                 }
-                // Whoever is turned away in the rush comes again, as clients do.
+                // A connection refused under load is tried again, as clients do.
                 Socket viewer = null;
-                for (HttpStyleMessage passed = null; passed == null; ) {
+                for (HttpStyleMessage answer = null; answer == null; ) {
                     viewer = new Socket("127.0.0.1", port);
                     idle.add(viewer);
                     try {
-                        passed = ask(viewer, TEST);
+                        answer = exchange(viewer, OPTIONS);
                     } catch (SocketException e) {
-                        passed = null;
+                        answer = null;
                     }
                 }
                 String id = "0123456789abcdef";
-                viewer.getOutputStream().write(setUp(id).getBytes(StandardCharsets.UTF_8));
-                box.setSoTimeout(20_000);
-                try (Socket line = box.accept()) {
-                    line.setSoTimeout(20_000);
-                    String asked = new BufferedReader(new InputStreamReader(line.getInputStream())).readLine();
-                    assertTrue(asked.contains(id), asked);
-                    answer(line, id);
-                    assertEquals(200, ask(viewer, "").status());
+                viewer.getOutputStream().write(setUpMessage(id).getBytes(StandardCharsets.UTF_8));
+                edgeServer.setSoTimeout(20_000);
+                try (Socket connection = edgeServer.accept()) {
+                    connection.setSoTimeout(20_000);
+                    String setUp = new BufferedReader(new InputStreamReader(connection.getInputStream())).readLine();
+                    assertTrue(setUp.contains(id), setUp);
+                    answerSetUp(connection, id);
+                    assertEquals(200, exchange(viewer, "").status());
                 }
-                try (DatagramSocket again = new DatagramSocket(namesPort, InetAddress.getLoopbackAddress())) {
-                    asked(again);
+                try (DatagramSocket restarted = new DatagramSocket(namesPort, InetAddress.getLoopbackAddress())) {
+                    awaitQuery(restarted);
                 }
-                hangUp();
-                line("configuration reloaded: names=");
+                sendHangUp();
+                awaitLine("configuration reloaded: names=");
             } finally {
                 for (Socket s : idle) {
                     s.close();
@@ -238,69 +243,72 @@
         }
     }
 
-    private static String setUp(String id) {
+    private static String setUpMessage(String id) {
         return "SETUP rtsp://media/t RTSP/1.0\r\nSession: " + id + "\r\nPriority-Class: paid\r\nExpires-Ms: 4000\r\n"
                 + "P-Trunk-Info: home:2;copies:3;top:1\r\nContent-Length: 5\r\n\r\nv=0\r\n";
     }
 
-    private static void answer(Socket line, String id) throws Exception {
-        line.getOutputStream()
+    private static void answerSetUp(Socket connection, String id) throws Exception {
+        connection
+                .getOutputStream()
                 .write(("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=1\\r\\n\"}\n")
                         .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A configuration with one server, there. */
-    private static String served(ServerSocket box) {
+    /** A configuration with one edge server, at that socket. */
+    private static String configWithServer(ServerSocket edgeServer) {
         return ConfigTest.COMPLETE_CONFIG
-                .replace("127.0.0.1:5080", "127.0.0.1:" + box.getLocalPort())
+                .replace("127.0.0.1:5080", "127.0.0.1:" + edgeServer.getLocalPort())
                 .replace("leaving", "active")
                 .replace("1500}", "0}");
     }
 
     @Test
-    void whatIsOutHalfReadOrNotAcceptedAtSigtermIsAnsweredAndItsSessionsEndIsTold() throws Exception {
-        try (ServerSocket box = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            box.setSoTimeout(20_000);
-            start(served(box), "serve");
-            int port = port(line("serving:"));
-            String out = "00000000000000a1";
-            String half = "00000000000000a2";
-            String late = "00000000000000a3";
-            try (Socket one = new Socket("127.0.0.1", port);
-                    Socket two = new Socket("127.0.0.1", port)) {
-                one.getOutputStream().write(setUp(out).getBytes(StandardCharsets.UTF_8));
-                Socket line = box.accept();
-                line.setSoTimeout(20_000);
-                assertTrue(new BufferedReader(new InputStreamReader(line.getInputStream()))
+    void setUpsInProgressAtSigtermAreAnsweredAndSessionsAreTornDown() throws Exception {
+        try (ServerSocket edgeServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            edgeServer.setSoTimeout(20_000);
+            start(configWithServer(edgeServer), "serve");
+            int port = port(awaitLine("serving:"));
+            String sentId = "00000000000000a1";
+            String halfReadId = "00000000000000a2";
+            String lateId = "00000000000000a3";
+            try (Socket first = new Socket("127.0.0.1", port);
+                    Socket second = new Socket("127.0.0.1", port)) {
+                first.getOutputStream().write(setUpMessage(sentId).getBytes(StandardCharsets.UTF_8));
+                Socket connection = edgeServer.accept();
+                connection.setSoTimeout(20_000);
+                assertTrue(new BufferedReader(new InputStreamReader(connection.getInputStream()))
                         .readLine()
-                        .contains(out));
-                two.getOutputStream().write(setUp(half).substring(0, 60).getBytes(StandardCharsets.UTF_8));
+                        .contains(sentId));
+                second.getOutputStream()
+                        .write(setUpMessage(halfReadId).substring(0, 60).getBytes(StandardCharsets.UTF_8));
                 process.toHandle().destroy();
-                try (Socket three = new Socket("127.0.0.1", port)) { // accepted by the system, as the end begins
-                    three.getOutputStream().write(setUp(late).getBytes(StandardCharsets.UTF_8));
-                    two.getOutputStream().write(setUp(half).substring(60).getBytes(StandardCharsets.UTF_8));
-                    answer(line, out);
-                    assertEquals(200, ask(one, "").status());
-                    // The module may send the others on or refuse them: either way each has its one answer.
-                    for (Socket s : List.of(two, three)) {
-                        HttpStyleMessage answer = ask(s, "");
+                try (Socket third = new Socket("127.0.0.1", port)) { // accepted by the system when the shutdown begins
+                    third.getOutputStream().write(setUpMessage(lateId).getBytes(StandardCharsets.UTF_8));
+                    second.getOutputStream()
+                            .write(setUpMessage(halfReadId).substring(60).getBytes(StandardCharsets.UTF_8));
+                    answerSetUp(connection, sentId);
+                    assertEquals(200, exchange(first, "").status());
+                    // The module may retry the others or refuse them; either way each gets exactly one answer.
+                    for (Socket socket : List.of(second, third)) {
+                        HttpStyleMessage answer = exchange(socket, "");
                         assertTrue(
                                 answer.status() >= 400 && answer.status() <= 504,
-                                answer.startLine()); // the box answers only the first
-                        assertEquals(s == two ? half : late, answer.header("session"));
+                                answer.startLine()); // the edge server answers only the first
+                        assertEquals(socket == second ? halfReadId : lateId, answer.header("session"));
                     }
-                    HttpStyleMessage end = ask(one, "");
+                    HttpStyleMessage end = exchange(first, "");
                     assertEquals("TEARDOWN", end.startLinePart(0));
-                    assertEquals(out, end.header("session"));
+                    assertEquals(sentId, end.header("session"));
                 }
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
-                line.close();
+                connection.close();
             }
         }
     }
 
-    private void hangUp() throws Exception {
+    private void sendHangUp() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -308,28 +316,30 @@
                         .waitFor());
     }
 
-    private static void asked(DatagramSocket names) throws Exception {
-        names.setSoTimeout(20_000);
-        names.receive(new DatagramPacket(new byte[512], 512));
+    private static void awaitQuery(DatagramSocket nameServer) throws Exception {
+        nameServer.setSoTimeout(20_000);
+        nameServer.receive(new DatagramPacket(new byte[512], 512));
     }
 
     @Test
-    void itServesHlsWhereAFileSaysSo() throws Exception {
+    void itServesHlsIfConfigured() throws Exception {
         Path file = Files.writeString(
                 dir.resolve("hls.json"),
                 "{\"listen\":\"127.0.0.1:0\",\"servers\":" + "[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"}]}");
         start(ConfigTest.COMPLETE_CONFIG, "serve", "--hls", file.toString());
-        try (Socket s = new Socket("127.0.0.1", port(line("serving HLS:")))) {
-            assertEquals(404, ask(s, "GET /sessions/0/0.m3u8 HTTP/1.1\r\n\r\n").status());
+        try (Socket socket = new Socket("127.0.0.1", port(awaitLine("serving HLS:")))) {
+            assertEquals(
+                    404,
+                    exchange(socket, "GET /sessions/0/0.m3u8 HTTP/1.1\r\n\r\n").status());
         }
     }
 
     @Test
-    void theOperatorsFileSwitchesTheStormPartOnAndAFaultyOneEndsIt() throws Exception {
+    void theOperatorsFileEnablesStormProtectionAndAFaultyOneIsFatal() throws Exception {
         start(ConfigTest.COMPLETE_CONFIG, "serve", "--conf", "deploy/dockshed.conf");
-        line("storm protection enabled:");
-        try (Socket s = new Socket("127.0.0.1", port(line("serving:")))) {
-            assertEquals(200, ask(s, TEST).status());
+        awaitLine("storm protection enabled:");
+        try (Socket socket = new Socket("127.0.0.1", port(awaitLine("serving:")))) {
+            assertEquals(200, exchange(socket, OPTIONS).status());
         }
         stop();
         start(
@@ -337,37 +347,38 @@
                 "serve",
                 "--conf",
                 Files.writeString(dir.resolve("x.conf"), "storm {\nhold 2\n}").toString());
-        assertTrue(line("x.conf").contains("x.conf:2: hold: expected a time from 0s to 1s, got 2"));
+        assertTrue(awaitLine("x.conf").contains("x.conf:2: hold: expected a time from 0s to 1s, got 2"));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
     }
 
     @Test
-    void aFaultyConfigurationEndsItWithAWordOnTheKey() throws Exception {
+    void aFaultyConfigurationIsFatalAndNamesTheKey() throws Exception {
         start(ConfigTest.COMPLETE_CONFIG.replace("\"seed\":\"8c1f30d27a5be964\",", ""), "serve");
-        assertTrue(line("dockshed: ").contains("member 'seed' is missing"));
+        assertTrue(awaitLine("dockshed: ").contains("member 'seed' is missing"));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
     }
 
     @Test
-    void anAddressInUseEndsItWithAWord() throws Exception {
+    void anAddressInUseIsFatalAndReported() throws Exception {
         try (java.net.ServerSocket taken = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             start(
                     ConfigTest.COMPLETE_CONFIG.replace(
                             "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + taken.getLocalPort() + "\""),
                     "serve");
-            line("dockshed: cannot serve");
+            awaitLine("dockshed: cannot serve");
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             assertEquals(1, process.exitValue());
         }
     }
 
     @Test
-    void theBuildsRehearsalPlaysASessionAndEnds() throws Exception {
-        // A start read all its classes anew, half a second of processor, when viewers had been coming for long.
+    void theTrainingRunOfTheBuildPlaysASessionAndExits() throws Exception {
+        // Guards against a slow start: without the class archive each start spent half a second of processor time on
+        // loading classes while viewers were already connecting.
         start(ConfigTest.COMPLETE_CONFIG, "rehearse", "deploy/rehearsal.json");
-        assertTrue(line("planned end: ").contains("served=1 "));
+        assertTrue(awaitLine("planned end: ").contains("served=1 "));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
         List<String> deploy = Files.readAllLines(Path.of("deploy/balancer.toml"));
@@ -377,9 +388,9 @@
     }
 
     @Test
-    void wrongArgumentsAreToldTheRightOnes() throws Exception {
+    void wrongArgumentsPrintTheUsage() throws Exception {
         start(ConfigTest.COMPLETE_CONFIG, "dance");
-        assertTrue(line("usage").contains("serve [--hls FILE] [--conf FILE] | simhost | rehearse FILE"));
+        assertTrue(awaitLine("usage").contains("serve [--hls FILE] [--conf FILE] | simhost | rehearse FILE"));
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
     }
--- a/src/test/java/dockshed/SimHostTest.java
+++ b/src/test/java/dockshed/SimHostTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The wire: what comes in, what goes out, and plain words on what is malformed. */
+/** The simulator's protocol: events, actions, and errors for malformed input. */
 class SimHostTest {
     private static final String BOOT = """
             {"boot":{"director_id":"director/0","entropy":5138197539985895,"later":1,"options":{"balancers":1,"me":0,
@@ -28,29 +28,29 @@
     private String out;
     private String err;
 
-    private int run(String... arrivals) {
+    private int runBatches(String... arrivals) {
         StringBuilder in = new StringBuilder();
-        for (String each : arrivals) {
-            in.append("{\"now\":1000.5,\"arrivals\":[").append(each).append("]}\n");
+        for (String arrival : arrivals) {
+            in.append("{\"now\":1000.5,\"arrivals\":[").append(arrival).append("]}\n");
         }
-        return raw(in.toString());
+        return runInput(in.toString());
     }
 
-    private int raw(String in) {
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
+    private int runInput(String in) {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        ByteArrayOutputStream errors = new ByteArrayOutputStream();
         int status = SimHost.run(
                 new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)),
-                o,
-                new PrintStream(e, true, StandardCharsets.UTF_8));
-        out = o.toString(StandardCharsets.UTF_8);
-        err = e.toString(StandardCharsets.UTF_8);
+                output,
+                new PrintStream(errors, true, StandardCharsets.UTF_8));
+        out = output.toString(StandardCharsets.UTF_8);
+        err = errors.toString(StandardCharsets.UTF_8);
         return status;
     }
 
     @Test
-    void aCallIsAnsweredInItsBatchAndUnknownMembersArePassedOver() {
-        assertEquals(0, run("", BOOT, CALL), () -> err);
+    void aCallIsAnsweredInItsBatchAndUnknownMembersAreIgnored() {
+        assertEquals(0, runBatches("", BOOT, CALL), () -> err);
         String[] lines = out.split("\n");
         assertEquals("{\"decisions\":[]}", lines[0]);
         assertTrue(
@@ -61,37 +61,38 @@
 
     @Test
     void malformedInputNamesTheEventAndTheMember() {
-        assertEquals(1, run(BOOT, CALL.replace("\"kind\":\"c\",", "")));
+        assertEquals(1, runBatches(BOOT, CALL.replace("\"kind\":\"c\",", "")));
         assertEquals("simhost: call: member 'kind' is missing\n", err);
-        assertEquals(1, run(BOOT, CALL.replace("\"budget\":4000.0", "\"budget\":\"long\"")));
+        assertEquals(1, runBatches(BOOT, CALL.replace("\"budget\":4000.0", "\"budget\":\"long\"")));
         assertEquals("simhost: call: member 'budget' has the wrong type\n", err);
-        assertEquals(1, run(BOOT, "{\"surprise\":{\"director_id\":\"director/0\"}}"));
+        assertEquals(1, runBatches(BOOT, "{\"surprise\":{\"director_id\":\"director/0\"}}"));
         assertEquals("simhost: unknown event 'surprise'\n", err);
-        assertEquals(1, run(BOOT, "{\"datagram\":{\"director_id\":\"director/0\",\"author\":1,\"bytes\":\"xyz\"}}"));
+        assertEquals(
+                1, runBatches(BOOT, "{\"datagram\":{\"director_id\":\"director/0\",\"author\":1,\"bytes\":\"xyz\"}}"));
         assertEquals("simhost: datagram: member 'bytes' is not hex\n", err);
-        assertEquals(1, raw("not json\n"));
+        assertEquals(1, runInput("not json\n"));
         assertTrue(
                 err.startsWith("simhost: not JSON: ")
                         && err.endsWith("\n")
                         && err.lines().count() == 1,
                 err);
-        assertEquals(1, run(BOOT.replace("\"points\":1.0", "\"points\":-1")));
+        assertEquals(1, runBatches(BOOT.replace("\"points\":1.0", "\"points\":-1")));
         assertTrue(err.contains("classes: member 'points'"), err);
-        assertEquals(0, run(BOOT.replace("\"points\":1.0", "\"points\":0"), CALL), () -> err);
+        assertEquals(0, runBatches(BOOT.replace("\"points\":1.0", "\"points\":0"), CALL), () -> err);
     }
 
     @Test
     void instancesActTheSameAloneOrTogether() {
-        assertEquals(0, run(BOOT, CALL));
+        assertEquals(0, runBatches(BOOT, CALL));
         String alone = out.split("\n")[1];
         String other = BOOT.replace("director/0", "director/1");
-        assertEquals(0, run(BOOT + "," + other, CALL.replace("director/0", "director/1"), CALL));
+        assertEquals(0, runBatches(BOOT + "," + other, CALL.replace("director/0", "director/1"), CALL));
         assertEquals(alone, out.split("\n")[2]);
     }
 
     @Test
-    void endOfInputIsACleanExit() {
-        assertEquals(0, raw(""));
+    void endOfInputExitsWithZero() {
+        assertEquals(0, runInput(""));
         assertEquals("", out);
     }
 }
