--- a/src/main/java/dockshed/choice/Headroom.java
+++ b/src/main/java/dockshed/choice/Headroom.java
@@ -81,8 +81,8 @@
     double baseLoad(Link link) {
         double trust = link.load().trust();
         if (link instanceof EdgeServer server) {
-            double ownEstablishedKb = server.load().ownKb() - server.load().pendingKb();
-            double assumedKb = Math.max(linkUtilization * server.configuredKb(), ownEstablishedKb);
+            double ownPlayingKb = server.load().ownKb() - server.load().pendingKb();
+            double assumedKb = Math.max(linkUtilization * server.configuredKb(), ownPlayingKb);
             boolean delisted = !server.listed() && server.idle();
             return delisted ? 0 : trust * server.load().levelKb() + (1 - trust) * assumedKb;
         }
--- a/src/main/java/dockshed/choice/Reserves.java
+++ b/src/main/java/dockshed/choice/Reserves.java
@@ -28,7 +28,7 @@
             return;
         }
         double ratePerServer = context.settings().brokers() / (context.rates().elapsed(now) * listed);
-        QuotaOptimizer method = new QuotaOptimizer(
+        QuotaOptimizer optimizer = new QuotaOptimizer(
                 high.arrivals() * ratePerServer,
                 low.arrivals() * ratePerServer,
                 context.sessions().stays().endRate(),
@@ -38,7 +38,7 @@
         Map<Integer, QuotaOptimizer.Quotas> bySlots = new HashMap<>();
         for (EdgeServer server : context.servers().all()) {
             int slots = (int) Math.min(server.streams(), server.configuredKb() / pricing.slotKb());
-            server.reserve(bySlots.computeIfAbsent(QuotaOptimizer.representativeSlots(slots), method::best));
+            server.reserve(bySlots.computeIfAbsent(QuotaOptimizer.representativeSlots(slots), optimizer::best));
         }
     }
 }
--- a/src/main/java/dockshed/choice/Steps.java
+++ b/src/main/java/dockshed/choice/Steps.java
@@ -12,9 +12,10 @@
 
 /** Steps playing sessions from one rendition to another: down where a link is overloaded, up as headroom allows. */
 record Steps(Context context, Pricing pricing, Headroom headroom) {
-    private static final long MIN_STEP_UP_INTERVAL_US =
-            8 * SECOND_US; // since the session's last step; avoids oscillation
+    /** Least time between a step of a session and its next step up, so that sessions don't oscillate. */
+    private static final long MIN_STEP_UP_INTERVAL_US = 8 * SECOND_US;
 
+    /** Steps a session to a rendition, here and at its server. */
     private void step(long now, Session session, int rendition) {
         session.step(now, rendition);
         context.actions().setRendition(session.id(), rendition);
@@ -34,8 +35,9 @@
     }
 
     /**
-     * Steps sessions down for this broker's share of an excess, the cheapest per kB first. The last step is taken at
-     * random in proportion to the need, as steps are whole renditions and all brokers together would shed too much.
+     * Steps sessions down for this broker's share of an excess, the cheapest per kB first. The last step is taken with
+     * a probability equal to the needed part of what it frees: steps are whole renditions, and if every broker rounded
+     * up they would shed too much together.
      *
      * @param excessKb in kB/s
      */
--- a/src/main/java/dockshed/model/AttemptRates.java
+++ b/src/main/java/dockshed/model/AttemptRates.java
@@ -92,11 +92,11 @@
     /**
      * Placements per second: since the start, or within their window if that is more.
      *
-     * @param usual rate assumed before any was observed, per second
+     * @param usualPerSecond rate assumed before any was observed
      * @param priorWeight weight of the assumed rate, in placements
      */
-    public double placementsPerSecond(long now, double usual, double priorWeight) {
-        double sinceStart = (placements + priorWeight) / (elapsed(now) + priorWeight / usual);
+    public double placementsPerSecond(long now, double usualPerSecond, double priorWeight) {
+        double sinceStart = (placements + priorWeight) / (elapsed(now) + priorWeight / usualPerSecond);
         return Math.max(sinceStart, (recentPlacements.count(now) - 1) * SECOND_US / Math.max(1, placementWindow));
     }
 }
--- a/src/main/java/dockshed/model/EdgeServers.java
+++ b/src/main/java/dockshed/model/EdgeServers.java
@@ -29,10 +29,10 @@
      * @param uplinkOverestimate factor on the configured rate of an uplink for its first estimate
      * @param randomDraws random numbers from 0 to 1, one for each reading of a link
      */
-    public EdgeServers(Settings settings, double uplinkHope, DoubleSupplier draws) {
+    public EdgeServers(Settings settings, double uplinkOverestimate, DoubleSupplier randomDraws) {
         this.settings = settings;
-        this.uplinkOverestimate = uplinkHope;
-        this.randomDraws = draws;
+        this.uplinkOverestimate = uplinkOverestimate;
+        this.randomDraws = randomDraws;
         racks = Stream.generate(Rack::new).limit(settings.ladder().racks()).toList();
         uplinksReported = uplinksReported(settings);
     }
--- a/src/main/java/dockshed/model/LoadEstimate.java
+++ b/src/main/java/dockshed/model/LoadEstimate.java
@@ -18,8 +18,8 @@
     private record Change(long at, double deltaKb) {}
 
     /** Records a reading of the total load; it includes own changes up to its time. */
-    public void recordReading(double level, long at) {
-        this.levelKb = level;
+    public void recordReading(double levelKb, long at) {
+        this.levelKb = levelKb;
         trust = 1;
         readAt = at;
         while (!changes.isEmpty() && changes.peekFirst().at() <= at) {
@@ -34,12 +34,12 @@
     }
 
     /** Records a change in the load of own playing sessions, and of own set-ups in progress. */
-    public void recordChange(long now, double playing, double setUp) {
-        ownKb += playing + setUp;
-        pendingKb += setUp;
-        changedKb += playing;
-        if (playing != 0) {
-            changes.add(new Change(now, playing));
+    public void recordChange(long now, double playingKb, double setUpKb) {
+        ownKb += playingKb + setUpKb;
+        pendingKb += setUpKb;
+        changedKb += playingKb;
+        if (playingKb != 0) {
+            changes.add(new Change(now, playingKb));
         }
     }
 
