--- a/src/main/java/dockshed/choice/Choice.java
+++ b/src/main/java/dockshed/choice/Choice.java
@@ -12,22 +12,29 @@
 import java.util.Random;
 
 /**
- * All decisions. The interface (types, events, actions, units) is in Director.java. Here events come in and the parts
- * are told of them: {@link Admission}, {@link SlowStart} and {@link Attempts} for newcomers; {@link Steps} and
- * {@link Readings} for sessions that play; {@link Headroom}, {@link Pricing} and {@link Reserves} for what may be
- * spent, at which price, and what is kept back. What is known is in {@code dockshed.model}.
+ * The decision module. Its interface (types, events, actions, units) is in Director.java. This class receives the
+ * events and passes them to the parts: {@link Admission}, {@link SlowStart} and {@link Attempts} for new sessions;
+ * {@link Steps} and {@link Readings} for playing sessions; {@link Headroom}, {@link Pricing} and {@link Reserves} for
+ * the capacity that may be used, its price, and the slots that are reserved. State is kept in {@code dockshed.model}.
  */
 public final class Choice implements Director {
-    static final long SECOND = 1_000_000;
-    private static final long SWEEP = SECOND / 2; // between looks at playing sessions
-    private static final long QUOTA_PERIOD = 5 * SECOND; // between recomputes of Method II
-    private static final double PRIOR_ENDS = 3; // ends that the prior stay weighs as much as
-    private static final long SET_UPS_OVER = 2 * SECOND; // own set-ups are counted over that
-    private static final long RATION_MARGIN = SECOND / 100; // requests are counted over less than their attempts
-    private static final double UPLINK_HOPE = 1.2; // told uplink is tried so far up where only shortage can tell
-    private static final int MANY_DIRECTORS = 6; // so many would try it at once and learn too late: none does
-    private static final int ERRORS = 2; // servers in a row seldom err by chance: the request is at fault
-    private static final long TOO_LATE = SECOND / 1000; // before the deadline
+    /** One second in microseconds, the unit of all times. */
+    static final long SECOND_US = 1_000_000;
+
+    private static final long SWEEP_INTERVAL_US = SECOND_US / 2; // between checks of playing sessions
+    private static final long QUOTA_INTERVAL_US = 5 * SECOND_US; // between updates of the reserved slots
+    private static final double PRIOR_STAY_WEIGHT = 3; // in observed ends of sessions
+    private static final long SET_UP_WINDOW_US = 2 * SECOND_US; // for the rate of own set-ups
+    private static final long REQUEST_WINDOW_MARGIN_US = SECOND_US / 100; // less than the window for retries
+
+    /** Of the configured rate: an uplink that no load report covers shows its limit only by delivering short. */
+    private static final double UPLINK_OVERESTIMATE = 1.2;
+
+    /** So many brokers would overload an uplink together before any of them noticed: then none overestimates it. */
+    private static final int MANY_BROKERS = 6;
+
+    private static final int MAX_ERRORS_PER_REQUEST = 2; // two servers rarely fail by chance: the request is at fault
+    private static final long MIN_TIME_LEFT_US = SECOND_US / 1000; // to the client deadline, for a retry
 
     private final Settings settings;
     private final Actions actions;
@@ -41,17 +48,23 @@
     private final Attempts attempts;
     private final Admission admission;
     private final Reserves reserves;
-    private long recomputeAt;
-
+    private long nextQuotaUpdateAt;
+
+    /**
+     * Creates a module that knows no servers and no sessions yet.
+     *
+     * @param seed of all random decisions; the same seed, settings and events give the same actions
+     * @param actions where decisions go; called only while an event is being handled
+     */
     public Choice(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         Random random = new Random(seed);
         RenditionLadder ladder = new RenditionLadder(settings.ladder());
-        sessions = new Sessions(settings, ladder, new StayEstimate(Pricing.PRIOR_STAY, PRIOR_ENDS));
-        boolean hope = !EdgeServers.uplinksTold(settings) && settings.brokers() < MANY_DIRECTORS;
-        servers = new EdgeServers(settings, hope ? UPLINK_HOPE : 1, random::nextDouble);
-        rates = new AttemptRates(settings.rules(), RATION_MARGIN, SET_UPS_OVER);
+        sessions = new Sessions(settings, ladder, new StayEstimate(Pricing.PRIOR_STAY_S, PRIOR_STAY_WEIGHT));
+        boolean probeUplinks = !EdgeServers.uplinksReported(settings) && settings.brokers() < MANY_BROKERS;
+        servers = new EdgeServers(settings, probeUplinks ? UPLINK_OVERESTIMATE : 1, random::nextDouble);
+        rates = new AttemptRates(settings.rules(), REQUEST_WINDOW_MARGIN_US, SET_UP_WINDOW_US);
         Context context = new Context(settings, actions, random, ladder, servers, sessions, rates);
         pricing = new Pricing(context);
         headroom = new Headroom(context, pricing);
@@ -62,55 +75,56 @@
         reserves = new Reserves(context, pricing);
     }
 
-    /** Edge servers known, for tests. */
+    /** Number of edge servers known; for tests. */
     public int knownServers() {
         return servers.all().size();
     }
 
-    private void start(long now) {
+    /** Starts the counters and the timer on the first event. */
+    private void startOnFirstEvent(long now) {
         if (rates.start(now)) {
-            recomputeAt = now + QUOTA_PERIOD;
-            actions.timer("sweep", now + SWEEP);
+            nextQuotaUpdateAt = now + QUOTA_INTERVAL_US;
+            actions.timer("sweep", now + SWEEP_INTERVAL_US);
         }
     }
 
     @Override
-    public void serversChanged(long now, ListScope scope, List<Server> news) {
-        start(now);
+    public void serversChanged(long now, ListScope scope, List<Server> list) {
+        startOnFirstEvent(now);
         if (scope != ListScope.ERROR) {
-            servers.members(now, scope, news);
+            servers.update(now, scope, list);
         }
     }
 
     @Override
     public void request(long now, Request request) {
-        start(now);
+        startOnFirstEvent(now);
         Session session = sessions.add(now, request);
         if (session == null) {
             actions.fail(request.id());
             return;
         }
-        rates.requested(now, session.sessionClass());
+        rates.recordRequest(now, session.sessionClass());
         admission.place(now, session);
     }
 
     @Override
     public void adoptSession(long now, Request request, String id) {
-        start(now);
+        startOnFirstEvent(now);
         EdgeServer server = servers.get(id);
         Session session = server == null ? null : sessions.add(now, request);
         if (session != null) {
-            session.playsAlready(now, server);
-            headroom.opened(session.kb());
-            servers.allWarm();
+            session.restorePlaying(now, server);
+            headroom.addInitialLoad(session.rateKb());
+            servers.markAllWarm();
         }
     }
 
     @Override
     public void sessionStarted(long now, String request, int attempt, String server) {
-        Session session = sessions.at(request, server);
+        Session session = sessions.findAt(request, server);
         if (session != null) {
-            session.play(now);
+            session.startPlaying(now);
         }
     }
 
@@ -119,16 +133,16 @@
             long now, String request, int attempt, String id, Outcome outcome, boolean last, LoadReport report) {
         EdgeServer server = servers.get(id);
         if (server != null) {
-            readings.report(now, server, report);
+            readings.loadReport(now, server, report);
         }
-        Session session = sessions.at(request, id);
+        Session session = sessions.findAt(request, id);
         if (session == null) {
             return;
         }
-        leave(now, session);
-        attempts.judge(now, server, outcome, session.playing());
+        removeFromServer(now, session);
+        attempts.recordEnd(now, server, outcome, session.playing());
         if (!session.playing() && !last) {
-            retry(now, session, outcome);
+            retryOrFail(now, session, outcome);
             return;
         }
         sessions.ended(now, session, outcome == Outcome.OK);
@@ -137,10 +151,11 @@
         }
     }
 
-    private void retry(long now, Session session, Outcome outcome) {
+    /** Continues after a failed attempt: with a retry or a refusal, or an error if none can succeed any more. */
+    private void retryOrFail(long now, Session session, Outcome outcome) {
         session.attemptEnded(outcome);
-        boolean late = outcome == Outcome.TIMEOUT && now + TOO_LATE >= session.deadline();
-        if (session.errors() >= ERRORS || late) {
+        boolean late = outcome == Outcome.TIMEOUT && now + MIN_TIME_LEFT_US >= session.deadline();
+        if (session.errors() >= MAX_ERRORS_PER_REQUEST || late) {
             sessions.remove(session.id());
             actions.fail(session.id());
         } else {
@@ -148,12 +163,12 @@
         }
     }
 
-    /** Takes a session off its server. */
-    private void leave(long now, Session session) {
+    /** Removes a session from its server; sub-rated sessions there may step up again after a premium one. */
+    private void removeFromServer(long now, Session session) {
         EdgeServer server = session.server();
-        session.leave(now);
-        if (session.playing() && pricing.premium(session.sessionClass())) {
-            steps.regain(now, server);
+        session.leaveServer(now);
+        if (session.playing() && pricing.isPremium(session.sessionClass())) {
+            steps.restoreSubRated(now, server);
         }
     }
 
@@ -161,64 +176,67 @@
     public void requestCancelled(long now, String request) {
         Session session = sessions.remove(request);
         if (session != null && session.server() != null) {
-            leave(now, session);
+            removeFromServer(now, session);
         }
     }
 
     @Override
-    public void metricReceived(long now, String request, String id, Metric topic, double value) {
+    public void metricReceived(long now, String request, String id, Metric metric, double value) {
         EdgeServer server = servers.get(id);
         if (server == null) {
             return;
         }
         Session session = sessions.get(request);
-        switch (topic) {
-            case RENDITION -> renditionTold(now, server, session, value);
-            case LINK -> linkTold(now, server, session, value);
-            case UPLINK -> uplinkTold(now, server, session, value);
-            case DELIVERED -> readings.delivered(now, server, value);
+        switch (metric) {
+            case RENDITION -> renditionReported(now, server, session, value);
+            case LINK -> linkLoadReported(now, server, session, value);
+            case UPLINK -> uplinkLoadReported(now, server, session, value);
+            case DELIVERED -> readings.deliveredShare(now, server, value);
         }
     }
 
-    private void renditionTold(long now, EdgeServer server, Session session, double value) {
+    private void renditionReported(long now, EdgeServer server, Session session, double value) {
         if (session != null && session.playing() && session.hasRendition(value)) {
-            headroom.opened(session.openedAtStart() ? session.moreKb((int) value) : 0);
-            session.told(now, server, (int) value);
+            headroom.addInitialLoad(session.openedAtStart() ? session.moreKb((int) value) : 0);
+            session.renditionReported(now, server, (int) value);
         }
     }
 
-    private void linkTold(long now, EdgeServer server, Session session, double value) {
-        boolean setUp = session != null && session.awaitsLink(); // its own reading is of now
-        readings.link(now, server, value, setUp ? now : now - settings.limits().reportDelay());
-        if (setUp && session.linkRead(servers.uplinksTold())) {
-            steps.settle(now, session);
+    private void linkLoadReported(long now, EdgeServer server, Session session, double value) {
+        // The reading that a set-up brings is current; all others are delayed.
+        boolean ownSetUp = session != null && session.awaitsLinkReading();
+        readings.linkLoad(
+                now, server, value, ownSetUp ? now : now - settings.limits().reportDelay());
+        if (ownSetUp && session.linkReadingReceived(servers.uplinksReported())) {
+            steps.stepUpNewcomer(now, session);
         }
     }
 
-    private void uplinkTold(long now, EdgeServer server, Session session, double value) {
-        readings.uplink(now, server, value);
-        if (session != null && session.uplinkRead()) {
-            steps.settle(now, session);
+    private void uplinkLoadReported(long now, EdgeServer server, Session session, double value) {
+        readings.uplinkLoad(now, server, value);
+        if (session != null && session.uplinkReadingReceived()) {
+            steps.stepUpNewcomer(now, session);
         }
     }
 
     @Override
-    public void probed(long now, String server, boolean healthy, LoadReport report) {} // none is sent
+    public void probed(long now, String server, boolean healthy, LoadReport report) {} // this module sends no probes
 
     @Override
-    public void peerMessageReceived(long now, int from, byte[] message) {} // nothing is asked of the other directors
+    public void peerMessageReceived(long now, int from, byte[] message) {} // this module exchanges no messages
 
     @Override
     public void timer(long now, String key) {
-        actions.timer(key, now + SWEEP);
-        readings.regainUplinks(now, SWEEP);
-        servers.decayTrust(sessions.stays().remaining(SWEEP / (double) SECOND));
-        headroom.update(rates.setUpsPerSecond(now), actions.newSessionShare()); // refused tries take no room
-        pricing.reprice(now, headroom.budget(now));
-        servers.all().forEach(server -> steps.raise(now, server));
-        servers.forgetGone();
-        if (now >= recomputeAt) {
-            recomputeAt = now + QUOTA_PERIOD;
+        actions.timer(key, now + SWEEP_INTERVAL_US);
+        readings.recoverUplinks(now, SWEEP_INTERVAL_US);
+        servers.decayTrust(sessions.stays().remainingShare(SWEEP_INTERVAL_US / (double) SECOND_US));
+        // Set-ups, not placements: refused requests take no room.
+        headroom.update(rates.setUpsPerSecond(now), actions.newSessionShare());
+        pricing.updatePrice(now, headroom.budget(now));
+        servers.all().forEach(server -> steps.stepUp(now, server));
+        servers.removeGone();
+        if (now >= nextQuotaUpdateAt) {
+            nextQuotaUpdateAt = now + QUOTA_INTERVAL_US;
             reserves.recompute(now);
         }
     }
--- a/src/main/java/dockshed/choice/Readings.java
+++ b/src/main/java/dockshed/choice/Readings.java
@@ -1,6 +1,6 @@
 package dockshed.choice;
 
-import static dockshed.choice.Choice.SECOND;
+import static dockshed.choice.Choice.SECOND_US;
 
 import dockshed.Director.LoadReport;
 import dockshed.Director.ReportField;
@@ -10,103 +10,123 @@
 import dockshed.model.Session;
 import java.util.Collection;
 
-/** What is learnt of links and uplinks, and the relief of those of which too much is asked. */
+/**
+ * Readings of the load of links and uplinks: updates the estimates of load and capacity, and sub-rates sessions where a
+ * link or uplink is overloaded. A reading is the demand on a link over its capacity; above 1 it is overloaded.
+ */
 record Readings(Context context, Headroom headroom, Steps steps) {
-    private static final double FULL = 1.06; // share asked at which relief begins: less wanders back
-    private static final double RACK_FULL = 1.08; // the same for an uplink, which is known less well
-    private static final double RELIEVED = 1.0; // share asked that relief aims at: what wanders needs no more
-    private static final double JUMP = 1.7; // between two readings of a link: more is the link's doing
-    private static final double LEAST_LINK = 0.05; // of the told rate: a link gives that, and less asked is no jump
-    private static final double LEAST_UPLINK = 0.15; // of the told rate: an uplink gives at least that
-    private static final double UPLINK_RISE = 0.03; // of the told uplink that a lowered estimate regains a second
-    private static final long UPLINK_RISES_AFTER = 3 * SECOND; // since it was lowered
-    private static final double SHORT = 0.98; // share delivered, under which a server delivers short
-    private static final long SHORT_FOR = SECOND * 3 / 2; // a server that was found short counts as short
-    private static final double LEAST_READING = 1e-3; // in kB, so as not to divide by 0
+    private static final double LINK_RELIEF_THRESHOLD = 1.06; // demand over capacity; a smaller excess passes by itself
+    private static final double UPLINK_RELIEF_THRESHOLD = 1.08; // higher, since an uplink's capacity is less certain
+    private static final double RELIEF_TARGET = 1.0; // demand over capacity after relief; variation needs no margin
+    private static final double CAPACITY_JUMP_RATIO = 1.7; // between two readings; more is a change of the capacity
+    private static final double MIN_LINK_SHARE = 0.05; // of the configured rate, which a link gives at least
+    private static final double MIN_UPLINK_SHARE = 0.15; // of the configured rate, which an uplink gives at least
+    private static final double UPLINK_RECOVERY_PER_SECOND = 0.03; // of the configured rate, for a lowered estimate
+    private static final long UPLINK_RECOVERY_DELAY_US = 3 * SECOND_US; // after the estimate was lowered
+    private static final double SHORT_DELIVERY_THRESHOLD = 0.98; // share of the rate delivered
+    private static final long SHORT_DELIVERY_VALIDITY_US = SECOND_US * 3 / 2; // of a server's short delivery
+    private static final double MIN_DEMAND_KB = 1e-3; // avoids a division by 0
 
-    /** What is asked of an edge server's link over what it gives, as of that time. */
-    void link(long now, EdgeServer server, double value, long at) {
-        double asked = value * headroom.capacity(now, server);
-        jump(server, value, (server.load().level() + server.load().changedBy(at)) / Math.max(LEAST_READING, asked));
-        server.read(value * headroom.capacity(now, server), at, context.random().nextDouble());
+    /** Takes a reading of an edge server's link that was current at time {@code at}. */
+    void linkLoad(long now, EdgeServer server, double value, long at) {
+        double demandKb = value * headroom.capacity(now, server);
+        adjustLinkShare(
+                server,
+                value,
+                (server.load().levelKb() + server.load().changedUntil(at)) / Math.max(MIN_DEMAND_KB, demandKb));
+        server.recordReading(
+                value * headroom.capacity(now, server), at, context.random().nextDouble());
         relieve(now, server);
     }
 
-    /** The same of its uplink. */
-    void uplink(long now, EdgeServer server, double value) {
+    /** Takes a reading of the uplink of the server's rack. */
+    void uplinkLoad(long now, EdgeServer server, double value) {
         Rack rack = server.rack();
-        rack.load().read(value * rack.uplinkKb(), server.load().readAt());
+        rack.load().recordReading(value * rack.uplinkKb(), server.load().readAt());
         relieve(now, server);
     }
 
-    /** A link asked a multiple of what it was, which nobody can have added since, gives less; and back. */
-    private static void jump(EdgeServer server, double value, double ratio) {
-        boolean asked = server.load().level() > LEAST_LINK * server.toldKb();
-        if (server.load().trust() > Headroom.UNKNOWN && asked && (ratio < 1 / JUMP && value > 1 || ratio > JUMP)) {
-            server.learnLinkShare(Math.max(LEAST_LINK, Math.min(1, server.linkShare() * ratio)));
+    /**
+     * Adjusts the share of its configured rate that a link gives: where the demand seems to have changed by a factor
+     * that sessions cannot explain, the capacity has changed.
+     *
+     * @param ratio the demand expected since the last reading over the demand read
+     */
+    private static void adjustLinkShare(EdgeServer server, double value, double ratio) {
+        // Less demand than the least share is too little to tell a jump.
+        boolean significant = server.load().levelKb() > MIN_LINK_SHARE * server.configuredKb();
+        if (server.load().trust() > Headroom.MIN_TRUST
+                && significant
+                && (ratio < 1 / CAPACITY_JUMP_RATIO && value > 1 || ratio > CAPACITY_JUMP_RATIO)) {
+            server.setLinkShare(Math.max(MIN_LINK_SHARE, Math.min(1, server.linkShare() * ratio)));
         }
     }
 
-    /** Load reports are later and noisier than notes: used only where no note has come for long. */
-    void report(long now, EdgeServer server, LoadReport report) {
-        int i = context.settings().reportFields().indexOf(ReportField.LINK);
-        boolean told = i >= 0 && i < report.values().size();
-        if (told
+    /** Takes the link load in a load report. It is later and noisier than a metric: used only if none came for long. */
+    void loadReport(long now, EdgeServer server, LoadReport report) {
+        int index = context.settings().reportFields().indexOf(ReportField.LINK);
+        boolean present = index >= 0 && index < report.values().size();
+        if (present
                 && now - server.load().readAt()
                         > 2 * context.settings().limits().reportInterval()) {
-            double asked = report.values().get(i) * headroom.capacity(now, server);
-            server.read(asked, now - SECOND / 2, context.random().nextDouble());
+            double demandKb = report.values().get(index) * headroom.capacity(now, server);
+            server.recordReading(demandKb, now - SECOND_US / 2, context.random().nextDouble());
         }
     }
 
-    /** A server that delivers short: its rack's uplink is short if most of the rack's are, else its own link. */
-    void delivered(long now, EdgeServer server, double delivered) {
-        if (delivered >= SHORT || delivered <= 0) {
+    /**
+     * Takes the share of its sessions' rates that a server delivers. If most servers of a rack deliver short, the
+     * uplink is the bottleneck, else the server's own link.
+     */
+    void deliveredShare(long now, EdgeServer server, double delivered) {
+        if (delivered >= SHORT_DELIVERY_THRESHOLD || delivered <= 0) {
             return;
         }
-        long seen = now - context.settings().limits().reportDelay();
+        long measuredAt = now - context.settings().limits().reportDelay();
         Rack rack = server.rack();
-        server.foundShort(now);
-        if (rack.mostShort(now, SHORT_FOR)) {
+        server.markShort(now);
+        if (rack.mostShort(now, SHORT_DELIVERY_VALIDITY_US)) {
             rack.confirmShort(now);
-            if (!context.servers().uplinksTold() && seen - rack.shortAt() > SECOND) {
-                // Set against what was asked then, not against what is left since some was shed.
-                double asked = rack.servers().stream()
-                        .mapToDouble(s -> headroom.base(s) + s.load().trustedChangeBy(seen))
+            if (!context.servers().uplinksReported() && measuredAt - rack.shortAt() > SECOND_US) {
+                // Compared with the demand when it was measured: some of it has been shed since.
+                double demandKb = rack.servers().stream()
+                        .mapToDouble(member ->
+                                headroom.baseLoad(member) + member.load().trustedChangeUntil(measuredAt))
                         .sum();
-                rack.lowerUplink(now, Math.max(LEAST_UPLINK * rack.toldKb(), asked * delivered));
+                rack.lowerUplink(now, Math.max(MIN_UPLINK_SHARE * rack.configuredKb(), demandKb * delivered));
             }
-        } else if (seen - server.relievedAt() > SECOND) {
-            double asked = Math.max(headroom.base(server), headroom.capacity(now, server) / delivered);
-            server.read(asked, seen, context.random().nextDouble());
+        } else if (measuredAt - server.relievedAt() > SECOND_US) {
+            double demandKb = Math.max(headroom.baseLoad(server), headroom.capacity(now, server) / delivered);
+            server.recordReading(demandKb, measuredAt, context.random().nextDouble());
         }
         relieve(now, server);
     }
 
-    /** What an uplink was lowered to long ago rises again, up to what was told. */
-    void regainUplinks(long now, long span) {
+    /** Raises estimates of uplinks that were lowered some time ago, up to the configured rate. */
+    void recoverUplinks(long now, long elapsed) {
         for (Rack rack : context.servers().racks()) {
-            if (now - rack.shortAt() > UPLINK_RISES_AFTER) {
-                rack.raiseUplink(UPLINK_RISE * rack.toldKb() * span / SECOND);
+            if (now - rack.shortAt() > UPLINK_RECOVERY_DELAY_US) {
+                rack.raiseUplink(UPLINK_RECOVERY_PER_SECOND * rack.configuredKb() * elapsed / SECOND_US);
             }
         }
     }
 
-    /** Sub-rating for what is asked beyond a link or uplink: the same drops, as often as needed. */
+    /** Steps sessions down for the demand beyond the capacity of the server's link or uplink. */
     private void relieve(long now, EdgeServer server) {
         Rack rack = server.rack();
-        relieve(now, server, FULL, server.sessions());
-        double full = now - rack.confirmedShortAt() < SECOND ? RELIEVED : RACK_FULL; // servers deliver short too
-        relieve(now, rack, full, rack.sessions());
+        relieve(now, server, LINK_RELIEF_THRESHOLD, server.sessions());
+        // Without a margin where short delivery confirms the overload.
+        double threshold = now - rack.confirmedShortAt() < SECOND_US ? RELIEF_TARGET : UPLINK_RELIEF_THRESHOLD;
+        relieve(now, rack, threshold, rack.sessions());
     }
 
-    private void relieve(long now, Link link, double full, Collection<Session> sessions) {
-        double gives = headroom.capacity(now, link);
-        long settled =
-                context.settings().limits().reportDelay() + SECOND / 2; // not for readings from before others shed
-        if (headroom.load(link) > full * gives && now - link.relievedAt() > settled) {
-            link.relieved(now);
-            steps.shed(now, sessions, -headroom.part(link, RELIEVED * gives, 1));
+    private void relieve(long now, Link link, double threshold, Collection<Session> sessions) {
+        double capacityKb = headroom.capacity(now, link);
+        // Readings from before the other brokers shed would have this broker shed again.
+        long settleTime = context.settings().limits().reportDelay() + SECOND_US / 2;
+        if (headroom.load(link) > threshold * capacityKb && now - link.relievedAt() > settleTime) {
+            link.markRelieved(now);
+            steps.shed(now, sessions, -headroom.shareOfRemainder(link, RELIEF_TARGET * capacityKb, 1));
         }
     }
 }
--- a/src/main/java/dockshed/queueing/ClassMix.java
+++ b/src/main/java/dockshed/queueing/ClassMix.java
@@ -1,23 +1,23 @@
 package dockshed.queueing;
 
-/** Arrivals of several classes of one kind, and what they are worth on the mean. */
+/** Arrivals of a group of classes, and their mean worth. */
 public final class ClassMix {
-    private double count;
-    private double worth;
+    private double arrivals;
+    private double totalWorth;
 
-    /** So many arrivals, each of that worth. */
-    public void add(double arrivals, double each) {
-        count += arrivals;
-        worth += arrivals * each;
+    /** Adds arrivals of one class. */
+    public void add(double count, double worthEach) {
+        arrivals += count;
+        totalWorth += count * worthEach;
     }
 
-    /** All arrivals. */
-    public double count() {
-        return count;
+    /** Number of arrivals. */
+    public double arrivals() {
+        return arrivals;
     }
 
-    /** The mean worth of an arrival. */
+    /** Mean worth of an arrival; NaN without arrivals. */
     public double meanWorth() {
-        return worth / count;
+        return totalWorth / arrivals;
     }
 }
--- a/src/main/java/dockshed/queueing/StayEstimate.java
+++ b/src/main/java/dockshed/queueing/StayEstimate.java
@@ -1,39 +1,39 @@
 package dockshed.queueing;
 
-/** How long sessions stay, from those that have ended and a prior of some that count as seen. */
+/** Estimates how long sessions stay, from ended sessions and a prior. */
 public final class StayEstimate {
-    private double played;
+    private double totalSeconds;
     private double ends;
 
-    /** A prior mean in seconds, which weighs as much as so many ends. */
+    /** Starts from a prior mean in seconds that weighs as much as {@code priorEnds} ended sessions. */
     public StayEstimate(double priorMean, double priorEnds) {
-        played = priorMean * priorEnds;
+        totalSeconds = priorMean * priorEnds;
         ends = priorEnds;
     }
 
-    /** A session is over after that many seconds; one that was cut off has been seen to stay, not to end. */
-    public void ended(double seconds, boolean byItself) {
-        played += seconds;
-        ends += byItself ? 1 : 0;
+    /** Records a session that is over. One that was cut off counts with its duration but not as an end. */
+    public void recordEnd(double seconds, boolean normally) {
+        totalSeconds += seconds;
+        ends += normally ? 1 : 0;
     }
 
     /** Mean stay in seconds. */
-    public double mean() {
-        return played / ends;
+    public double meanSeconds() {
+        return totalSeconds / ends;
     }
 
-    /** Ends a second of each session. */
-    public double rate() {
-        return ends / played;
+    /** Ends per second of each session. */
+    public double endRate() {
+        return ends / totalSeconds;
     }
 
-    /** Sessions at once in the long run at that many arrivals a second, by Little's law. */
-    public double atOnce(double arrivals) {
-        return arrivals * played / ends;
+    /** Mean number of concurrent sessions at a number of arrivals per second, by Little's law. */
+    public double concurrentSessions(double arrivalsPerSecond) {
+        return arrivalsPerSecond * totalSeconds / ends;
     }
 
-    /** The part of sessions that is still there after that many seconds. */
-    public double remaining(double seconds) {
-        return Math.exp(-seconds * ends / played);
+    /** Share of sessions that is still playing after {@code seconds}. */
+    public double remainingShare(double seconds) {
+        return Math.exp(-seconds * ends / totalSeconds);
     }
 }
