--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -328,7 +328,7 @@
      * @param highestRendition index of the highest rendition that the client can play
      * @param retry whether the client repeats an earlier request
      * @param afterMove whether its session was moved off a server
-     * @param afterRefusal whether the client says that it comes again
+     * @param returning whether the client says that this is not its first try
      */
     record Request(
             String id,
