--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -31,7 +31,7 @@
     /** Peers' promises are believed for so long. */
     private static final long PEER_STATUS_VALIDITY_US = 3_000_000;
 
-    private static final Logger LOG = LoggerFactory.getLogger(RetryStormFilter.class);
+    private static final Logger LOG = LoggerFactory.getLogger("dockshed.storm.Damper");
 
     /** Counts since the start. */
     public static final class Counts {
