--- a/src/main/java/dockshed/storm/ColdServerLimiter.java
+++ b/src/main/java/dockshed/storm/ColdServerLimiter.java
@@ -13,52 +13,54 @@
 import java.util.zip.CRC32C;
 
 /**
- * The pace of freshly started boxes (rule 4): what each can take now, this broker's part of it, and what the whole
- * fleet has spent as far as it is told. Own set-ups are let through as tokens that come at the box's pace, so neither a
- * burst right after a start nor a second of a clock that stood still exceeds it.
+ * Limits the set-ups sent to freshly started (cold) edge servers (rule 4): the rate that each accepts at its warmth, this
+ * broker's share of that rate, and the set-ups of the whole fleet as far as the other brokers report them. This broker's
+ * set-ups take tokens that are refilled at the server's rate, so that neither a burst right after a start nor a second in
+ * which the clock stood still exceeds the rate.
  */
 final class ColdServerLimiter {
-    /** Tokens that an unused pace may save up, in microseconds of it. */
-    private static final long SAVED = 400_000;
-    /** A peer's word on what it spent counts for the rule's window and no longer. */
-    private static final int MOST_PEERS = 256;
-    /** Of an even part of what a box can take, the least of a broker that others outbid, and the most of one that outbids. */
-    private static final double LEAST_PART = 0.5;
-
-    private static final double MOST_PART = 1.5;
+    /** Time for which an unused rate may accumulate tokens. */
+    private static final long MAX_SAVED_TOKENS_US = 400_000;
+    /** Brokers whose set-ups are counted per server; a count is used for the overload window only. */
+    private static final int MAX_PEERS = 256;
+    /** The least share of a broker over an equal share, however many arrivals the others have. */
+    private static final double MIN_SHARE_FACTOR = 0.5;
+    /** The largest share of a broker over an equal share, however few arrivals the others have. */
+    private static final double MAX_SHARE_FACTOR = 1.5;
 
     private static final class TrackedServer {
-        final int hash;
+        final int idHash;
         int streams = 1;
         boolean up;
-        boolean maybe; // cold only for want of news
-        boolean hearsay; // cold by a peer's word alone
-        long since = Long.MIN_VALUE; // of its start, as far as known
+        boolean assumedCold; // its start is not known, as the list is from before this broker's restart
+        boolean reportedByPeer; // cold according to another broker only
+        long startedAt = Long.MIN_VALUE; // as far as known
         double tokens;
-        long countedAt;
-        SlidingWindowCounter sent;
-        final Map<Integer, long[]> peers = new HashMap<>(); // by peer: how many, heard when
+        long refilledAt;
+        SlidingWindowCounter setUps; // by this broker
+        final Map<Integer, long[]> peerSetUps = new HashMap<>(); // by broker: set-ups, time received
 
-        TrackedServer(int hash) {
-            this.hash = hash;
+        TrackedServer(int idHash) {
+            this.idHash = idHash;
         }
     }
 
-    /** A box that is cold: its hash, and what this broker sent it within the rule's window. */
+    /** Set-ups that a broker sent to a cold server within the overload window; {@code idHash}: CRC-32C of the id. */
     record ServerUsage(int idHash, int setUps) {}
 
     private final Settings settings;
     private final Terms terms;
-    private final LinkedHashMap<String, TrackedServer> boxes = new LinkedHashMap<>(); // bounded by the list
-    private double part;
-    private long newsSince = Long.MAX_VALUE; // the list has been fresh since then
+    private final LinkedHashMap<String, TrackedServer> trackedServers = new LinkedHashMap<>(); // bounded by the list
+    private double share;
+    private long freshListSince = Long.MAX_VALUE; // MAX_VALUE: the list is from before this broker's restart
 
     ColdServerLimiter(Settings settings, Terms terms) {
         this.settings = settings;
         this.terms = terms;
-        part = 1.0 / settings.brokers();
+        share = 1.0 / settings.brokers();
     }
 
+    /** CRC-32C of a server's id, by which the brokers' messages name it. */
     static int idHash(String id) {
         CRC32C crc = new CRC32C();
         crc.update(id.getBytes(StandardCharsets.UTF_8));
@@ -67,165 +69,183 @@
 
     void updateServers(long now, ListScope scope, List<Server> servers) {
         if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
-            List<String> named = servers.stream().map(Server::id).toList();
-            boxes.keySet().removeIf(id -> !named.contains(id));
+            List<String> ids = servers.stream().map(Server::id).toList();
+            trackedServers.keySet().removeIf(id -> !ids.contains(id));
         }
         if (scope == ListScope.DISK) {
-            newsSince = Long.MAX_VALUE;
-        } else if (newsSince == Long.MAX_VALUE) {
-            newsSince = now; // fresh news names all that changed since the list was kept
-            for (TrackedServer b : boxes.values()) {
-                if (b.maybe) {
-                    warm(b);
+            freshListSince = Long.MAX_VALUE;
+        } else if (freshListSince == Long.MAX_VALUE) {
+            freshListSince = now;
+            // A current list names every server that changed since the stored list was written; the others are warm.
+            for (TrackedServer tracked : trackedServers.values()) {
+                if (tracked.assumedCold) {
+                    markWarm(tracked);
                 }
             }
         }
-        for (Server s : servers) {
-            if (s.state() == State.GONE) {
-                boxes.remove(s.id());
+        for (Server server : servers) {
+            if (server.state() == State.GONE) {
+                trackedServers.remove(server.id());
                 continue;
             }
-            TrackedServer b = boxes.computeIfAbsent(s.id(), id -> new TrackedServer(idHash(id)));
-            b.streams = settings.streams(s.kind());
-            b.up = s.state() == State.UP;
-            if (s.upSince() > 0 && s.upSince() > b.since) {
-                begin(now, b, s.upSince());
-            } else if (scope == ListScope.DISK && b.since == Long.MIN_VALUE) {
-                begin(now, b, now);
-                b.maybe = true;
+            TrackedServer tracked = trackedServers.computeIfAbsent(server.id(), id -> new TrackedServer(idHash(id)));
+            tracked.streams = settings.streams(server.kind());
+            tracked.up = server.state() == State.UP;
+            if (server.upSince() > 0 && server.upSince() > tracked.startedAt) {
+                markCold(now, tracked, server.upSince());
+            } else if (scope == ListScope.DISK && tracked.startedAt == Long.MIN_VALUE) {
+                markCold(now, tracked, now);
+                tracked.assumedCold = true;
             }
         }
     }
 
-    private static void warm(TrackedServer b) {
-        b.maybe = false;
-        b.since = Long.MIN_VALUE;
+    private static void markWarm(TrackedServer tracked) {
+        tracked.assumedCold = false;
+        tracked.startedAt = Long.MIN_VALUE;
     }
 
-    /** Whether all cold boxes are known here, and fit into a note: what it does not name is then warm. */
-    boolean knowsAllCold(long now, int most) {
-        return newsSince <= now
-                && boxes.values().stream().noneMatch(b -> b.maybe)
-                && boxes.values().stream()
-                                .filter(b -> !Double.isInfinite(acceptableRate(now, b)))
+    /** Whether all cold servers are known and at most {@code maxServers}: one that a message doesn't name is then warm. */
+    boolean knowsAllCold(long now, int maxServers) {
+        return freshListSince <= now
+                && trackedServers.values().stream().noneMatch(tracked -> tracked.assumedCold)
+                && trackedServers.values().stream()
+                                .filter(tracked -> !Double.isInfinite(acceptableRate(now, tracked)))
                                 .count()
-                        <= most;
+                        <= maxServers;
     }
 
-    /** The box's process is gone, as its connections tell: what answers next is freshly started. */
+    /** The server's process has ended, as its connections show: what answers next is freshly started. */
     void recordLost(long now, String server) {
-        TrackedServer b = boxes.get(server);
-        if (b != null) {
-            begin(now, b, now);
+        TrackedServer tracked = trackedServers.get(server);
+        if (tracked != null) {
+            markCold(now, tracked, now);
         }
     }
 
-    private void begin(long now, TrackedServer b, long since) {
-        b.since = since;
-        b.maybe = false;
-        b.hearsay = false;
-        // As many brokers as a window of the fall bears may each begin with one at once, as the module alone lets them.
-        double budget =
-                settings.rules().overloadMultiple() * settings.rules().overloadWindow() / 1e6 * acceptableRate(now, b);
-        b.tokens = settings.brokers() <= budget ? 1 : 0;
-        b.countedAt = now;
-        b.sent = new SlidingWindowCounter(
+    private void markCold(long now, TrackedServer tracked, long startedAt) {
+        tracked.startedAt = startedAt;
+        tracked.assumedCold = false;
+        tracked.reportedByPeer = false;
+        // Brokers may each begin with one set-up at once if the overload window bears one of every broker, as the
+        // decision
+        // module by itself would let them.
+        double budget = settings.rules().overloadMultiple()
+                * settings.rules().overloadWindow()
+                / 1e6
+                * acceptableRate(now, tracked);
+        tracked.tokens = settings.brokers() <= budget ? 1 : 0;
+        tracked.refilledAt = now;
+        tracked.setUps = new SlidingWindowCounter(
                 100_000, Math.max(100_000, settings.rules().overloadWindow()));
-        b.peers.clear();
+        tracked.peerSetUps.clear();
     }
 
-    /** Set-ups a second that the box can take; without bound once it is warm. */
-    private double acceptableRate(long now, TrackedServer b) {
+    /** Set-ups a second that the server accepts; infinite once it is warm. */
+    private double acceptableRate(long now, TrackedServer tracked) {
         long warmUp = settings.rules().warmUp();
-        if (b.since == Long.MIN_VALUE || now - b.since >= warmUp) {
+        if (tracked.startedAt == Long.MIN_VALUE || now - tracked.startedAt >= warmUp) {
             return Double.POSITIVE_INFINITY;
         }
-        return b.streams * 1e6 / warmUp * settings.rules().warmth(now, b.since);
+        return tracked.streams * 1e6 / warmUp * settings.rules().warmth(now, tracked.startedAt);
     }
 
+    /** Set-ups a second that the server accepts; infinite if it is warm or unknown. */
     double acceptableRate(long now, String server) {
-        TrackedServer b = boxes.get(server);
-        return b == null ? Double.POSITIVE_INFINITY : acceptableRate(now, b);
+        TrackedServer tracked = trackedServers.get(server);
+        return tracked == null ? Double.POSITIVE_INFINITY : acceptableRate(now, tracked);
     }
 
-    /** This broker's part of a cold box's pace, by its part of the fleet's arrivals: half to one and a half of an even one. */
-    void part(double ofArrivals) {
-        double even = 1.0 / settings.brokers();
-        part = Math.max(LEAST_PART * even, Math.min(Math.min(1, MOST_PART * even), ofArrivals));
+    /** Sets this broker's share of a cold server's rate to its share of the fleet's arrivals, within the bounds above. */
+    void setShare(double ofArrivals) {
+        double equalShare = 1.0 / settings.brokers();
+        share = Math.max(
+                MIN_SHARE_FACTOR * equalShare, Math.min(Math.min(1, MAX_SHARE_FACTOR * equalShare), ofArrivals));
     }
 
-    private void refill(long now, TrackedServer b) {
-        double pace = terms.coldAim() * acceptableRate(now, b) * part;
-        b.tokens = Math.min(Math.max(1, pace * SAVED / 1e6), b.tokens + pace * (now - b.countedAt) / 1e6);
-        b.countedAt = now;
+    private void refill(long now, TrackedServer tracked) {
+        double rate = terms.coldAim() * acceptableRate(now, tracked) * share;
+        tracked.tokens = Math.min(
+                Math.max(1, rate * MAX_SAVED_TOKENS_US / 1e6),
+                tracked.tokens + rate * (now - tracked.refilledAt) / 1e6);
+        tracked.refilledAt = now;
     }
 
+    /** Whether one more set-up may be sent to the server now; always for a warm or unknown one. */
     boolean permits(long now, String server) {
-        TrackedServer b = boxes.get(server);
-        if (b == null || Double.isInfinite(acceptableRate(now, b))) {
+        TrackedServer tracked = trackedServers.get(server);
+        if (tracked == null || Double.isInfinite(acceptableRate(now, tracked))) {
             return true;
         }
-        refill(now, b);
-        double fleet = b.sent.sum(now, settings.rules().overloadWindow());
-        for (long[] told : b.peers.values()) {
-            fleet += now - told[1] < settings.rules().overloadWindow() ? told[0] : 0;
+        refill(now, tracked);
+        double fleetSetUps = tracked.setUps.sum(now, settings.rules().overloadWindow());
+        for (long[] reported : tracked.peerSetUps.values()) {
+            fleetSetUps += now - reported[1] < settings.rules().overloadWindow() ? reported[0] : 0;
         }
-        double window = Math.max(
-                1, terms.coldAim() * acceptableRate(now, b) * settings.rules().overloadWindow() / 1e6);
-        return b.tokens >= 1 && fleet + 1 <= window;
+        double maxSetUps = Math.max(
+                1,
+                terms.coldAim()
+                        * acceptableRate(now, tracked)
+                        * settings.rules().overloadWindow()
+                        / 1e6);
+        return tracked.tokens >= 1 && fleetSetUps + 1 <= maxSetUps;
     }
 
     void recordSetUp(long now, String server) {
-        TrackedServer b = boxes.get(server);
-        if (b != null && !Double.isInfinite(acceptableRate(now, b))) {
-            refill(now, b);
-            b.tokens -= 1;
-            b.sent.add(now, 1);
+        TrackedServer tracked = trackedServers.get(server);
+        if (tracked != null && !Double.isInfinite(acceptableRate(now, tracked))) {
+            refill(now, tracked);
+            tracked.tokens -= 1;
+            tracked.setUps.add(now, 1);
         }
     }
 
-    /** What cold boxes were sent lately, for a note; at most so many, the most spent first. */
-    List<ServerUsage> usage(long now, int most) {
-        List<ServerUsage> out = new ArrayList<>();
-        for (TrackedServer b : boxes.values()) {
-            if (!Double.isInfinite(acceptableRate(now, b)) && !b.hearsay) { // or a word would go round for ever
-                out.add(new ServerUsage(b.hash, (int)
-                        Math.min(255, b.sent.sum(now, settings.rules().overloadWindow()))));
+    /** This broker's set-ups to cold servers, for a message: at most {@code maxServers}, those with the most first. */
+    List<ServerUsage> usage(long now, int maxServers) {
+        List<ServerUsage> usages = new ArrayList<>();
+        for (TrackedServer tracked : trackedServers.values()) {
+            // A peer's report is not passed on: brokers would repeat it to one another for ever.
+            if (!Double.isInfinite(acceptableRate(now, tracked)) && !tracked.reportedByPeer) {
+                usages.add(new ServerUsage(tracked.idHash, (int)
+                        Math.min(255, tracked.setUps.sum(now, settings.rules().overloadWindow()))));
             }
         }
-        out.sort((x, y) -> Integer.compare(y.setUps(), x.setUps()));
-        return out.size() > most ? out.subList(0, most) : out;
+        usages.sort((x, y) -> Integer.compare(y.setUps(), x.setUps()));
+        return usages.size() > maxServers ? usages.subList(0, maxServers) : usages;
     }
 
-    /** A peer's word on what it spent; where it knows all, what it does not name has been running for long. */
-    void applyPeerUsage(long now, int peer, List<ServerUsage> told, boolean knows) {
-        for (TrackedServer b : boxes.values()) {
-            if (knows && b.maybe && told.stream().noneMatch(s -> s.idHash() == b.hash)) {
-                warm(b);
+    /** Records another broker's set-ups. {@code knowsAllCold}: servers that it doesn't name started long ago. */
+    void applyPeerUsage(long now, int peer, List<ServerUsage> usages, boolean knowsAllCold) {
+        for (TrackedServer tracked : trackedServers.values()) {
+            if (knowsAllCold
+                    && tracked.assumedCold
+                    && usages.stream().noneMatch(usage -> usage.idHash() == tracked.idHash)) {
+                markWarm(tracked);
             }
-            for (ServerUsage s : told) {
-                boolean news = b.since == Long.MIN_VALUE
-                        || now - b.since > 2 * settings.rules().warmUp();
-                if (knows && b.hash == s.idHash() && news) {
-                    begin(now, b, now); // the list tells late: the worse news counts
-                    b.hearsay = true;
+            for (ServerUsage usage : usages) {
+                boolean notYetKnown = tracked.startedAt == Long.MIN_VALUE
+                        || now - tracked.startedAt > 2 * settings.rules().warmUp();
+                if (knowsAllCold && tracked.idHash == usage.idHash() && notYetKnown) {
+                    markCold(now, tracked, now); // the list reports a start late, so the peer's report is believed
+                    tracked.reportedByPeer = true;
                 }
-                if (b.hash == s.idHash() && (b.peers.size() < MOST_PEERS || b.peers.containsKey(peer))) {
-                    b.peers.put(peer, new long[] {s.setUps(), now});
+                if (tracked.idHash == usage.idHash()
+                        && (tracked.peerSetUps.size() < MAX_PEERS || tracked.peerSetUps.containsKey(peer))) {
+                    tracked.peerSetUps.put(peer, new long[] {usage.setUps(), now});
                 }
             }
         }
     }
 
     /**
-     * Set-ups a second that all boxes take together for this broker; without bound while a warm one is up, and where
-     * none is: what becomes of requests then is the module's to say.
+     * Set-ups a second that all servers together accept from this broker. Infinite while a warm server is up, and while no
+     * server is up: what becomes of requests then is up to the decision module.
      */
     double totalRate(long now) {
-        double all = 0;
-        for (TrackedServer b : boxes.values()) {
-            all += b.up ? terms.coldAim() * acceptableRate(now, b) * part : 0;
+        double total = 0;
+        for (TrackedServer tracked : trackedServers.values()) {
+            total += tracked.up ? terms.coldAim() * acceptableRate(now, tracked) * share : 0;
         }
-        return all > 0 ? all : Double.POSITIVE_INFINITY;
+        return total > 0 ? total : Double.POSITIVE_INFINITY;
     }
 }
--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -14,39 +14,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The storm part as the broker meets it: a director that stands before the decision module. Every event passes through;
- * a request may wait for its turn or be turned away before the module sees it, every refusal becomes an appointment, and
- * the module is told what the budget of further attempts and the pace of cold boxes leave.
+ * Limits the load of retry storms: a director between the broker and the decision module. Every event passes through it.
+ * A request may be queued or refused before the module receives it, every refusal advises a return time, and the module
+ * learns through its {@link Director.Actions} what the retry budget and the pace of freshly started edge servers allow.
  */
 public final class RetryStormFilter extends DirectorFilter {
-    private static final String KEY = "storm";
-    /** Between turns while requests wait, and between looks while none does. */
+    private static final String TIMER_KEY = "storm";
+    /** Time between timer events while requests are queued. */
     private static final long QUEUE_INTERVAL_US = 20_000;
-
+    /** Time between timer events while no request is queued. */
     private static final long IDLE_INTERVAL_US = 250_000;
-    /** Of the room expected, what returns get at least however many fresh viewers come. */
+    /** Share of the expected set-up rate that is kept for returning viewers, however many first requests arrive. */
     private static final double MIN_RETURN_SHARE = 0.3;
 
     private static final double MIN_RETURNS_PER_SECOND = 0.2;
-    /** Peers' promises are believed for so long. */
+    /** Age up to which the last status of another broker is used. */
     private static final long PEER_STATUS_VALIDITY_US = 3_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger("dockshed.storm.Damper");
 
     /** Counts since the start. */
     public static final class Counts {
+        /** Requests of known classes. */
         public long requests;
+        /** Requests that entered the admission queue. */
         public long waited;
+        /** Requests refused before the decision module received them. */
         public long turnedAway;
+        /** Refusals that assigned a new return time; an early return that keeps its time is not counted. */
         public long returnTimesGiven;
+        /** Of them, those drawn at random because the calendar had no free slot. */
         public long unscheduledReturnTimes;
+        /** Returns at or after the advised time. */
         public long returnsOnTime;
+        /** Returns before the advised time. */
         public long returnsEarly;
+        /** Returns of viewers that had not been given a time. */
         public long returnsWithoutTime;
+        /** Retries of the broker that the retry budget did not allow. */
         public long retriesDenied;
+        /** Status messages sent to the other brokers. */
         public long messagesSent;
+        /** Status messages received and used. */
         public long messagesReceived;
+        /** Status messages that could not be read or did not come from another broker of the fleet. */
         public long messagesDiscarded;
+        /** Viewers removed from the request history because it was full. */
         public long evictedViewers;
 
         @Override
@@ -58,31 +71,31 @@
         }
     }
 
-    /** A request that the module holds. */
+    /** A request that the decision module has received and not answered. */
     private static final class ActiveRequest {
-        final ViewerRecord visit;
+        final ViewerRecord viewerRecord;
         final String key;
-        final ReturnKind standing;
-        final boolean again;
+        final ReturnKind returnKind;
+        final boolean isRetry;
         int attempts;
 
-        ActiveRequest(ViewerRecord visit, String key, ReturnKind standing, boolean again) {
-            this.again = again;
-            this.visit = visit;
+        ActiveRequest(ViewerRecord viewerRecord, String key, ReturnKind returnKind, boolean isRetry) {
+            this.isRetry = isRetry;
+            this.viewerRecord = viewerRecord;
             this.key = key;
-            this.standing = standing;
+            this.returnKind = returnKind;
         }
     }
 
-    private record PeerStatus(StormMessage note, long at) {}
+    private record PeerStatus(StormMessage message, long receivedAt) {}
 
     private final Settings settings;
     private final Terms terms;
-    private final Director.Actions out;
+    private final Director.Actions actions;
     private final SplittableRandom random;
     private final Map<String, SessionClass> classes = new HashMap<>();
-    private final Map<String, ActiveRequest> held = new HashMap<>(); // bounded by the broker's own table
-    private final Map<Integer, PeerStatus> peers = new HashMap<>(); // bounded by the tier
+    private final Map<String, ActiveRequest> activeRequests = new HashMap<>(); // bounded by the broker's session table
+    private final Map<Integer, PeerStatus> peerStatuses = new HashMap<>(); // bounded by the number of brokers
     private final StormDetector detector;
     private final ReturnCalendar calendar;
     private final RequestHistory history;
@@ -90,13 +103,13 @@
     private final RetryBudget budget;
     private final ColdServerLimiter coldServers;
     private final CapacityEstimate capacity = new CapacityEstimate();
-    private final SlidingWindowCounter freshRequests = new SlidingWindowCounter(100_000, StormDetector.FAST_WINDOW_US);
+    private final SlidingWindowCounter firstRequests = new SlidingWindowCounter(100_000, StormDetector.FAST_WINDOW_US);
     private final Counts counts = new Counts();
-    private long now;
+    private long eventTime;
     private long lastMessageAt;
     private long timerAt = Long.MAX_VALUE;
 
-    /** Puts the part between a broker's actions and the module that is built on them. */
+    /** Returns a factory that puts a filter between a broker's actions and the module built by {@code module}. */
     public static Function<Director.Actions, Director> before(
             Settings settings, Terms terms, long seed, Function<Director.Actions, Director> module) {
         return actions -> new RetryStormFilter(settings, terms, seed, actions, module);
@@ -106,17 +119,17 @@
             Settings settings,
             Terms terms,
             long seed,
-            Director.Actions out,
+            Director.Actions actions,
             Function<Director.Actions, Director> module) {
         this.settings = settings;
         this.terms = terms;
-        this.out = out;
+        this.actions = actions;
         random = new SplittableRandom(seed);
         settings.classes().forEach(c -> classes.put(c.name(), c));
         List<Double> rates = settings.ladder().rates();
-        double usual =
+        double expectedRate =
                 settings.ladder().linksKb() / (rates.get(rates.size() / 2) * ASSUMED_SESSION_S) / settings.brokers();
-        detector = new StormDetector(terms, Math.max(0.5, usual), settings.brokers());
+        detector = new StormDetector(terms, Math.max(0.5, expectedRate), settings.brokers());
         calendar = new ReturnCalendar(terms.slot());
         history = new RequestHistory(terms);
         queue = new AdmissionQueue(terms);
@@ -125,7 +138,7 @@
         this.nextDirector = module.apply(new ModuleActions());
     }
 
-    /** Seconds of a session, before any was seen. */
+    /** Length of a session, for the expected arrival rate before any arrivals have been measured. */
     private static final double ASSUMED_SESSION_S = 25;
 
     public Counts counts() {
@@ -134,7 +147,7 @@
         return counts;
     }
 
-    /** For the log and measurements: CALM, RISING, STORM or EBBING. */
+    /** The detector's state, for the log and measurements: CALM, RISING, STORM or EBBING. */
     public String state() {
         return detector.state().name();
     }
@@ -148,408 +161,417 @@
     }
 
     int pendingReturns() {
-        return calendar.pending(now);
+        return calendar.pending(eventTime);
     }
 
     // ---- Requests.
 
     @Override
-    public void request(long at, Request r) {
-        beforeEvent(at);
-        SessionClass cls = classes.get(r.className());
-        if (cls == null) {
-            nextDirector.request(at, r); // the module's to fail
+    public void request(long now, Request request) {
+        beforeEvent(now);
+        SessionClass sessionClass = classes.get(request.className());
+        if (sessionClass == null) {
+            nextDirector.request(now, request); // failing it is left to the decision module
             return;
         }
         counts.requests++;
-        String key = RequestHistory.key(r.viewer(), r.title(), r.className());
-        ViewerRecord visit = history.recordRequest(at, key);
-        ReturnKind standing = history.returnKind(at, visit);
-        boolean again = visit.requests > 1 || r.retry() || r.afterRefusal();
-        detector.recordArrival(at, again && !r.afterMove());
-        if (!again) {
-            freshRequests.add(at, 1);
-            budget.fresh(at);
-        }
-        counts.returnsOnTime += standing == ReturnKind.KEPT ? 1 : 0;
-        counts.returnsEarly += standing == ReturnKind.EARLY ? 1 : 0;
-        counts.returnsWithoutTime += standing == ReturnKind.UNTOLD ? 1 : 0;
-        if (standing == ReturnKind.KEPT) {
-            unbook(visit);
-        }
-        look(at);
-        QueuedRequest w = new QueuedRequest(r, cls, visit, standing, at);
-        double pace = coldServers.totalRate(at);
-        if (queue.isEmpty() && capacity.mayAdmit(at, pace)) {
-            pass(w);
+        String key = RequestHistory.key(request.viewer(), request.title(), request.className());
+        ViewerRecord viewerRecord = history.recordRequest(now, key);
+        ReturnKind returnKind = history.returnKind(now, viewerRecord);
+        boolean isRetry = viewerRecord.requests > 1 || request.retry() || request.afterRefusal();
+        detector.recordArrival(now, isRetry && !request.afterMove());
+        if (!isRetry) {
+            firstRequests.add(now, 1);
+            budget.recordFirstRequest(now);
+        }
+        counts.returnsOnTime += returnKind == ReturnKind.KEPT ? 1 : 0;
+        counts.returnsEarly += returnKind == ReturnKind.EARLY ? 1 : 0;
+        counts.returnsWithoutTime += returnKind == ReturnKind.UNTOLD ? 1 : 0;
+        if (returnKind == ReturnKind.KEPT) {
+            cancelBooking(viewerRecord);
+        }
+        evaluateStorm(now);
+        QueuedRequest queued = new QueuedRequest(request, sessionClass, viewerRecord, returnKind, now);
+        double coldRate = coldServers.totalRate(now);
+        if (queue.isEmpty() && capacity.mayAdmit(now, coldRate)) {
+            admit(queued);
             return;
         }
-        QueuedRequest away = terms.hold() == 0 ? w : queue.offer(at, w, CapacityEstimate.admissionRate(pace));
-        counts.waited += away != w ? 1 : 0;
-        if (away != null) {
-            turnAway(away);
+        QueuedRequest rejected =
+                terms.hold() == 0 ? queued : queue.offer(now, queued, CapacityEstimate.admissionRate(coldRate));
+        counts.waited += rejected != queued ? 1 : 0;
+        if (rejected != null) {
+            refuseQueued(rejected);
         }
-        arm(at + QUEUE_INTERVAL_US);
+        scheduleTimer(now + QUEUE_INTERVAL_US);
     }
 
-    /** Hands a request to the module. */
-    private void pass(QueuedRequest w) {
-        capacity.recordAdmitted(coldServers.totalRate(now));
-        Request r = w.request();
-        held.put(
-                r.id(),
+    /** Passes a request to the decision module. The time that it was queued is taken off the client deadline. */
+    private void admit(QueuedRequest queued) {
+        capacity.recordAdmitted(coldServers.totalRate(eventTime));
+        Request request = queued.request();
+        activeRequests.put(
+                request.id(),
                 new ActiveRequest(
-                        w.viewerRecord(),
-                        RequestHistory.key(r.viewer(), r.title(), r.className()),
-                        w.returnKind(),
-                        w.viewerRecord().requests > 1 || r.retry() || r.afterRefusal()));
-        long waited = now - w.arrivedAt();
+                        queued.viewerRecord(),
+                        RequestHistory.key(request.viewer(), request.title(), request.className()),
+                        queued.returnKind(),
+                        queued.viewerRecord().requests > 1 || request.retry() || request.afterRefusal()));
+        long waited = eventTime - queued.arrivedAt();
         nextDirector.request(
-                now,
+                eventTime,
                 waited == 0
-                        ? r
+                        ? request
                         : new Request(
-                                r.id(),
-                                r.className(),
-                                r.viewer(),
-                                r.title(),
-                                r.clientDeadline() - waited,
-                                r.expectedDuration(),
-                                r.homeCell(),
-                                r.copies(),
-                                r.highestRendition(),
-                                r.retry(),
-                                r.afterMove(),
-                                r.afterRefusal()));
+                                request.id(),
+                                request.className(),
+                                request.viewer(),
+                                request.title(),
+                                request.clientDeadline() - waited,
+                                request.expectedDuration(),
+                                request.homeCell(),
+                                request.copies(),
+                                request.highestRendition(),
+                                request.retry(),
+                                request.afterMove(),
+                                request.afterRefusal()));
     }
 
-    /** Refuses, at once, a request that never went out. */
-    private void turnAway(QueuedRequest w) {
+    /** Refuses a request that the decision module never received. */
+    private void refuseQueued(QueuedRequest queued) {
         counts.turnedAway++;
-        detector.recordFailure(now);
-        out.refuse(w.request().id(), appoint(w.request().id(), w.viewerRecord(), w.returnKind()));
+        detector.recordFailure(eventTime);
+        actions.refuse(
+                queued.request().id(),
+                assignReturnTime(queued.request().id(), queued.viewerRecord(), queued.returnKind()));
     }
 
-    private void turn(long at) {
-        for (QueuedRequest w : queue.removeExpired(at)) {
-            turnAway(w);
+    private void serveQueue(long now) {
+        for (QueuedRequest expired : queue.removeExpired(now)) {
+            refuseQueued(expired);
         }
-        double pace = coldServers.totalRate(at);
-        while (!queue.isEmpty() && capacity.mayAdmit(at, pace)) {
-            pass(queue.poll(at));
+        double coldRate = coldServers.totalRate(now);
+        while (!queue.isEmpty() && capacity.mayAdmit(now, coldRate)) {
+            admit(queue.poll(now));
         }
     }
 
-    // ---- Appointments.
+    // ---- Return times.
 
-    private void unbook(ViewerRecord v) {
-        if (v.booked) {
-            calendar.cancel(v.returnAt);
-            v.booked = false;
+    private void cancelBooking(ViewerRecord viewerRecord) {
+        if (viewerRecord.booked) {
+            calendar.cancel(viewerRecord.returnAt);
+            viewerRecord.booked = false;
         }
     }
 
-    /** When the viewer is to come back, from now; 0 where no time may be told. */
-    private long appoint(String request, ViewerRecord v, ReturnKind standing) {
+    /** Microseconds from now after which the viewer is to return; 0 if no time may be advised. */
+    private long assignReturnTime(String request, ViewerRecord viewerRecord, ReturnKind returnKind) {
         long longest = settings.limits().maxRetryAfter();
         longest = terms.longest() > 0 ? Math.min(terms.longest(), longest) : longest;
-        long unit = Math.max(1, out.retryAfterUnit(request));
+        long unit = Math.max(1, actions.retryAfterUnit(request));
         if (longest < unit) {
-            v.returnAt = 0;
+            viewerRecord.returnAt = 0;
             return 0;
         }
-        if (standing == ReturnKind.EARLY && v.returnAt > now) {
-            v.refusedAt = now;
-            return inUnits(v, v.returnAt - now, longest, unit); // what it had, neither more nor less
+        if (returnKind == ReturnKind.EARLY && viewerRecord.returnAt > eventTime) {
+            viewerRecord.refusedAt = eventTime;
+            // Returning early changes nothing: the viewer keeps the time that it had.
+            return roundToUnits(viewerRecord, viewerRecord.returnAt - eventTime, longest, unit);
         }
-        unbook(v);
+        cancelBooking(viewerRecord);
         long soonest = Math.min(terms.soonest(), longest);
-        long back;
+        long delay;
         if (terms.returns() == Terms.Returns.FIXED) {
-            back = longest;
+            delay = longest;
         } else if (terms.returns() == Terms.Returns.JITTER) {
-            back = soonest + random.nextLong(longest - soonest + 1);
+            delay = soonest + random.nextLong(longest - soonest + 1);
         } else {
-            long found = calendar.book(
-                    now,
-                    now + soonest,
-                    now + longest,
+            long bookedTime = calendar.book(
+                    eventTime,
+                    eventTime + soonest,
+                    eventTime + longest,
                     returnsPerSecond(),
-                    this::promisedElsewhere,
+                    this::bookedElsewhere,
                     random.nextDouble());
-            v.booked = found >= 0;
-            counts.unscheduledReturnTimes += v.booked ? 0 : 1;
-            back = v.booked ? found - now : longest / 2 + random.nextLong(longest / 2 + 1);
+            viewerRecord.booked = bookedTime >= 0;
+            counts.unscheduledReturnTimes += viewerRecord.booked ? 0 : 1;
+            delay = viewerRecord.booked ? bookedTime - eventTime : longest / 2 + random.nextLong(longest / 2 + 1);
         }
         counts.returnTimesGiven++;
-        v.refusedAt = now;
-        v.returnAt = now + back;
-        return inUnits(v, back, longest, unit);
+        viewerRecord.refusedAt = eventTime;
+        viewerRecord.returnAt = eventTime + delay;
+        return roundToUnits(viewerRecord, delay, longest, unit);
     }
 
-    /** In whole units, up or down by chance so that the mean and the spread survive. */
-    private long inUnits(ViewerRecord v, long back, long longest, long unit) {
-        long whole = back / unit + (random.nextLong(unit) < back % unit ? 1 : 0);
-        long told = Math.max(1, Math.min(whole, longest / unit)) * unit;
-        if (v.booked && calendar.slotOf(v.returnAt) != calendar.slotOf(now + told)) {
-            calendar.cancel(v.returnAt);
-            calendar.bookUnconditionally(now + told);
+    /** Rounds a delay up or down to whole units at random, so that the mean and the spread of the delays are kept. */
+    private long roundToUnits(ViewerRecord viewerRecord, long delay, long longest, long unit) {
+        long wholeUnits = delay / unit + (random.nextLong(unit) < delay % unit ? 1 : 0);
+        long rounded = Math.max(1, Math.min(wholeUnits, longest / unit)) * unit;
+        if (viewerRecord.booked && calendar.slotOf(viewerRecord.returnAt) != calendar.slotOf(eventTime + rounded)) {
+            calendar.cancel(viewerRecord.returnAt);
+            calendar.bookUnconditionally(eventTime + rounded);
         }
-        v.returnAt = now + told;
-        return told;
+        viewerRecord.returnAt = eventTime + rounded;
+        return rounded;
     }
 
-    /** Returns go to any broker of the hall, so the room that counts is the mean of those that live, as far as told. */
+    /** Mean return capacity of the brokers with a valid status: viewers return to any broker of the fleet. */
     private double returnsPerSecond() {
-        double all = ownRoom();
-        int known = 1;
-        for (PeerStatus t : peers.values()) {
-            if (now - t.at() < PEER_STATUS_VALIDITY_US) {
-                known++;
-                all += t.note().returnCapacity();
+        double total = ownReturnCapacity();
+        int brokers = 1;
+        for (PeerStatus status : peerStatuses.values()) {
+            if (eventTime - status.receivedAt() < PEER_STATUS_VALIDITY_US) {
+                brokers++;
+                total += status.message().returnCapacity();
             }
         }
-        return Math.max(MIN_RETURNS_PER_SECOND, all / known);
+        return Math.max(MIN_RETURNS_PER_SECOND, total / brokers);
     }
 
-    /** The returns a second that may be promised here: the room expected, less what fresh viewers take of it. */
-    private double ownRoom() {
-        double rate = Math.min(
-                CapacityEstimate.admissionRate(coldServers.totalRate(now)),
-                Math.max(capacity.setUpRate(now), detector.baselineRate()));
-        double left = rate - freshRequests.sum(now, StormDetector.FAST_WINDOW_US) * 1e6 / StormDetector.FAST_WINDOW_US;
-        return capacity.promisableRate(Math.max(MIN_RETURN_SHARE * rate, left));
+    /** Returns a second that this broker may promise: its expected set-up rate less the rate of first requests. */
+    private double ownReturnCapacity() {
+        double expected = Math.min(
+                CapacityEstimate.admissionRate(coldServers.totalRate(eventTime)),
+                Math.max(capacity.setUpRate(eventTime), detector.baselineRate()));
+        double remaining = expected
+                - firstRequests.sum(eventTime, StormDetector.FAST_WINDOW_US) * 1e6 / StormDetector.FAST_WINDOW_US;
+        return capacity.promisableRate(Math.max(MIN_RETURN_SHARE * expected, remaining));
     }
 
-    /** What a slot holds beyond own promises, if the fleet's are spread evenly over those that live. */
-    private double promisedElsewhere(long slot) {
+    /** Returns in a slot beyond those booked here, if the fleet's are spread evenly over brokers with a valid status. */
+    private double bookedElsewhere(long slot) {
         double others = 0;
-        int known = 1;
-        for (PeerStatus t : peers.values()) {
-            long i = slot - t.note().firstSlot();
-            if (now - t.at() < PEER_STATUS_VALIDITY_US && t.note().slotMillis() * 1000L == terms.slot()) {
-                known++;
-                others +=
-                        i >= 0 && i < t.note().bookedReturns().length ? t.note().bookedReturns()[(int) i] : 0;
+        int brokers = 1;
+        for (PeerStatus status : peerStatuses.values()) {
+            long index = slot - status.message().firstSlot();
+            if (eventTime - status.receivedAt() < PEER_STATUS_VALIDITY_US
+                    && status.message().slotWidthMs() * 1000L == terms.slot()) {
+                brokers++;
+                others += index >= 0 && index < status.message().bookedReturns().length
+                        ? status.message().bookedReturns()[(int) index]
+                        : 0;
             }
         }
         double own = calendar.booked(slot);
-        return Math.max(0, (own + others) / known - own);
+        return Math.max(0, (own + others) / brokers - own);
     }
 
-    // ---- Time and peers.
+    // ---- Time and other brokers.
 
     @Override
-    protected void beforeEvent(long at) {
-        now = Math.max(now, at);
-        double shared = out.newSessionShare();
-        if (shared >= 0) {
-            coldServers.part(shared); // leased: no guess by the others' notes is needed
+    protected void beforeEvent(long now) {
+        eventTime = Math.max(eventTime, now);
+        double leasedShare = actions.newSessionShare();
+        if (leasedShare >= 0) {
+            coldServers.setShare(leasedShare); // a lease replaces the estimate from the other brokers' arrivals
         }
         if (timerAt == Long.MAX_VALUE) {
-            arm(now + IDLE_INTERVAL_US);
+            scheduleTimer(eventTime + IDLE_INTERVAL_US);
         }
     }
 
-    private void arm(long at) {
+    private void scheduleTimer(long at) {
         if (at < timerAt) {
             timerAt = at;
-            out.timer(KEY, at);
+            actions.timer(TIMER_KEY, at);
         }
     }
 
-    private void look(long at) {
-        StormDetector.Transition change = detector.evaluate(at);
-        if (change != null) {
+    private void evaluateStorm(long now) {
+        StormDetector.Transition transition = detector.evaluate(now);
+        if (transition != null) {
             LOG.info(
                     "storm: state={} was={} {} waiting={} promised={} {}",
-                    change.to(),
-                    change.from(),
-                    change.indicators(),
+                    transition.to(),
+                    transition.from(),
+                    transition.indicators(),
                     queue.size(),
-                    calendar.pending(at),
+                    calendar.pending(now),
                     counts());
         }
     }
 
     @Override
-    public void timer(long at, String key) {
-        beforeEvent(at);
-        if (!key.equals(KEY)) {
-            nextDirector.timer(at, key);
+    public void timer(long now, String key) {
+        beforeEvent(now);
+        if (!key.equals(TIMER_KEY)) {
+            nextDirector.timer(now, key);
             return;
         }
-        if (at < timerAt) {
-            return; // one that a sooner one has replaced
+        if (now < timerAt) {
+            return; // superseded by an earlier timer
         }
         timerAt = Long.MAX_VALUE;
-        look(at);
-        turn(at);
-        note(at);
-        arm(at + (queue.isEmpty() ? IDLE_INTERVAL_US : QUEUE_INTERVAL_US));
+        evaluateStorm(now);
+        serveQueue(now);
+        sendStatus(now);
+        scheduleTimer(now + (queue.isEmpty() ? IDLE_INTERVAL_US : QUEUE_INTERVAL_US));
     }
 
-    /** Tells the other brokers, where the settings and terms let it, and there is something to tell. */
-    private void note(long at) {
-        if (terms.notesEvery() == 0 || !settings.limits().peers() || at - lastMessageAt < terms.notesEvery()) {
+    /** Sends this broker's status to the other brokers, if settings and terms allow it and the interval has passed. */
+    private void sendStatus(long now) {
+        if (terms.notesEvery() == 0 || !settings.limits().peers() || now - lastMessageAt < terms.notesEvery()) {
             return;
         }
-        lastMessageAt = at;
-        long first = calendar.slotOf(at);
+        lastMessageAt = now;
+        long firstSlot = calendar.slotOf(now);
         int slots = 0;
-        int[] promised = new int[StormMessage.MAX_SLOTS];
-        for (int i = 0; i < promised.length; i++) {
-            promised[i] = calendar.booked(first + i);
-            slots = promised[i] > 0 ? i + 1 : slots;
+        int[] bookedReturns = new int[StormMessage.MAX_SLOTS];
+        for (int i = 0; i < bookedReturns.length; i++) {
+            bookedReturns[i] = calendar.booked(firstSlot + i);
+            slots = bookedReturns[i] > 0 ? i + 1 : slots;
         }
         counts.messagesSent++;
-        out.broadcast(new StormMessage(
+        actions.broadcast(new StormMessage(
                         detector.state(),
                         (int) (terms.slot() / 1000),
-                        detector.arrivalRate(at),
-                        ownRoom(),
-                        first,
-                        java.util.Arrays.copyOf(promised, slots),
-                        coldServers.usage(at, StormMessage.MAX_SERVERS),
-                        coldServers.knowsAllCold(at, StormMessage.MAX_SERVERS))
+                        detector.arrivalRate(now),
+                        ownReturnCapacity(),
+                        firstSlot,
+                        java.util.Arrays.copyOf(bookedReturns, slots),
+                        coldServers.usage(now, StormMessage.MAX_SERVERS),
+                        coldServers.knowsAllCold(now, StormMessage.MAX_SERVERS))
                 .encode());
     }
 
     @Override
-    public void peerMessageReceived(long at, int from, byte[] message) {
-        beforeEvent(at);
+    public void peerMessageReceived(long now, int from, byte[] message) {
+        beforeEvent(now);
         if (!StormMessage.isStormMessage(message)) {
-            nextDirector.peerMessageReceived(at, from, message);
+            nextDirector.peerMessageReceived(now, from, message);
             return;
         }
-        StormMessage n = StormMessage.decode(message);
-        if (n == null || from < 0 || from >= settings.brokers() || from == settings.brokerNumber()) {
+        StormMessage received = StormMessage.decode(message);
+        if (received == null || from < 0 || from >= settings.brokers() || from == settings.brokerNumber()) {
             counts.messagesDiscarded++;
             return;
         }
         counts.messagesReceived++;
-        detector.heard(at, from);
-        peers.put(from, new PeerStatus(n, at));
-        coldServers.applyPeerUsage(at, from, n.coldServers(), n.knowsAllCold());
-        double all = detector.arrivalRate(at);
-        double own = all;
-        int known = 1;
-        for (PeerStatus t : peers.values()) {
-            if (at - t.at() < PEER_STATUS_VALIDITY_US) {
-                known++;
-                all += t.note().arrivalRate();
+        detector.recordPeerMessage(now, from);
+        peerStatuses.put(from, new PeerStatus(received, now));
+        coldServers.applyPeerUsage(now, from, received.coldServers(), received.knowsAllCold());
+        double totalRate = detector.arrivalRate(now);
+        double ownRate = totalRate;
+        int brokers = 1;
+        for (PeerStatus status : peerStatuses.values()) {
+            if (now - status.receivedAt() < PEER_STATUS_VALIDITY_US) {
+                brokers++;
+                totalRate += status.message().arrivalRate();
             }
         }
-        // Those that are silent may be starting: their even share is left to them.
-        double spoken = known / (double) settings.brokers();
-        if (out.newSessionShare() < 0) {
-            coldServers.part(all > 0 ? spoken * own / all : 1.0 / settings.brokers());
+        // Brokers without a valid status may be starting, so they keep an equal share.
+        double sharedOut = brokers / (double) settings.brokers();
+        if (actions.newSessionShare() < 0) {
+            coldServers.setShare(totalRate > 0 ? sharedOut * ownRate / totalRate : 1.0 / settings.brokers());
         }
     }
 
-    // ---- Events that pass through.
+    // ---- Events that are passed on.
 
     @Override
-    public void connected(long at) {
-        beforeEvent(at);
-        detector.recordConnection(at);
-        nextDirector.connected(at);
+    public void connected(long now) {
+        beforeEvent(now);
+        detector.recordConnection(now);
+        nextDirector.connected(now);
     }
 
     @Override
-    public void sessionStarted(long at, String request, int attempt, String server) {
-        beforeEvent(at);
-        ActiveRequest h = held.remove(request);
-        if (h != null) {
-            if (h.again && h.standing != ReturnKind.EARLY) {
+    public void sessionStarted(long now, String request, int attempt, String server) {
+        beforeEvent(now);
+        ActiveRequest active = activeRequests.remove(request);
+        if (active != null) {
+            if (active.isRetry && active.returnKind != ReturnKind.EARLY) {
                 capacity.recordReturn(true);
             }
-            unbook(h.visit);
-            history.remove(h.key);
+            cancelBooking(active.viewerRecord);
+            history.remove(active.key);
         }
-        nextDirector.sessionStarted(at, request, attempt, server);
+        nextDirector.sessionStarted(now, request, attempt, server);
     }
 
     @Override
     public void outcome(
-            long at, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
-        beforeEvent(at);
+            long now, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
+        beforeEvent(now);
         if (outcome == Outcome.TIMEOUT && !last) {
-            detector.recordFailure(at);
+            detector.recordFailure(now);
         }
         if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET && last) {
-            coldServers.recordLost(at, server);
+            coldServers.recordLost(now, server);
         }
-        nextDirector.outcome(at, request, attempt, server, outcome, last, report);
+        nextDirector.outcome(now, request, attempt, server, outcome, last, report);
         if (last) {
-            held.remove(request);
+            activeRequests.remove(request);
         }
     }
 
     @Override
-    public void requestCancelled(long at, String request) {
-        beforeEvent(at);
+    public void requestCancelled(long now, String request) {
+        beforeEvent(now);
         if (queue.remove(request) == null) {
-            held.remove(request);
-            nextDirector.requestCancelled(at, request);
+            activeRequests.remove(request);
+            nextDirector.requestCancelled(now, request);
         }
     }
 
     @Override
-    public void serversChanged(long at, ListScope scope, List<Server> servers) {
-        beforeEvent(at);
+    public void serversChanged(long now, ListScope scope, List<Server> servers) {
+        beforeEvent(now);
         if (scope != ListScope.ERROR) {
-            coldServers.updateServers(at, scope, servers);
+            coldServers.updateServers(now, scope, servers);
         }
-        nextDirector.serversChanged(at, scope, servers);
+        nextDirector.serversChanged(now, scope, servers);
     }
 
-    /** What the module may do, on its way to the broker. */
+    /** The decision module's actions, limited and counted before they reach the broker. */
     private final class ModuleActions extends ForwardingActions {
         ModuleActions() {
-            super(RetryStormFilter.this.out);
+            super(RetryStormFilter.this.actions);
         }
 
         @Override
         public void send(String request, String server, long allow) {
-            ActiveRequest h = held.get(request);
-            if (h != null && h.attempts++ > 0) {
-                budget.spent(now);
+            ActiveRequest active = activeRequests.get(request);
+            if (active != null && active.attempts++ > 0) {
+                budget.recordRetry(eventTime);
             } else {
-                capacity.recordSetUp(now);
+                capacity.recordSetUp(eventTime);
             }
-            coldServers.recordSetUp(now, server);
+            coldServers.recordSetUp(eventTime, server);
             delegate.send(request, server, allow);
         }
 
         @Override
-        public void refuse(String request, long comeBack) {
-            ActiveRequest h = held.remove(request);
-            detector.recordFailure(now);
-            if (h != null && h.again && h.standing != ReturnKind.EARLY) {
+        public void refuse(String request, long retryAfter) {
+            ActiveRequest active = activeRequests.remove(request);
+            detector.recordFailure(eventTime);
+            if (active != null && active.isRetry && active.returnKind != ReturnKind.EARLY) {
                 capacity.recordReturn(false);
             }
-            delegate.refuse(request, h == null ? comeBack : appoint(request, h.visit, h.standing));
+            delegate.refuse(
+                    request,
+                    active == null ? retryAfter : assignReturnTime(request, active.viewerRecord, active.returnKind));
         }
 
         @Override
         public void fail(String request) {
-            ActiveRequest h = held.remove(request);
-            if (h != null) {
-                unbook(h.visit);
-                history.remove(h.key); // it may have run: its viewer is told so, not to come again
+            ActiveRequest active = activeRequests.remove(request);
+            if (active != null) {
+                cancelBooking(active.viewerRecord);
+                history.remove(active.key); // it may have run: the viewer gets an error, not a return time
             }
             delegate.fail(request);
         }
 
         @Override
         public boolean mayRetry() {
-            return budget.mayRetry(now) && delegate.mayRetry();
+            return budget.mayRetry(eventTime) && delegate.mayRetry();
         }
 
         @Override
         public Pace pace(String server) {
-            return coldServers.permits(now, server) ? Pace.WITHIN : Pace.OVER;
+            return coldServers.permits(eventTime, server) ? Pace.WITHIN : Pace.OVER;
         }
     }
 }
--- a/src/main/java/dockshed/storm/StormDetector.java
+++ b/src/main/java/dockshed/storm/StormDetector.java
@@ -5,12 +5,14 @@
 import java.util.Map;
 
 /**
- * Notices a storm from what one broker can know: arrivals against their own slow and fast averages, repeats, refusals
- * and time-outs, connections opened at once, its own fresh start, and peers that have gone silent. Each sign adds to a
- * pressure; the state follows it with hysteresis, up on little and down only after quiet. Invariants: a state is left
- * only by a step to its neighbour, and STORM is never entered on fewer than {@link #MIN_ARRIVALS} arrivals in the fast span.
+ * Detects retry storms from what one broker can see: the arrival rate against its baseline, repeated requests, refusals and
+ * time-outs, connections opened at once, the broker's own recent start, and brokers that have fallen silent. Each indicator
+ * adds to a pressure. The state follows the pressure with hysteresis: it rises quickly and falls only after a quiet time.
+ * Invariants: a transition leads to a neighbouring state only, and STORM is never entered on fewer than
+ * {@link #MIN_ARRIVALS} arrivals in the fast window.
  */
 final class StormDetector {
+    /** The states, from no storm to a storm that is abating. */
     enum State {
         CALM,
         RISING,
@@ -18,36 +20,40 @@
         EBBING
     }
 
-    /** The spans of the fast averages; the usual rate follows over ten times as long. */
+    /** Window over which current rates are measured. */
     static final long FAST_WINDOW_US = 3_000_000;
-
+    /** Time constant of the baseline rate while calm; otherwise five times as long. */
     static final long SLOW_WINDOW_US = 20_000_000;
-    /** A broker is fresh for so long: half of what an outage's viewers take to arrive at most, and a warm-up more. */
+    /** Time for which a broker counts as freshly started: half the time over which an outage's viewers return, and a warm-up. */
     static final long FRESH_START_US = 10_000_000;
-    /** Between looks. */
+    /** Time between evaluations. */
     static final long EVALUATION_INTERVAL_US = 100_000;
-    /** Arrivals in the fast span under which no share says anything, and repeats or refusals under which theirs does not. */
+    /** Arrivals in the fast window below which no share or rate indicates anything. */
     static final int MIN_ARRIVALS = 10;
-
+    /** Repeated requests, or refusals and time-outs, in the fast window below which their share indicates nothing. */
     static final int MIN_EVENTS = 5;
-    /** Arrivals must be so many standard deviations of the usual count above it, or chance alone makes a rush. */
+    /** Standard deviations by which arrivals must exceed the baseline, as smaller excesses occur by chance. */
     private static final double MIN_RUSH_DEVIATIONS = 4;
-    /** Notes of a peer's that must be missing before it counts as silent. */
+    /** Status messages of a broker that may be missing before it counts as silent. */
     private static final int MAX_MISSED_MESSAGES = 4;
-    /** A peer silent for so long is no sign of a storm any more. */
+    /** Time after which a silent broker no longer indicates a storm. */
     private static final long SILENCE_VALIDITY_US = 15_000_000;
-    /** Where arrivals are not so far above the usual, repeats and refusals tell of want of room, and count so much less. */
+    /**
+     * Ratio of arrivals to the baseline up to which repeated requests and refusals indicate a lack of capacity rather than a
+     * storm, and count less.
+     */
     private static final double ABOVE_BASELINE_RATIO = 1.25;
-
+    /** Weight of repeated requests and refusals that indicate a lack of capacity. */
     private static final double CAPACITY_SHORTAGE_WEIGHT = 0.4;
 
     private static final double RISING_PRESSURE = 1;
     private static final double STORM_PRESSURE = 1.75;
     private static final double EBBING_PRESSURE = 1;
     private static final double CALM_PRESSURE = 0.75;
+    /** Time for which the pressure must last before the state becomes STORM. */
     private static final long STORM_CONFIRMATION_US = 400_000;
 
-    /** What a state rests on, for the log; rates a second. */
+    /** What a state is based on, as the log shows it; rates are per second, shares are of arrivals. */
     record Indicators(
             double arrivalRate,
             double baselineRate,
@@ -81,72 +87,77 @@
     private final SlidingWindowCounter repeats = new SlidingWindowCounter(EVALUATION_INTERVAL_US, FAST_WINDOW_US);
     private final SlidingWindowCounter failures = new SlidingWindowCounter(EVALUATION_INTERVAL_US, FAST_WINDOW_US);
     private final SlidingWindowCounter connections = new SlidingWindowCounter(EVALUATION_INTERVAL_US, FAST_WINDOW_US);
-    private final Map<Integer, Long> heard = new HashMap<>(); // by peer: bounded by the tier
-    private final int peers;
+    private final Map<Integer, Long> lastMessageAt = new HashMap<>(); // by broker: bounded by maxPeers
+    private final int maxPeers;
     private State state = State.CALM;
     private double baselineRate;
-    private double usualConnections;
+    private double baselineConnectionRate;
     private long startedAt = Long.MIN_VALUE;
-    private long lookedAt;
+    private long evaluatedAt;
     private long aboveSince;
     private long belowSince;
     private Indicators indicators;
 
-    /** {@code usual}: arrivals a second before any were seen; {@code peers}: brokers in the tier, at most. */
-    StormDetector(Terms terms, double usual, int peers) {
+    /**
+     * A detector in the state CALM.
+     *
+     * @param baselineRate arrivals a second to be expected before any have been measured
+     * @param maxPeers     brokers in the fleet
+     */
+    StormDetector(Terms terms, double baselineRate, int maxPeers) {
         this.terms = terms;
-        this.baselineRate = usual;
-        this.peers = peers;
-        usualConnections = usual;
+        this.baselineRate = baselineRate;
+        this.maxPeers = maxPeers;
+        baselineConnectionRate = baselineRate;
     }
 
-    private void begin(long now) {
+    private void start(long now) {
         if (startedAt == Long.MIN_VALUE) {
             startedAt = now;
-            lookedAt = now;
+            evaluatedAt = now;
             belowSince = now;
             aboveSince = now;
         }
     }
 
     void recordArrival(long now, boolean repeat) {
-        begin(now);
+        start(now);
         arrivals.add(now, 1);
         if (repeat) {
             repeats.add(now, 1);
         }
     }
 
-    /** A refusal or a time-out. */
+    /** Records a refusal or a time-out. */
     void recordFailure(long now) {
         failures.add(now, 1);
     }
 
     void recordConnection(long now) {
-        begin(now);
+        start(now);
         connections.add(now, 1);
     }
 
-    void heard(long now, int peer) {
-        if (heard.size() < peers || heard.containsKey(peer)) {
-            heard.put(peer, now);
+    void recordPeerMessage(long now, int peer) {
+        if (lastMessageAt.size() < maxPeers || lastMessageAt.containsKey(peer)) {
+            lastMessageAt.put(peer, now);
         }
     }
 
-    /** Peers heard of and silent since, though not for so long that they are no news. */
+    /** Brokers that have sent messages and fallen silent, though not so long ago that it no longer indicates a storm. */
     int silentPeers(long now) {
         return terms.notesEvery() == 0
                 ? 0
-                : (int) heard.values().stream()
+                : (int) lastMessageAt.values().stream()
                         .filter(at -> now - at > MAX_MISSED_MESSAGES * Math.max(terms.notesEvery(), 250_000)
                                 && now - at < SILENCE_VALIDITY_US)
                         .count();
     }
 
-    /** Peers that speak, this broker included; 1 where none ever spoke. */
+    /** Brokers that send messages, this one included; 1 if none ever did. */
     int activeBrokers(long now) {
         return 1
-                + (int) heard.values().stream()
+                + (int) lastMessageAt.values().stream()
                         .filter(at -> now - at <= MAX_MISSED_MESSAGES * Math.max(terms.notesEvery(), 250_000))
                         .count();
     }
@@ -155,61 +166,71 @@
         return state;
     }
 
-    /** Arrivals a second lately. */
+    /** Arrivals a second within the fast window. */
     double arrivalRate(long now) {
         return arrivals.sum(now, FAST_WINDOW_US) * 1e6 / FAST_WINDOW_US;
     }
 
+    /** The usual arrivals a second. */
     double baselineRate() {
         return baselineRate;
     }
 
     Indicators indicators(long now) {
-        double came = arrivals.sum(now, FAST_WINDOW_US);
-        double fast = came * 1e6 / FAST_WINDOW_US;
-        double repeated = share(repeats.sum(now, FAST_WINDOW_US), came);
-        double troubled = share(failures.sum(now, FAST_WINDOW_US), came);
+        double arrived = arrivals.sum(now, FAST_WINDOW_US);
+        double arrivalRate = arrived * 1e6 / FAST_WINDOW_US;
+        double repeatShare = share(repeats.sum(now, FAST_WINDOW_US), arrived);
+        double failureShare = share(failures.sum(now, FAST_WINDOW_US), arrived);
         double expected = baselineRate * FAST_WINDOW_US / 1e6;
-        boolean rush =
-                fast > terms.rush() * baselineRate && came - expected > MIN_RUSH_DEVIATIONS * Math.sqrt(expected + 1);
-        double connects = connections.sum(now, FAST_WINDOW_US) * 1e6 / FAST_WINDOW_US;
-        boolean fresh = now - startedAt < FRESH_START_US;
-        int silent = silentPeers(now);
-        double want = fast > ABOVE_BASELINE_RATIO * baselineRate ? 1 : CAPACITY_SHORTAGE_WEIGHT;
+        boolean rush = arrivalRate > terms.rush() * baselineRate
+                && arrived - expected > MIN_RUSH_DEVIATIONS * Math.sqrt(expected + 1);
+        double connectionRate = connections.sum(now, FAST_WINDOW_US) * 1e6 / FAST_WINDOW_US;
+        boolean freshStart = now - startedAt < FRESH_START_US;
+        int silentPeers = silentPeers(now);
+        double weight = arrivalRate > ABOVE_BASELINE_RATIO * baselineRate ? 1 : CAPACITY_SHORTAGE_WEIGHT;
         double pressure = (rush ? 1 : 0)
-                + want * ((repeated > terms.repeats() ? 1 : 0) + (troubled > terms.trouble() ? 0.75 : 0))
-                + (connects > 3 * usualConnections && connects * FAST_WINDOW_US > 1e6 * MIN_ARRIVALS ? 0.5 : 0)
-                + (fresh ? 0.25 : 0)
-                + (silent > 0 ? 0.5 : 0);
+                + weight * ((repeatShare > terms.repeats() ? 1 : 0) + (failureShare > terms.trouble() ? 0.75 : 0))
+                + (connectionRate > 3 * baselineConnectionRate && connectionRate * FAST_WINDOW_US > 1e6 * MIN_ARRIVALS
+                        ? 0.5
+                        : 0)
+                + (freshStart ? 0.25 : 0)
+                + (silentPeers > 0 ? 0.5 : 0);
         return new Indicators(
-                fast, baselineRate, repeated, troubled, connects, fresh, silent, came >= MIN_ARRIVALS ? pressure : 0);
+                arrivalRate,
+                baselineRate,
+                repeatShare,
+                failureShare,
+                connectionRate,
+                freshStart,
+                silentPeers,
+                arrived >= MIN_ARRIVALS ? pressure : 0);
     }
 
-    private static double share(double signs, double came) {
-        return came >= MIN_ARRIVALS && signs >= MIN_EVENTS ? Math.min(1, signs / came) : 0;
+    private static double share(double events, double arrived) {
+        return arrived >= MIN_ARRIVALS && events >= MIN_EVENTS ? Math.min(1, events / arrived) : 0;
     }
 
-    /** Looks at the signs, if it is time; what changed, or null. */
+    /** Evaluates the indicators if the interval has passed; returns the change of state, or null if there was none. */
     Transition evaluate(long now) {
-        begin(now);
-        if (now - lookedAt < EVALUATION_INTERVAL_US) {
+        start(now);
+        if (now - evaluatedAt < EVALUATION_INTERVAL_US) {
             return null;
         }
-        double passed = Math.min(now - lookedAt, FAST_WINDOW_US);
-        lookedAt = now;
+        double passed = Math.min(now - evaluatedAt, FAST_WINDOW_US);
+        evaluatedAt = now;
         indicators = indicators(now);
-        // The usual rate is learnt in calm; in a storm slowly, so that what lasts becomes usual in the end.
+        // The baseline follows arrivals also in a storm, though slowly, so that a lasting rise becomes the baseline.
         double weight = passed / SLOW_WINDOW_US * (state == State.CALM ? 1 : 0.2);
         baselineRate += (indicators.arrivalRate() - baselineRate) * weight;
-        usualConnections += (indicators.connectionRate() - usualConnections) * weight;
-        double p = indicators.pressure();
-        boolean up = p >= (state == State.RISING || state == State.EBBING ? STORM_PRESSURE : RISING_PRESSURE);
-        boolean down = p < (state == State.EBBING ? CALM_PRESSURE : EBBING_PRESSURE);
-        aboveSince = up ? aboveSince : now;
-        belowSince = down ? belowSince : now;
+        baselineConnectionRate += (indicators.connectionRate() - baselineConnectionRate) * weight;
+        double pressure = indicators.pressure();
+        boolean above = pressure >= (state == State.RISING || state == State.EBBING ? STORM_PRESSURE : RISING_PRESSURE);
+        boolean below = pressure < (state == State.EBBING ? CALM_PRESSURE : EBBING_PRESSURE);
+        aboveSince = above ? aboveSince : now;
+        belowSince = below ? belowSince : now;
         State next =
                 switch (state) {
-                    case CALM -> up ? State.RISING : state;
+                    case CALM -> above ? State.RISING : state;
                     case RISING ->
                         now - aboveSince >= STORM_CONFIRMATION_US
                                 ? State.STORM
@@ -223,10 +244,10 @@
         if (next == state) {
             return null;
         }
-        Transition change = new Transition(state, next, indicators);
+        Transition transition = new Transition(state, next, indicators);
         state = next;
         aboveSince = now;
         belowSince = now;
-        return change;
+        return transition;
     }
 }
--- a/src/main/java/dockshed/storm/StormMessage.java
+++ b/src/main/java/dockshed/storm/StormMessage.java
@@ -6,18 +6,29 @@
 import java.util.List;
 
 /**
- * What brokers tell one another of a storm, in one datagram: its sender's state, arrivals a second, the returns that it
- * has promised by slot, and what it has sent to cold boxes. Big-endian; a newer version is passed over, so is garbage.
+ * A broker's status for the other brokers, in one datagram: its storm state, arrivals a second, the returns that it has
+ * booked by slot, and its set-ups to cold edge servers. Numbers are big-endian. A receiver discards messages of another
+ * version and those that it can't read.
  *
  * <pre>
- * magic 1, version 1, state and 128 if its sender knows all cold boxes 1, slot width in ms 2,
- * arrivals a second times 10 2, returns a second that it has room for times 10 2, first slot's number 8,
- * slots 1 (at most 40), a count each 1, boxes 1 (at most 30), for each the CRC-32C of its id 4 and a count 1
+ * field                                                        bytes
+ * magic number                                                 1
+ * version                                                      1
+ * state, plus 128 if the sender knows all cold servers         1
+ * slot width in ms                                             2
+ * arrivals a second times 10                                   2
+ * returns a second that the sender can serve, times 10         2
+ * number of the first slot                                     8
+ * count of slots, at most 40                                   1
+ *   for each slot, booked returns                              1
+ * count of cold servers, at most 30                            1
+ *   for each server, CRC-32C of its id                         4
+ *   and set-ups sent to it                                     1
  * </pre>
  */
 record StormMessage(
         StormDetector.State state,
-        int slotMillis,
+        int slotWidthMs,
         double arrivalRate,
         double returnCapacity,
         long firstSlot,
@@ -28,39 +39,39 @@
     static final int VERSION = 1;
     static final int MAX_SLOTS = 40;
     static final int MAX_SERVERS = 30;
-    /** The platform's limit on a datagram; the longest note has 19 + 40 + 150 bytes. */
+    /** The platform's limit on a datagram; the longest message has 19 + 40 + 150 bytes. */
     static final int MAX_BYTES = 256;
 
     private static final int HEADER_BYTES = 17;
 
     byte[] encode() {
-        ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + 1 + bookedReturns.length + 1 + 5 * coldServers.size());
-        b.put((byte) MAGIC)
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + 1 + bookedReturns.length + 1 + 5 * coldServers.size());
+        buffer.put((byte) MAGIC)
                 .put((byte) VERSION)
                 .put((byte) (state.ordinal() | (knowsAllCold ? 0x80 : 0)))
-                .putShort((short) slotMillis)
-                .putShort(tenths(arrivalRate))
-                .putShort(tenths(returnCapacity))
+                .putShort((short) slotWidthMs)
+                .putShort(toTenths(arrivalRate))
+                .putShort(toTenths(returnCapacity))
                 .putLong(firstSlot);
-        b.put((byte) bookedReturns.length);
-        for (int n : bookedReturns) {
-            b.put((byte) Math.min(255, n));
+        buffer.put((byte) bookedReturns.length);
+        for (int count : bookedReturns) {
+            buffer.put((byte) Math.min(255, count));
         }
-        b.put((byte) coldServers.size());
-        coldServers.forEach(s -> b.putInt(s.idHash()).put((byte) Math.min(255, s.setUps())));
-        return b.array();
+        buffer.put((byte) coldServers.size());
+        coldServers.forEach(usage -> buffer.putInt(usage.idHash()).put((byte) Math.min(255, usage.setUps())));
+        return buffer.array();
     }
 
-    private static short tenths(double perSecond) {
+    private static short toTenths(double perSecond) {
         return (short) Math.min(65_535, Math.round(perSecond * 10));
     }
 
-    /** Whether this is a note of this part's, good or bad, and not a message of the module's. */
+    /** Whether a datagram is a storm message, valid or not, rather than a message of the decision module. */
     static boolean isStormMessage(byte[] bytes) {
         return bytes.length > 0 && (bytes[0] & 0xff) == MAGIC;
     }
 
-    /** Null where it is of another version, or cannot be read. */
+    /** Returns null if the message is of another version or can't be read. */
     static StormMessage decode(byte[] bytes) {
         if (bytes.length < HEADER_BYTES + 2
                 || bytes.length > MAX_BYTES
@@ -68,37 +79,37 @@
                 || bytes[1] != VERSION) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
-        int flags = b.get();
+        ByteBuffer buffer = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
+        int flags = buffer.get();
         int state = flags & 0x7f;
-        int width = b.getShort() & 0xffff;
-        double arrivals = (b.getShort() & 0xffff) / 10.0;
-        double room = (b.getShort() & 0xffff) / 10.0;
-        long first = b.getLong();
-        int slots = b.get() & 0xff;
-        if (state >= StormDetector.State.values().length || slots > MAX_SLOTS || b.remaining() < slots + 1) {
+        int slotWidthMs = buffer.getShort() & 0xffff;
+        double arrivalRate = (buffer.getShort() & 0xffff) / 10.0;
+        double returnCapacity = (buffer.getShort() & 0xffff) / 10.0;
+        long firstSlot = buffer.getLong();
+        int slots = buffer.get() & 0xff;
+        if (state >= StormDetector.State.values().length || slots > MAX_SLOTS || buffer.remaining() < slots + 1) {
             return null;
         }
-        int[] promised = new int[slots];
+        int[] bookedReturns = new int[slots];
         for (int i = 0; i < slots; i++) {
-            promised[i] = b.get() & 0xff;
+            bookedReturns[i] = buffer.get() & 0xff;
         }
-        int boxes = b.get() & 0xff;
-        if (boxes > MAX_SERVERS || b.remaining() != 5 * boxes) {
+        int servers = buffer.get() & 0xff;
+        if (servers > MAX_SERVERS || buffer.remaining() != 5 * servers) {
             return null;
         }
-        List<ServerUsage> spent = new ArrayList<>();
-        for (int i = 0; i < boxes; i++) {
-            spent.add(new ServerUsage(b.getInt(), b.get() & 0xff));
+        List<ServerUsage> coldServers = new ArrayList<>();
+        for (int i = 0; i < servers; i++) {
+            coldServers.add(new ServerUsage(buffer.getInt(), buffer.get() & 0xff));
         }
         return new StormMessage(
                 StormDetector.State.values()[state],
-                width,
-                arrivals,
-                room,
-                first,
-                promised,
-                spent,
+                slotWidthMs,
+                arrivalRate,
+                returnCapacity,
+                firstSlot,
+                bookedReturns,
+                coldServers,
                 (flags & 0x80) != 0);
     }
 }
--- a/src/test/java/dockshed/storm/StormComponentsTest.java
+++ b/src/test/java/dockshed/storm/StormComponentsTest.java
@@ -106,10 +106,10 @@
     @Test
     void aPeerGoneSilentIsASignAndThenNoNewsAnyMore() {
         StormDetector w = new StormDetector(TERMS, 5, 3);
-        w.heard(T0, 1);
-        w.heard(T0, 2);
+        w.recordPeerMessage(T0, 1);
+        w.recordPeerMessage(T0, 2);
         assertEquals(3, w.activeBrokers(T0 + S));
-        w.heard(T0 + 4 * S, 2);
+        w.recordPeerMessage(T0 + 4 * S, 2);
         assertEquals(1, w.silentPeers(T0 + 4 * S));
         assertEquals(2, w.activeBrokers(T0 + 4 * S));
         assertEquals(0, w.silentPeers(T0 + 60 * S));
@@ -254,11 +254,11 @@
     void furtherAttemptsAreAShareOfFreshRequests() {
         RetryBudget b = new RetryBudget(TERMS);
         for (int i = 0; i < 100; i++) {
-            b.fresh(T0 + i * 50 * MS);
+            b.recordFirstRequest(T0 + i * 50 * MS);
         }
         int granted = 0;
         while (b.mayRetry(T0 + 5 * S)) {
-            b.spent(T0 + 5 * S);
+            b.recordRetry(T0 + 5 * S);
             granted++;
         }
         assertEquals(30, granted, "a fifth of a hundred, and one a second for ten");
