--- a/src/main/java/dockshed/storm/AdmissionQueue.java
+++ b/src/main/java/dockshed/storm/AdmissionQueue.java
@@ -11,16 +11,18 @@
 import java.util.Map;
 
 /**
- * Requests that the module has not been given yet, and who of them goes first: worth, times how near its viewer is to
- * giving up, by how it kept its appointment; and what it has waited, so that nobody starves. Nobody waits in vain: one
- * whose turn cannot come in its time is not taken in, and the least is put out where the room is full.
+ * Queue of requests that the decision module has not received yet, ordered by a score: the worth of the class, raised the
+ * nearer the viewer is to giving up, weighted by whether it returned on time; plus the time waited, so that no request
+ * starves. A request that can't be admitted before its wait deadline is not queued, and the one with the lowest score is
+ * removed when the queue is full.
  */
 final class AdmissionQueue {
-    /** Points for each second of waiting: over the hold it outweighs the least worth, not the greatest. */
+    /** Score added per second of waiting: over the longest wait more than the least worth of a class, less than the greatest. */
     static final double WAITING_SCORE_PER_SECOND = 2;
-    /** Of the time left to a request, what waiting may take: its set-up needs the rest. */
+    /** Share of the client deadline that a request may be queued: the set-up needs the rest. */
     private static final double MAX_WAIT_SHARE = 0.5;
 
+    /** A request and what its score depends on; {@code arrivedAt} in microseconds. */
     record QueuedRequest(
             Request request, SessionClass cls, ViewerRecord viewerRecord, ReturnKind returnKind, long arrivedAt) {}
 
@@ -39,72 +41,81 @@
         return queued.size();
     }
 
-    /** What a request counts for now. */
-    static double score(long now, QueuedRequest w) {
+    /** The score of a request now; the request with the highest is admitted first. */
+    static double score(long now, QueuedRequest queuedRequest) {
         double age = Math.min(
-                2, (now - w.viewerRecord().firstRequestAt) / (double) w.cls().deadline());
-        double kept =
-                switch (w.returnKind()) {
+                2,
+                (now - queuedRequest.viewerRecord().firstRequestAt)
+                        / (double) queuedRequest.cls().deadline());
+        double punctuality =
+                switch (queuedRequest.returnKind()) {
                     case KEPT -> 1.5;
                     case FIRST, UNTOLD -> 1;
                     case EARLY -> 0.25;
                 };
-        return w.cls().worth() * (1 + age) * kept + WAITING_SCORE_PER_SECOND * (now - w.arrivedAt()) / 1e6;
+        return queuedRequest.cls().worth() * (1 + age) * punctuality
+                + WAITING_SCORE_PER_SECOND * (now - queuedRequest.arrivedAt()) / 1e6;
     }
 
-    /** Until when a request may wait. */
-    long waitDeadline(QueuedRequest w) {
-        return w.arrivedAt()
-                + Math.min(terms.hold(), (long) (MAX_WAIT_SHARE * w.request().clientDeadline()));
+    /** Time until which a request may be queued. */
+    long waitDeadline(QueuedRequest queuedRequest) {
+        return queuedRequest.arrivedAt()
+                + Math.min(terms.hold(), (long)
+                        (MAX_WAIT_SHARE * queuedRequest.request().clientDeadline()));
     }
 
     /**
-     * Takes one in if its turn can come in time at so many a second. What does not wait is returned: the one that came,
-     * or the least of those that waited, or null.
+     * Queues a request if it can be admitted before its wait deadline at {@code perSecond} admissions a second.
+     *
+     * @return the request that is not queued after this: the one offered, or the one with the lowest score of a full queue;
+     *     null if there is none
      */
-    QueuedRequest offer(long now, QueuedRequest w, double perSecond) {
-        double score = score(now, w);
-        long before =
-                queued.values().stream().filter(o -> score(now, o) >= score).count();
-        if (now + (before + 1) / perSecond * 1e6 > waitDeadline(w)) {
-            return w;
+    QueuedRequest offer(long now, QueuedRequest offered, double perSecond) {
+        double score = score(now, offered);
+        long ahead = queued.values().stream()
+                .filter(other -> score(now, other) >= score)
+                .count();
+        if (now + (ahead + 1) / perSecond * 1e6 > waitDeadline(offered)) {
+            return offered;
         }
-        queued.put(w.request().id(), w);
+        queued.put(offered.request().id(), offered);
         if (queued.size() <= terms.waiting()) {
             return null;
         }
-        QueuedRequest least = best(now, queued.values(), -1);
-        queued.remove(least.request().id());
-        return least;
+        QueuedRequest lowest = highestScored(now, queued.values(), -1);
+        queued.remove(lowest.request().id());
+        return lowest;
     }
 
-    private static QueuedRequest best(long now, Collection<QueuedRequest> of, int sign) {
-        QueuedRequest best = null;
-        double most = 0;
-        for (QueuedRequest w : of) {
-            double score = sign * score(now, w);
-            if (best == null || score > most) {
-                best = w;
-                most = score;
+    /** The request with the highest score ({@code sign} 1) or the lowest ({@code sign} -1). */
+    private static QueuedRequest highestScored(long now, Collection<QueuedRequest> requests, int sign) {
+        QueuedRequest highest = null;
+        double highestScore = 0;
+        for (QueuedRequest queuedRequest : requests) {
+            double score = sign * score(now, queuedRequest);
+            if (highest == null || score > highestScore) {
+                highest = queuedRequest;
+                highestScore = score;
             }
         }
-        return best;
+        return highest;
     }
 
-    /** The one whose turn it is; it waits no longer. */
+    /** Removes and returns the request with the highest score; the queue must not be empty. */
     QueuedRequest poll(long now) {
-        QueuedRequest best = best(now, queued.values(), 1);
-        queued.remove(best.request().id());
-        return best;
+        QueuedRequest highest = highestScored(now, queued.values(), 1);
+        queued.remove(highest.request().id());
+        return highest;
     }
 
-    /** Those that have waited for as long as they may; they wait no longer. */
+    /** Removes and returns the requests whose wait deadline has come. */
     List<QueuedRequest> removeExpired(long now) {
-        List<QueuedRequest> out = new ArrayList<>();
-        queued.values().removeIf(w -> now >= waitDeadline(w) && out.add(w));
-        return out;
+        List<QueuedRequest> expired = new ArrayList<>();
+        queued.values().removeIf(queuedRequest -> now >= waitDeadline(queuedRequest) && expired.add(queuedRequest));
+        return expired;
     }
 
+    /** Removes a request by its id; returns null if it is not queued. */
     QueuedRequest remove(String request) {
         return queued.remove(request);
     }
--- a/src/main/java/dockshed/storm/CapacityEstimate.java
+++ b/src/main/java/dockshed/storm/CapacityEstimate.java
@@ -1,70 +1,79 @@
 package dockshed.storm;
 
 /**
- * The set-ups a second that are to be expected, and the turns that follow from it. Turns are rationed only by what cold
- * boxes take together, where no warm one is left: that is room which time brings, so waiting for it is not in vain. Want
- * of room on links is the module's to weigh: to ration by it starves the module (measured: worst 10 s 0.44 fell to 0.19).
+ * Estimates the set-ups a second that can be expected, and limits admissions to the decision module by it.
+ *
+ * <p>Admissions are limited only while no warm edge server is up, by the rate that the cold ones accept together: this
+ * capacity grows with time, so waiting for it pays off. A lack of link capacity is left to the decision module. Limiting
+ * admissions by link capacity starved the module (measured: service in the worst 10 s fell from 0.44 to 0.19).
  */
 final class CapacityEstimate {
-    private static final long SPAN = 2_000_000;
-    /** Requests a second that are let through in any case, so that room which comes back is found. */
-    private static final double LEAST = 2;
-    /** Turns that may be saved up, in seconds' worth: a tenth, so that none piles up. */
-    private static final double SAVED = 0.1;
+    private static final long RATE_WINDOW_US = 2_000_000;
+    /** Requests that are admitted in any case, so that returning capacity is noticed. */
+    private static final double MIN_ADMISSIONS_PER_SECOND = 2;
+    /** Time for which unused admissions are saved up; short, so that they don't accumulate into a burst. */
+    private static final double MAX_SAVED_SECONDS = 0.1;
 
-    /** What is promised falls by this for a viewer that kept its time in vain, and grows by this for one that was served. */
-    private static final double IN_VAIN = 0.9;
+    /** The promise factor is multiplied by this when a viewer that returned on time is refused again. */
+    private static final double REFUSED_FACTOR = 0.9;
+    /** The promise factor grows by this when a viewer that returned on time is served. */
+    private static final double SERVED_INCREMENT = 0.05;
+    /** The least promise factor: if nobody were told to return, nobody would show that there is capacity. */
+    private static final double MIN_PROMISE_FACTOR = 0.15;
 
-    private static final double SERVED = 0.05;
-    /** Promises never fall under this part of what was measured: or nobody would come to show that there is room. */
-    private static final double LEAST_PART = 0.15;
+    private double promiseFactor = 1; // share of the expected capacity that returning viewers turn out to get
 
-    private double held = 1; // part of the room expected that promises turn out to find
-
-    private final SlidingWindowCounter recordSetUp = new SlidingWindowCounter(250_000, SPAN);
+    private final SlidingWindowCounter setUps = new SlidingWindowCounter(250_000, RATE_WINDOW_US);
     private double tokens = 1;
-    private long countedAt = Long.MIN_VALUE;
+    private long refilledAt = Long.MIN_VALUE;
 
-    /** The module sent a first attempt out. */
+    /** The decision module sent a request's first attempt to an edge server. */
     void recordSetUp(long now) {
-        recordSetUp.add(now, 1);
+        setUps.add(now, 1);
     }
 
-    /** Set-ups a second lately: what returns are promised by. */
+    /** First attempts a second within the rate window, by which returns are promised. */
     double setUpRate(long now) {
-        return recordSetUp.sum(now, SPAN) * 1e6 / SPAN;
+        return setUps.sum(now, RATE_WINDOW_US) * 1e6 / RATE_WINDOW_US;
     }
 
-    /** A viewer that kept its time has been served, or turned away again. */
+    /** A viewer that returned on time has been served, or refused again. */
     void recordReturn(boolean served) {
-        held = served ? Math.min(1, held + SERVED) : Math.max(LEAST_PART, held * IN_VAIN);
+        promiseFactor = served
+                ? Math.min(1, promiseFactor + SERVED_INCREMENT)
+                : Math.max(MIN_PROMISE_FACTOR, promiseFactor * REFUSED_FACTOR);
     }
 
-    /** Returns a second that may be promised, of so many set-ups expected. */
+    /** Returns a second that may be promised if {@code expected} set-ups a second are expected. */
     double promisableRate(double expected) {
-        return held * expected;
+        return promiseFactor * expected;
     }
 
-    /** Requests a second that the module is given; {@code cold}: what cold boxes take, infinite while a warm one is up. */
-    static double admissionRate(double cold) {
-        return Math.max(LEAST, cold);
+    /**
+     * Requests a second that are admitted to the decision module.
+     *
+     * @param coldRate set-ups a second that the cold servers accept together; infinite while a warm one is up
+     */
+    static double admissionRate(double coldRate) {
+        return Math.max(MIN_ADMISSIONS_PER_SECOND, coldRate);
     }
 
-    /** Whether one more request may go to the module now. */
-    boolean mayAdmit(long now, double cold) {
-        double rate = admissionRate(cold);
+    /** Whether one more request may be admitted now. */
+    boolean mayAdmit(long now, double coldRate) {
+        double rate = admissionRate(coldRate);
         if (Double.isInfinite(rate)) {
-            countedAt = now;
+            refilledAt = now;
             return true;
         }
-        tokens += countedAt == Long.MIN_VALUE ? 0 : rate * (now - countedAt) / 1e6;
-        tokens = Math.min(tokens, Math.max(1, rate * SAVED));
-        countedAt = now;
+        tokens += refilledAt == Long.MIN_VALUE ? 0 : rate * (now - refilledAt) / 1e6;
+        tokens = Math.min(tokens, Math.max(1, rate * MAX_SAVED_SECONDS));
+        refilledAt = now;
         return tokens >= 1;
     }
 
-    void recordAdmitted(double cold) {
-        if (!Double.isInfinite(cold)) {
+    /** Takes the token of an admitted request. */
+    void recordAdmitted(double coldRate) {
+        if (!Double.isInfinite(coldRate)) {
             tokens -= 1;
         }
     }
--- a/src/main/java/dockshed/storm/RequestHistory.java
+++ b/src/main/java/dockshed/storm/RequestHistory.java
@@ -5,30 +5,36 @@
 import java.util.Map;
 
 /**
- * What is remembered of viewers that were refused, by viewer, title and class: a retry is part of its first try. Ordered
- * by when each last came; the longest away is forgotten first, in time or for room.
+ * Remembers viewers that have not been served, by viewer, title and class, so that a retry is recognised as belonging to its
+ * first request. Entries are ordered by their last request; the oldest is removed first, when it expires or when the history
+ * is full.
  */
 final class RequestHistory {
-    /** Viewers remembered at most: eight minutes of the densest day's refusals at one of many brokers, 8 MB. */
+    /** Entries held at most: eight minutes of refusals of the busiest day at one of many brokers, about 8 MB. */
     static final int MAX_ENTRIES = 32_768;
-    /** A return counts as one by whole seconds where it misses a whole number of them by less. */
+    /** How much a return may differ from a whole number of seconds and count as made by whole seconds. */
     private static final long WHOLE_SECOND_TOLERANCE_US = 200_000;
 
-    /** KEPT: came at or after its time; EARLY: before; UNTOLD: came back without having been told a time. */
+    /** How a request relates to the return time that its viewer was given. */
     enum ReturnKind {
+        /** The first request: not a return. */
         FIRST,
+        /** A return at or after its time. */
         KEPT,
+        /** A return before its time. */
         EARLY,
+        /** A return of a viewer that was given no time. */
         UNTOLD
     }
 
+    /** A viewer's requests for one title and class. Times are microseconds. */
     static final class ViewerRecord {
         final long firstRequestAt;
         long lastRequestAt;
         long refusedAt;
-        long returnAt; // 0: none
+        long returnAt; // 0: no time was given
         int requests;
-        boolean booked; // has a place in the calendar
+        boolean booked; // the return is booked in the calendar
 
         ViewerRecord(long now) {
             firstRequestAt = now;
@@ -38,7 +44,8 @@
 
     private final Terms terms;
     private final LinkedHashMap<String, ViewerRecord> entries = new LinkedHashMap<>(16, 0.75f, true);
-    long evicted; // for want of room, since the start
+    /** Entries removed because the history was full, since the start. */
+    long evicted;
 
     RequestHistory(Terms terms) {
         this.terms = terms;
@@ -52,13 +59,13 @@
         return entries.size();
     }
 
-    /** The visit of a viewer that asks now. */
+    /** Counts a request and returns its viewer's record, a new one if there is none. */
     ViewerRecord recordRequest(long now, String key) {
         removeExpired(now);
-        ViewerRecord v = entries.get(key);
-        if (v == null) {
-            v = new ViewerRecord(now);
-            entries.put(key, v);
+        ViewerRecord viewerRecord = entries.get(key);
+        if (viewerRecord == null) {
+            viewerRecord = new ViewerRecord(now);
+            entries.put(key, viewerRecord);
             if (entries.size() > MAX_ENTRIES) {
                 Iterator<Map.Entry<String, ViewerRecord>> eldest =
                         entries.entrySet().iterator();
@@ -67,42 +74,44 @@
                 evicted++;
             }
         }
-        v.requests++;
-        v.lastRequestAt = now;
-        return v;
+        viewerRecord.requests++;
+        viewerRecord.lastRequestAt = now;
+        return viewerRecord;
     }
 
     private void removeExpired(long now) {
         for (Iterator<ViewerRecord> all = entries.values().iterator(); all.hasNext(); ) {
-            ViewerRecord v = all.next();
-            if (now - Math.max(v.lastRequestAt, v.returnAt) <= terms.remember()) {
+            ViewerRecord viewerRecord = all.next();
+            if (now - Math.max(viewerRecord.lastRequestAt, viewerRecord.returnAt) <= terms.remember()) {
                 return;
             }
             all.remove();
         }
     }
 
-    /** Served, failed or gone: nothing is owed to it. */
+    /** Forgets a viewer that has been served, has failed or has left. */
     void remove(String key) {
         entries.remove(key);
     }
 
-    ReturnKind returnKind(long now, ViewerRecord v) {
-        if (v.requests <= 1) {
+    ReturnKind returnKind(long now, ViewerRecord viewerRecord) {
+        if (viewerRecord.requests <= 1) {
             return ReturnKind.FIRST;
         }
-        if (v.returnAt == 0) {
+        if (viewerRecord.returnAt == 0) {
             return ReturnKind.UNTOLD;
         }
-        return now >= v.returnAt - terms.early() || returnedByWholeSeconds(now, v) ? ReturnKind.KEPT : ReturnKind.EARLY;
+        return now >= viewerRecord.returnAt - terms.early() || returnedByWholeSeconds(now, viewerRecord)
+                ? ReturnKind.KEPT
+                : ReturnKind.EARLY;
     }
 
-    /** One told in whole seconds comes up to a second early and has kept its time all the same. */
-    private static boolean returnedByWholeSeconds(long now, ViewerRecord v) {
-        long stayed = now - v.refusedAt;
-        long whole = Math.round(stayed / 1e6);
-        return whole >= 1
-                && Math.abs(stayed - whole * 1_000_000) < WHOLE_SECOND_TOLERANCE_US
-                && v.returnAt - now < 1_000_000;
+    /** Whether a viewer returned up to a second early only because it was given its time in whole seconds. */
+    private static boolean returnedByWholeSeconds(long now, ViewerRecord viewerRecord) {
+        long away = now - viewerRecord.refusedAt;
+        long seconds = Math.round(away / 1e6);
+        return seconds >= 1
+                && Math.abs(away - seconds * 1_000_000) < WHOLE_SECOND_TOLERANCE_US
+                && viewerRecord.returnAt - now < 1_000_000;
     }
 }
--- a/src/main/java/dockshed/storm/ReturnCalendar.java
+++ b/src/main/java/dockshed/storm/ReturnCalendar.java
@@ -4,90 +4,103 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Return times that have been told, in slots. Invariant: the appointments between now and the end of any slot are at
- * most what the room expected takes by then, and one more. A slot that is past is empty by itself.
+ * The return times that viewers have been advised of, counted in slots of equal width. Invariant: between now and the end of
+ * any slot, at most one more return is booked than the expected capacity allows in that time. Slots of the past count as
+ * empty without being cleared.
  */
 final class ReturnCalendar {
-    /** Slots ahead, at most: a minute of quarter seconds is longer than any viewer honours. */
+    /** Slots held at a time: 64 s of slots of 250 ms, which is longer than any viewer waits. */
     static final int MAX_SLOTS = 256;
 
-    private final long slot;
+    private final long slotWidth; // microseconds
     private final int[] booked = new int[MAX_SLOTS];
-    private final long[] number = new long[MAX_SLOTS];
+    private final long[] slotNumbers = new long[MAX_SLOTS];
 
-    ReturnCalendar(long slot) {
-        this.slot = slot;
-        Arrays.fill(number, Long.MIN_VALUE);
+    ReturnCalendar(long slotWidth) {
+        this.slotWidth = slotWidth;
+        Arrays.fill(slotNumbers, Long.MIN_VALUE);
     }
 
+    /** Number of the slot that holds a time. */
     long slotOf(long at) {
-        return Math.floorDiv(at, slot);
+        return Math.floorDiv(at, slotWidth);
     }
 
+    /** Returns booked in a slot. */
     int booked(long slotNumber) {
-        int i = (int) Math.floorMod(slotNumber, (long) MAX_SLOTS);
-        return number[i] == slotNumber ? booked[i] : 0;
+        int index = (int) Math.floorMod(slotNumber, (long) MAX_SLOTS);
+        return slotNumbers[index] == slotNumber ? booked[index] : 0;
     }
 
-    private void add(long slotNumber, int n) {
-        int i = (int) Math.floorMod(slotNumber, (long) MAX_SLOTS);
-        if (number[i] != slotNumber) {
-            number[i] = slotNumber;
-            booked[i] = 0;
+    private void addToSlot(long slotNumber, int count) {
+        int index = (int) Math.floorMod(slotNumber, (long) MAX_SLOTS);
+        if (slotNumbers[index] != slotNumber) {
+            slotNumbers[index] = slotNumber;
+            booked[index] = 0;
         }
-        booked[i] = Math.max(0, booked[i] + n);
+        booked[index] = Math.max(0, booked[index] + count);
     }
 
     /**
-     * Books the first slot from {@code earliest} that leaves the room: {@code perSecond} returns a second, of which
-     * {@code others} tells by slot what is promised elsewhere. The time lies where {@code dice} (0 to 1) says in that
-     * slot. -1: there is none before {@code latest}.
+     * Books a return in the first slot with free capacity that doesn't begin before the slot of {@code earliest}.
+     *
+     * @param perSecond      returns a second that the fleet can serve
+     * @param elsewhere      returns in a slot, by its number, that are booked at other brokers
+     * @param positionInSlot where in its slot the time lies, from 0 to 1
+     * @return the time booked, or -1 if no slot up to {@code latest} has free capacity
      */
-    long book(long now, long earliest, long latest, double perSecond, LongToDoubleFunction others, double dice) {
-        long first = slotOf(now);
-        long from = slotOf(Math.max(now, earliest));
-        int slots = (int) Math.min(slotOf(latest) - first + 1, MAX_SLOTS);
-        double each = Math.max(1, Math.ceil(perSecond * slot / 1e6));
-        double[] here = new double[slots];
-        double[] spare = new double[slots]; // places that are free by the end of a slot and of all booked ones behind
-        double promised = 0;
+    long book(
+            long now,
+            long earliest,
+            long latest,
+            double perSecond,
+            LongToDoubleFunction elsewhere,
+            double positionInSlot) {
+        long firstSlot = slotOf(now);
+        long fromSlot = slotOf(Math.max(now, earliest));
+        int slots = (int) Math.min(slotOf(latest) - firstSlot + 1, MAX_SLOTS);
+        double maxPerSlot = Math.max(1, Math.ceil(perSecond * slotWidth / 1e6));
+        double[] inSlot = new double[slots];
+        double[] spare = new double[slots]; // free places by the end of a slot and of all booked slots after it
+        double total = 0;
         for (int i = 0; i < slots; i++) {
-            here[i] = booked(first + i) + others.applyAsDouble(first + i);
-            promised += here[i];
-            spare[i] = perSecond * ((first + i + 1) * slot - now) / 1e6 + 1 - promised;
+            inSlot[i] = booked(firstSlot + i) + elsewhere.applyAsDouble(firstSlot + i);
+            total += inSlot[i];
+            spare[i] = perSecond * ((firstSlot + i + 1) * slotWidth - now) / 1e6 + 1 - total;
         }
-        double behind = Double.POSITIVE_INFINITY;
+        double spareLater = Double.POSITIVE_INFINITY;
         for (int i = slots - 1; i >= 0; i--) {
-            spare[i] = Math.min(spare[i], behind);
-            behind = here[i] > 0 ? spare[i] : behind;
+            spare[i] = Math.min(spare[i], spareLater);
+            spareLater = inSlot[i] > 0 ? spare[i] : spareLater;
         }
-        for (int i = (int) (from - first); i < slots; i++) {
-            if (here[i] < each && spare[i] >= 1) {
-                add(first + i, 1);
-                return Math.min(Math.max(earliest, (first + i) * slot + (long) (dice * slot)), latest);
+        for (int i = (int) (fromSlot - firstSlot); i < slots; i++) {
+            if (inSlot[i] < maxPerSlot && spare[i] >= 1) {
+                addToSlot(firstSlot + i, 1);
+                return Math.min(
+                        Math.max(earliest, (firstSlot + i) * slotWidth + (long) (positionInSlot * slotWidth)), latest);
             }
         }
         return -1;
     }
 
-    /** Someone is told that time whatever the room: by whole seconds. */
+    /** Books a return at a time whatever the capacity, for a time that was rounded to whole seconds. */
     void bookUnconditionally(long at) {
-        add(slotOf(at), 1);
+        addToSlot(slotOf(at), 1);
     }
 
-    /** The viewer came, early or late, or is not expected any more. */
+    /** Removes a booking: the viewer has returned, early or late, or is no longer expected. */
     void cancel(long at) {
         if (booked(slotOf(at)) > 0) {
-            add(slotOf(at), -1);
+            addToSlot(slotOf(at), -1);
         }
     }
 
-    /** Appointments still to come. */
+    /** Returns booked in the slot of {@code now} and all later ones. */
     int pending(long now) {
-        int all = 0;
-        for (long k = slotOf(now); k < slotOf(now) + MAX_SLOTS; k++) {
-            all += booked(k);
+        int total = 0;
+        for (long slot = slotOf(now); slot < slotOf(now) + MAX_SLOTS; slot++) {
+            total += booked(slot);
         }
-        return all;
+        return total;
     }
 }
--- a/src/main/java/dockshed/storm/SlidingWindowCounter.java
+++ b/src/main/java/dockshed/storm/SlidingWindowCounter.java
@@ -1,41 +1,43 @@
 package dockshed.storm;
 
-/** Counts of what happened lately, in buckets: a ring, so its size is fixed however much comes. */
+/** Counts events of the recent past in a ring of buckets, so that its size does not depend on the number of events. */
 final class SlidingWindowCounter {
-    private final long width;
+    private final long bucketWidth; // microseconds
     private final double[] counts;
-    private long latest = Long.MIN_VALUE; // number of the newest bucket
+    private long newestBucket = Long.MIN_VALUE;
 
-    /** Holds at least {@code span} microseconds in buckets of {@code width}. */
-    SlidingWindowCounter(long width, long span) {
-        this.width = width;
-        counts = new double[(int) (span / width) + 1];
+    /** A counter for windows of up to {@code span} microseconds, in buckets of {@code bucketWidth} microseconds. */
+    SlidingWindowCounter(long bucketWidth, long span) {
+        this.bucketWidth = bucketWidth;
+        counts = new double[(int) (span / bucketWidth) + 1];
     }
 
-    private void roll(long now) {
-        long bucket = Math.floorDiv(now, width);
-        if (latest == Long.MIN_VALUE || bucket - latest >= counts.length) {
+    private void advance(long now) {
+        long bucket = Math.floorDiv(now, bucketWidth);
+        if (newestBucket == Long.MIN_VALUE || bucket - newestBucket >= counts.length) {
             java.util.Arrays.fill(counts, 0);
         } else {
-            for (long b = latest + 1; b <= bucket; b++) {
-                counts[(int) Math.floorMod(b, (long) counts.length)] = 0;
+            for (long passed = newestBucket + 1; passed <= bucket; passed++) {
+                counts[(int) Math.floorMod(passed, (long) counts.length)] = 0;
             }
         }
-        latest = Math.max(latest, bucket);
+        newestBucket = Math.max(newestBucket, bucket);
     }
 
-    void add(long now, double n) {
-        roll(now);
-        counts[(int) Math.floorMod(latest, (long) counts.length)] += n;
+    void add(long now, double count) {
+        advance(now);
+        counts[(int) Math.floorMod(newestBucket, (long) counts.length)] += count;
     }
 
-    /** What came within the last {@code span}, to a bucket's width. */
+    /** Events within the last {@code span} microseconds, accurate to one bucket. */
     double sum(long now, long span) {
-        roll(now);
-        double all = 0;
-        for (long b = latest; b > latest - Math.min(counts.length, (span + width - 1) / width); b--) {
-            all += counts[(int) Math.floorMod(b, (long) counts.length)];
+        advance(now);
+        double total = 0;
+        for (long bucket = newestBucket;
+                bucket > newestBucket - Math.min(counts.length, (span + bucketWidth - 1) / bucketWidth);
+                bucket--) {
+            total += counts[(int) Math.floorMod(bucket, (long) counts.length)];
         }
-        return all;
+        return total;
     }
 }
--- a/src/main/java/dockshed/storm/Terms.java
+++ b/src/main/java/dockshed/storm/Terms.java
@@ -1,24 +1,24 @@
 package dockshed.storm;
 
 /**
- * The operator's figures of the storm part; times are microseconds, rates a second, shares of 1.
+ * The operator's settings of retry storm control. Times are microseconds, rates are per second, shares are between 0 and 1.
  *
- * @param returns      how return times are laid out
- * @param soonest      no viewer is told to come back sooner
- * @param longest      nor later; 0: the settings' longest time
- * @param slot         a slot of the calendar
- * @param early        an appointment counts as kept from so long before its time
- * @param remember     a viewer that stays away so long is forgotten
- * @param hold         a request may wait so long for room; 0: none waits
- * @param waiting      requests that may wait at once
- * @param rush         arrivals over the usual that tell of a storm
- * @param repeats      share of repeats among arrivals that does
- * @param trouble      share of refusals and time-outs that does
- * @param calmAfter    so long without a sign ends a storm
- * @param retryShare   further attempts over fresh requests
- * @param retryLeast   further attempts a second that are always allowed
- * @param coldAim      set-ups to a freshly started box, over what it can take
- * @param notesEvery   between notes to the other brokers; 0: none are sent
+ * @param returns      how return times are chosen
+ * @param soonest      the shortest return time that is advised
+ * @param longest      the longest return time that is advised; 0: the maximum of the broker's settings
+ * @param slot         width of a slot of the calendar
+ * @param early        how long before its return time a viewer may return and still be on time
+ * @param remember     time after its last request or return time at which a viewer is forgotten
+ * @param hold         the longest time for which a request may be queued; 0: requests are not queued
+ * @param waiting      the most requests that may be queued at a time
+ * @param rush         ratio of arrivals to their baseline above which they indicate a storm
+ * @param repeats      share of repeated requests among arrivals above which they indicate a storm
+ * @param trouble      share of refusals and time-outs among arrivals above which they indicate a storm
+ * @param calmAfter    time without a sign of a storm after which it is over
+ * @param retryShare   the broker's retries over first requests that are allowed
+ * @param retryLeast   the broker's retries a second that are always allowed
+ * @param coldAim      set-ups sent to a freshly started edge server over those that it accepts
+ * @param notesEvery   time between status messages to the other brokers; 0: none are sent
  */
 public record Terms(
         Returns returns,
@@ -37,14 +37,17 @@
         double retryLeast,
         double coldAim,
         long notesEvery) {
-    /** CALENDAR: by the room expected; JITTER: anywhere up to the longest time; FIXED: the longest time for all. */
+    /** How a return time is chosen. */
     public enum Returns {
+        /** The first slot with free return capacity. */
         CALENDAR,
+        /** Evenly distributed between the shortest and the longest time. */
         JITTER,
+        /** The longest time, for every viewer. */
         FIXED
     }
 
-    /** Figures that suit sessions of half a minute and patience of seconds; the note on design has their reasons. */
+    /** Values for sessions of half a minute and client deadlines of seconds; the design note gives the reasons. */
     public static final Terms DEFAULTS = new Terms(
             Returns.CALENDAR,
             250_000,
--- a/src/main/java/dockshed/storm/package-info.java
+++ b/src/main/java/dockshed/storm/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Retry storms: notices them, damps them, and gives every refused viewer a time to return. Owns the watch over arrivals,
- * the calendar of returns, what is remembered of viewers, the room of those that wait, the budget of further attempts
- * and the pace of freshly started boxes. Stands between the core and the decision module as a
- * {@link dockshed.Director} of its own ({@link dockshed.storm.Damper}); the rest is free of the broker, too.
+ * Retry storm control: detects retry storms, limits their load and advises every refused viewer of a time to return. It
+ * holds the storm detector, the calendar of return times, the history of viewers' requests, the admission queue, the retry
+ * budget and the limiter for freshly started edge servers. {@link dockshed.storm.RetryStormFilter} is a
+ * {@link dockshed.Director} between the broker's core and the decision module; the other classes don't depend on the broker
+ * either.
  *
- * <p>It may hold a request that the module has not been given yet, for a bounded time, and may refuse one that never
- * went out. It may not pick a server, change a rung, hold back an answer of the module's, do I/O, read a clock or draw
- * random numbers but from the seed that it is handed.
+ * <p>It may hold a request that the module has not received yet for a bounded time, and may refuse a request that was never
+ * sent to an edge server. It must not choose a server, change a rendition, delay an answer of the module, do I/O, read a
+ * clock, or draw random numbers other than from the seed that it is given.
  */
 package dockshed.storm;
