--- a/src/test/java/dockshed/storm/RetryStormFilterTest.java
+++ b/src/test/java/dockshed/storm/RetryStormFilterTest.java
@@ -34,14 +34,14 @@
                 getClass().getClassLoader(),
                 new Class<?>[] {Director.Actions.class},
                 (proxy, method, args) -> switch (method.getName()) {
-                    case "comeBackUnit" -> unit;
+                    case "retryAfterUnit" -> unit;
                     case "refuse" -> {
                         told.add((Long) args[1]);
                         yield note("refuse " + args[0]);
                     }
-                    case "tell", "timer" -> null;
-                    case "newcomers" -> -1.0;
-                    case "mayTryAgain" -> true;
+                    case "broadcast", "timer" -> null;
+                    case "newSessionShare" -> -1.0;
+                    case "mayRetry" -> true;
                     default -> note(method.getName() + " " + args[0]);
                 });
         return new RetryStormFilter(settings, Terms.DEFAULTS, 1, broker, a -> {
