--- a/src/main/java/dockshed/storm/AdmissionQueue.java
+++ b/src/main/java/dockshed/storm/AdmissionQueue.java
@@ -17,7 +17,7 @@
  * removed when the queue is full.
  */
 final class AdmissionQueue {
-    /** Score added per second of waiting: over the longest wait more than the least worth of a class, less than the greatest. */
+    /** Score per second of waiting: over the longest wait it exceeds the least worth of a class, but not the greatest. */
     static final double WAITING_SCORE_PER_SECOND = 2;
     /** Share of the client deadline that a request may be queued: the set-up needs the rest. */
     private static final double MAX_WAIT_SHARE = 0.5;
--- a/src/main/java/dockshed/storm/StormDetector.java
+++ b/src/main/java/dockshed/storm/StormDetector.java
@@ -24,7 +24,10 @@
     static final long FAST_WINDOW_US = 3_000_000;
     /** Time constant of the baseline rate while calm; otherwise five times as long. */
     static final long SLOW_WINDOW_US = 20_000_000;
-    /** Time for which a broker counts as freshly started: half the time over which an outage's viewers return, and a warm-up. */
+    /**
+     * Time for which a broker counts as freshly started: half the longest time over which viewers return after an outage,
+     * and a warm-up.
+     */
     static final long FRESH_START_US = 10_000_000;
     /** Time between evaluations. */
     static final long EVALUATION_INTERVAL_US = 100_000;
