--- a/src/test/java/dockshed/storm/StormComponentsTest.java
+++ b/src/test/java/dockshed/storm/StormComponentsTest.java
@@ -29,46 +29,47 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Each piece of the storm part alone. */
+/** Guards the invariants of each component of storm control by itself. */
 class StormComponentsTest {
-    private static final long MS = 1000;
-    private static final long S = 1_000_000;
-    private static final long T0 = 1_000_000 * S;
+    private static final long MILLISECOND_US = 1000;
+    private static final long SECOND_US = 1_000_000;
+    private static final long START_US = 1_000_000 * SECOND_US;
     private static final Terms TERMS = Terms.DEFAULTS;
 
-    // ---- Watch.
+    // ---- Storm detector.
 
-    /** Steady arrivals at so many a second, looked at as the part does. */
-    private static long arrive(StormDetector w, long from, long to, double perSecond, double repeats, double refused) {
+    /** Records steady arrivals, evaluating the detector after each; {@code repeats} and {@code refused} are shares of them. */
+    private static long recordSteadyArrivals(
+            StormDetector detector, long from, long to, double perSecond, double repeats, double refused) {
         SplittableRandom random = new SplittableRandom(9);
-        long step = (long) (S / perSecond);
-        for (long t = from; t < to; t += step) {
-            w.recordArrival(t, random.nextDouble() < repeats);
+        long interval = (long) (SECOND_US / perSecond);
+        for (long now = from; now < to; now += interval) {
+            detector.recordArrival(now, random.nextDouble() < repeats);
             if (random.nextDouble() < refused) {
-                w.recordFailure(t);
+                detector.recordFailure(now);
             }
-            w.evaluate(t);
+            detector.evaluate(now);
         }
         return to;
     }
 
     @Test
-    void aStormRisesAndEbbsThroughEveryStateInTurn() {
-        StormDetector w = new StormDetector(TERMS, 5, 3);
-        List<StormDetector.State> seen = new ArrayList<>();
+    void aStormPassesThroughEveryStateInOrder() {
+        StormDetector detector = new StormDetector(TERMS, 5, 3);
+        List<StormDetector.State> states = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(1);
-        for (long t = T0; t < T0 + 60 * S; t += 20 * MS) {
-            boolean storm = t > T0 + 20 * S && t < T0 + 30 * S;
+        for (long now = START_US; now < START_US + 60 * SECOND_US; now += 20 * MILLISECOND_US) {
+            boolean storm = now > START_US + 20 * SECOND_US && now < START_US + 30 * SECOND_US;
             if (random.nextDouble() < (storm ? 0.8 : 0.1)) {
-                w.recordArrival(t, storm && random.nextDouble() < 0.7);
+                detector.recordArrival(now, storm && random.nextDouble() < 0.7);
                 if (storm && random.nextDouble() < 0.6) {
-                    w.recordFailure(t);
+                    detector.recordFailure(now);
                 }
             }
-            StormDetector.Transition c = w.evaluate(t);
-            if (c != null) {
-                seen.add(c.to());
-                assertTrue(c.toString().contains("arrivals="), "the log line has its figures");
+            StormDetector.Transition transition = detector.evaluate(now);
+            if (transition != null) {
+                states.add(transition.to());
+                assertTrue(transition.toString().contains("arrivals="), "the log line names its figures");
             }
         }
         assertEquals(
@@ -77,328 +78,389 @@
                         StormDetector.State.STORM,
                         StormDetector.State.EBBING,
                         StormDetector.State.CALM),
-                seen);
+                states);
     }
 
     @Test
-    void aClockThatStandsStillForASecondIsNoStorm() {
-        // After a stall all that waited comes at one moment; a rate over that moment would be without bound.
-        StormDetector w = new StormDetector(TERMS, 20, 3);
-        arrive(w, T0, T0 + 20 * S, 20, 0.05, 0);
+    void aClockThatStandsStillForASecondIsNotAStorm() {
+        // After a stall all waiting requests arrive at the same time; a rate over that moment alone would be infinite.
+        StormDetector detector = new StormDetector(TERMS, 20, 3);
+        recordSteadyArrivals(detector, START_US, START_US + 20 * SECOND_US, 20, 0.05, 0);
         for (int i = 0; i < 20; i++) {
-            w.recordArrival(T0 + 21 * S, false);
+            detector.recordArrival(START_US + 21 * SECOND_US, false);
         }
-        assertNull(w.evaluate(T0 + 21 * S));
-        arrive(w, T0 + 21 * S, T0 + 30 * S, 20, 0.05, 0);
-        assertEquals(StormDetector.State.CALM, w.state());
+        assertNull(detector.evaluate(START_US + 21 * SECOND_US));
+        recordSteadyArrivals(detector, START_US + 21 * SECOND_US, START_US + 30 * SECOND_US, 20, 0.05, 0);
+        assertEquals(StormDetector.State.CALM, detector.state());
     }
 
     @Test
-    void aLastingRiseBecomesUsualInTheEnd() {
-        StormDetector w = new StormDetector(TERMS, 5, 1);
-        arrive(w, T0, T0 + 10 * S, 5, 0, 0);
-        arrive(w, T0 + 10 * S, T0 + 20 * S, 40, 0, 0);
-        assertFalse(w.state() == StormDetector.State.CALM);
-        arrive(w, T0 + 20 * S, T0 + 200 * S, 40, 0, 0);
-        assertEquals(StormDetector.State.CALM, w.state());
+    void aLastingRiseBecomesTheBaseline() {
+        StormDetector detector = new StormDetector(TERMS, 5, 1);
+        recordSteadyArrivals(detector, START_US, START_US + 10 * SECOND_US, 5, 0, 0);
+        recordSteadyArrivals(detector, START_US + 10 * SECOND_US, START_US + 20 * SECOND_US, 40, 0, 0);
+        assertFalse(detector.state() == StormDetector.State.CALM);
+        recordSteadyArrivals(detector, START_US + 20 * SECOND_US, START_US + 200 * SECOND_US, 40, 0, 0);
+        assertEquals(StormDetector.State.CALM, detector.state());
     }
 
     @Test
-    void aPeerGoneSilentIsASignAndThenNoNewsAnyMore() {
-        StormDetector w = new StormDetector(TERMS, 5, 3);
-        w.recordPeerMessage(T0, 1);
-        w.recordPeerMessage(T0, 2);
-        assertEquals(3, w.activeBrokers(T0 + S));
-        w.recordPeerMessage(T0 + 4 * S, 2);
-        assertEquals(1, w.silentPeers(T0 + 4 * S));
-        assertEquals(2, w.activeBrokers(T0 + 4 * S));
-        assertEquals(0, w.silentPeers(T0 + 60 * S));
+    void aSilentPeerIndicatesAStormForALimitedTime() {
+        StormDetector detector = new StormDetector(TERMS, 5, 3);
+        detector.recordPeerMessage(START_US, 1);
+        detector.recordPeerMessage(START_US, 2);
+        assertEquals(3, detector.activeBrokers(START_US + SECOND_US));
+        detector.recordPeerMessage(START_US + 4 * SECOND_US, 2);
+        assertEquals(1, detector.silentPeers(START_US + 4 * SECOND_US));
+        assertEquals(2, detector.activeBrokers(START_US + 4 * SECOND_US));
+        assertEquals(0, detector.silentPeers(START_US + 60 * SECOND_US));
     }
 
-    // ---- Calendar.
+    // ---- Return calendar.
 
     @Property(tries = 200, seed = "7")
-    void returnsNeverExceedTheRoomExpected(
+    void bookedReturnsNeverExceedTheExpectedCapacity(
             @ForAll @DoubleRange(min = 0.2, max = 80) double perSecond,
             @ForAll @IntRange(min = 1, max = 400) int refused,
             @ForAll long seed) {
-        ReturnCalendar c = new ReturnCalendar(250 * MS);
+        ReturnCalendar calendar = new ReturnCalendar(250 * MILLISECOND_US);
         SplittableRandom random = new SplittableRandom(seed);
-        List<Long> promised = new ArrayList<>();
+        List<Long> booked = new ArrayList<>();
         for (int i = 0; i < refused; i++) {
-            long earliest = T0 + random.nextLong(8 * S);
-            long at = c.book(T0, earliest, T0 + 10 * S, perSecond, k -> 0, random.nextDouble());
+            long earliest = START_US + random.nextLong(8 * SECOND_US);
+            long at = calendar.book(
+                    START_US, earliest, START_US + 10 * SECOND_US, perSecond, slot -> 0, random.nextDouble());
             if (at >= 0) {
-                assertTrue(at >= earliest && at <= T0 + 10 * S);
-                promised.add(at);
+                assertTrue(at >= earliest && at <= START_US + 10 * SECOND_US);
+                booked.add(at);
             }
         }
-        for (long k = c.slotOf(T0); k <= c.slotOf(T0 + 10 * S); k++) {
-            long end = (k + 1) * 250 * MS;
-            long by = promised.stream().filter(at -> at < end).count();
+        for (long slot = calendar.slotOf(START_US); slot <= calendar.slotOf(START_US + 10 * SECOND_US); slot++) {
+            long end = (slot + 1) * 250 * MILLISECOND_US;
+            long bookedByEnd = booked.stream().filter(at -> at < end).count();
             assertTrue(
-                    by <= perSecond * (end - T0) / 1e6 + 1,
-                    by + " promised by " + (end - T0) / MS + " ms at " + perSecond);
+                    bookedByEnd <= perSecond * (end - START_US) / 1e6 + 1,
+                    bookedByEnd + " booked by " + (end - START_US) / MILLISECOND_US + " ms at " + perSecond);
         }
-        assertEquals(promised.size(), c.pending(T0));
-        promised.forEach(c::cancel);
-        assertEquals(0, c.pending(T0));
+        assertEquals(booked.size(), calendar.pending(START_US));
+        booked.forEach(calendar::cancel);
+        assertEquals(0, calendar.pending(START_US));
     }
 
     @Test
-    void aFullCalendarSaysSoAndPastSlotsAreEmpty() {
-        ReturnCalendar c = new ReturnCalendar(250 * MS);
+    void aFullCalendarBooksNothingAndPastSlotsAreEmpty() {
+        ReturnCalendar calendar = new ReturnCalendar(250 * MILLISECOND_US);
         int placed = 0;
-        while (c.book(T0, T0, T0 + 2 * S, 2, k -> 0, 0.5) >= 0) {
+        while (calendar.book(START_US, START_US, START_US + 2 * SECOND_US, 2, slot -> 0, 0.5) >= 0) {
             placed++;
         }
         assertTrue(placed >= 4 && placed <= 6, "placed " + placed);
-        assertEquals(0, c.pending(T0 + 3 * S));
-        assertTrue(c.book(T0 + 100 * S, T0 + 100 * S, T0 + 102 * S, 2, k -> 0, 0.5) >= 0);
-        assertEquals(-1, c.book(T0 + 200 * S, T0 + 200 * S, T0 + 201 * S, 2, k -> 9, 0.5), "promised elsewhere");
+        assertEquals(0, calendar.pending(START_US + 3 * SECOND_US));
+        assertTrue(calendar.book(
+                        START_US + 100 * SECOND_US,
+                        START_US + 100 * SECOND_US,
+                        START_US + 102 * SECOND_US,
+                        2,
+                        slot -> 0,
+                        0.5)
+                >= 0);
+        assertEquals(
+                -1,
+                calendar.book(
+                        START_US + 200 * SECOND_US,
+                        START_US + 200 * SECOND_US,
+                        START_US + 201 * SECOND_US,
+                        2,
+                        slot -> 9,
+                        0.5),
+                "booked at other brokers");
     }
 
-    // ---- Visits.
+    // ---- Request history.
 
     @Test
-    void aKeptAppointmentIsToldFromAnEarlyReturn() {
-        RequestHistory v = new RequestHistory(TERMS);
-        ViewerRecord visit = v.recordRequest(T0, "k");
-        assertEquals(ReturnKind.FIRST, v.returnKind(T0, visit));
-        visit.refusedAt = T0;
-        visit.returnAt = T0 + 1_700 * MS;
-        assertEquals(visit, v.recordRequest(T0 + 500 * MS, "k"));
-        assertEquals(ReturnKind.EARLY, v.returnKind(T0 + 500 * MS, visit));
-        assertEquals(ReturnKind.EARLY, v.returnKind(T0 + 1_500 * MS, visit));
-        assertEquals(ReturnKind.KEPT, v.returnKind(T0 + 1_650 * MS, visit));
-        assertEquals(ReturnKind.KEPT, v.returnKind(T0 + 1_050 * MS, visit), "by Retry-After: one whole second");
-        v.remove("k");
-        assertEquals(ReturnKind.FIRST, v.returnKind(T0 + 2 * S, v.recordRequest(T0 + 2 * S, "k")));
+    void aReturnOnTimeIsDistinguishedFromAnEarlyOne() {
+        RequestHistory history = new RequestHistory(TERMS);
+        ViewerRecord viewerRecord = history.recordRequest(START_US, "k");
+        assertEquals(ReturnKind.FIRST, history.returnKind(START_US, viewerRecord));
+        viewerRecord.refusedAt = START_US;
+        viewerRecord.returnAt = START_US + 1_700 * MILLISECOND_US;
+        assertEquals(viewerRecord, history.recordRequest(START_US + 500 * MILLISECOND_US, "k"));
+        assertEquals(ReturnKind.EARLY, history.returnKind(START_US + 500 * MILLISECOND_US, viewerRecord));
+        assertEquals(ReturnKind.EARLY, history.returnKind(START_US + 1_500 * MILLISECOND_US, viewerRecord));
+        assertEquals(ReturnKind.KEPT, history.returnKind(START_US + 1_650 * MILLISECOND_US, viewerRecord));
+        assertEquals(
+                ReturnKind.KEPT,
+                history.returnKind(START_US + 1_050 * MILLISECOND_US, viewerRecord),
+                "the time was given in whole seconds, by Retry-After");
+        history.remove("k");
+        assertEquals(
+                ReturnKind.FIRST,
+                history.returnKind(START_US + 2 * SECOND_US, history.recordRequest(START_US + 2 * SECOND_US, "k")));
     }
 
     @Test
-    void aHundredThousandViewersStayWithinTheBoundsAndAreForgottenInTime() {
-        RequestHistory v = new RequestHistory(TERMS);
+    void theHistoryIsBoundedAndItsEntriesExpire() {
+        RequestHistory history = new RequestHistory(TERMS);
         for (int i = 0; i < 100_000; i++) {
-            v.recordRequest(T0 + i, "viewer " + i);
+            history.recordRequest(START_US + i, "viewer " + i);
         }
-        assertEquals(RequestHistory.MAX_ENTRIES, v.size());
-        assertEquals(100_000 - RequestHistory.MAX_ENTRIES, v.evicted);
+        assertEquals(RequestHistory.MAX_ENTRIES, history.size());
+        assertEquals(100_000 - RequestHistory.MAX_ENTRIES, history.evicted);
         assertEquals(
                 ReturnKind.UNTOLD,
-                v.returnKind(T0 + S, v.recordRequest(T0 + S, "viewer 99999")),
-                "the latest are remembered");
-        assertEquals(ReturnKind.FIRST, v.returnKind(T0 + S, v.recordRequest(T0 + S, "viewer 1")));
-        v.recordRequest(T0 + TERMS.remember() + 2 * S, "later");
-        assertEquals(1, v.size());
+                history.returnKind(START_US + SECOND_US, history.recordRequest(START_US + SECOND_US, "viewer 99999")),
+                "the latest entries are kept");
+        assertEquals(
+                ReturnKind.FIRST,
+                history.returnKind(START_US + SECOND_US, history.recordRequest(START_US + SECOND_US, "viewer 1")));
+        history.recordRequest(START_US + TERMS.remember() + 2 * SECOND_US, "later");
+        assertEquals(1, history.size());
     }
 
-    // ---- Waiting room.
+    // ---- Admission queue.
 
-    private static QueuedRequest waiter(String id, double worth, long firstTry, ReturnKind standing, long came) {
-        ViewerRecord v = new ViewerRecord(firstTry);
-        SessionClass c = new SessionClass("c", Effect.SAFE, S, 3 * S, worth, 1, 0, 4, 0);
+    private static QueuedRequest queuedRequest(
+            String id, double worth, long firstRequestAt, ReturnKind returnKind, long arrivedAt) {
+        ViewerRecord viewerRecord = new ViewerRecord(firstRequestAt);
+        SessionClass sessionClass = new SessionClass("c", Effect.SAFE, SECOND_US, 3 * SECOND_US, worth, 1, 0, 4, 0);
         return new QueuedRequest(
-                new Request(id, "c", "v", "t", 3 * S, 0, 0, 3, 4, false, false, false), c, v, standing, came);
+                new Request(id, "c", "v", "t", 3 * SECOND_US, 0, 0, 3, 4, false, false, false),
+                sessionClass,
+                viewerRecord,
+                returnKind,
+                arrivedAt);
     }
 
     @Test
-    void thoseWorthMoreNearGivingUpAndOnTimeGoFirst() {
-        AdmissionQueue r = new AdmissionQueue(TERMS);
-        for (QueuedRequest w : List.of(
-                waiter("early", 1, T0, ReturnKind.EARLY, T0),
-                waiter("fresh", 1, T0, ReturnKind.FIRST, T0),
-                waiter("kept", 1, T0, ReturnKind.KEPT, T0),
-                waiter("old", 1, T0 - 3 * S, ReturnKind.KEPT, T0),
-                waiter("paid", 3, T0, ReturnKind.FIRST, T0))) {
-            assertNull(r.offer(T0, w, 100));
+    void requestsOfHigherWorthOfOlderViewersAndOnTimeAreAdmittedFirst() {
+        AdmissionQueue queue = new AdmissionQueue(TERMS);
+        for (QueuedRequest queuedRequest : List.of(
+                queuedRequest("early", 1, START_US, ReturnKind.EARLY, START_US),
+                queuedRequest("fresh", 1, START_US, ReturnKind.FIRST, START_US),
+                queuedRequest("kept", 1, START_US, ReturnKind.KEPT, START_US),
+                queuedRequest("old", 1, START_US - 3 * SECOND_US, ReturnKind.KEPT, START_US),
+                queuedRequest("paid", 3, START_US, ReturnKind.FIRST, START_US))) {
+            assertNull(queue.offer(START_US, queuedRequest, 100));
         }
-        List<String> turns = new ArrayList<>();
-        while (!r.isEmpty()) {
-            turns.add(r.poll(T0).request().id());
+        List<String> order = new ArrayList<>();
+        while (!queue.isEmpty()) {
+            order.add(queue.poll(START_US).request().id());
         }
-        // The viewer that ignored its time gains nothing by it.
-        assertEquals("early", turns.get(4));
-        assertEquals(List.of("paid", "old", "kept", "fresh", "early").subList(2, 5), turns.subList(2, 5));
-        assertTrue(turns.subList(0, 2).containsAll(List.of("paid", "old")));
+        // A viewer that ignored its return time gains nothing by it.
+        assertEquals("early", order.get(4));
+        assertEquals(List.of("paid", "old", "kept", "fresh", "early").subList(2, 5), order.subList(2, 5));
+        assertTrue(order.subList(0, 2).containsAll(List.of("paid", "old")));
     }
 
     @Test
-    void nobodyWaitsInVainAndTheLeastIsPutOutWhereTheRoomIsFull() {
-        AdmissionQueue r = new AdmissionQueue(
-                new Terms(TERMS.returns(), 1, 0, 250 * MS, 0, S, 400 * MS, 2, 2, 1, 1, S, 1, 1, 1, 0));
-        QueuedRequest first = waiter("1", 1, T0, ReturnKind.FIRST, T0);
-        assertEquals(first, r.offer(T0, first, 2), "half a second a place is longer than the hold");
-        assertNull(r.offer(T0, first, 100));
-        assertNull(r.offer(T0, waiter("2", 2, T0, ReturnKind.FIRST, T0), 100));
-        assertEquals(first, r.offer(T0, waiter("3", 3, T0, ReturnKind.FIRST, T0), 100));
-        assertEquals(List.of(), r.removeExpired(T0 + 399 * MS));
-        assertEquals(2, r.removeExpired(T0 + 400 * MS).size());
-        assertTrue(r.isEmpty());
+    void requestsThatCannotBeAdmittedInTimeAreRejectedAndAFullQueueDropsTheLowestScore() {
+        AdmissionQueue queue = new AdmissionQueue(new Terms(
+                TERMS.returns(),
+                1,
+                0,
+                250 * MILLISECOND_US,
+                0,
+                SECOND_US,
+                400 * MILLISECOND_US,
+                2,
+                2,
+                1,
+                1,
+                SECOND_US,
+                1,
+                1,
+                1,
+                0));
+        QueuedRequest first = queuedRequest("1", 1, START_US, ReturnKind.FIRST, START_US);
+        assertEquals(first, queue.offer(START_US, first, 2), "half a second per admission exceeds the longest wait");
+        assertNull(queue.offer(START_US, first, 100));
+        assertNull(queue.offer(START_US, queuedRequest("2", 2, START_US, ReturnKind.FIRST, START_US), 100));
+        assertEquals(first, queue.offer(START_US, queuedRequest("3", 3, START_US, ReturnKind.FIRST, START_US), 100));
+        assertEquals(List.of(), queue.removeExpired(START_US + 399 * MILLISECOND_US));
+        assertEquals(2, queue.removeExpired(START_US + 400 * MILLISECOND_US).size());
+        assertTrue(queue.isEmpty());
     }
 
     @Test
-    void waitingItselfCounts() {
-        // Without it a stream of dearer requests would starve the cheap one for as long as it flows.
-        AdmissionQueue r = new AdmissionQueue(TERMS);
-        QueuedRequest cheap = waiter("cheap", 1, T0, ReturnKind.FIRST, T0);
-        r.offer(T0, cheap, 100);
-        long t = T0 + 390 * MS;
-        assertNull(r.offer(t, waiter("same", 1.3, t, ReturnKind.FIRST, t), 100));
-        assertEquals("cheap", r.poll(t).request().id());
+    void timeWaitedRaisesTheScore() {
+        // Otherwise a steady stream of requests of higher worth would starve the one of low worth.
+        AdmissionQueue queue = new AdmissionQueue(TERMS);
+        QueuedRequest cheap = queuedRequest("cheap", 1, START_US, ReturnKind.FIRST, START_US);
+        queue.offer(START_US, cheap, 100);
+        long later = START_US + 390 * MILLISECOND_US;
+        assertNull(queue.offer(later, queuedRequest("same", 1.3, later, ReturnKind.FIRST, later), 100));
+        assertEquals("cheap", queue.poll(later).request().id());
     }
 
-    // ---- Budget.
+    // ---- Retry budget.
 
     @Test
-    void furtherAttemptsAreAShareOfFreshRequests() {
-        RetryBudget b = new RetryBudget(TERMS);
+    void retriesAreAShareOfFirstRequests() {
+        RetryBudget budget = new RetryBudget(TERMS);
         for (int i = 0; i < 100; i++) {
-            b.recordFirstRequest(T0 + i * 50 * MS);
+            budget.recordFirstRequest(START_US + i * 50 * MILLISECOND_US);
         }
         int granted = 0;
-        while (b.mayRetry(T0 + 5 * S)) {
-            b.recordRetry(T0 + 5 * S);
+        while (budget.mayRetry(START_US + 5 * SECOND_US)) {
+            budget.recordRetry(START_US + 5 * SECOND_US);
             granted++;
         }
-        assertEquals(30, granted, "a fifth of a hundred, and one a second for ten");
-        assertEquals(1, b.denied);
-        assertTrue(b.mayRetry(T0 + 40 * S), "and the window moves on");
+        assertEquals(30, granted, "a fifth of 100 first requests, and one a second for 10 s");
+        assertEquals(1, budget.denied);
+        assertTrue(budget.mayRetry(START_US + 40 * SECOND_US), "retries outside the window no longer count");
     }
 
-    // ---- Cold pace.
+    // ---- Cold server limiter.
 
     private static Server server(long upSince) {
         return new Server("a", "east", "k", 0, State.UP, 1, upSince);
     }
 
     @Test
-    void aFreshBoxIsSentNoMoreThanItsPaceInAnyWindowAlsoAfterAStall() {
-        ColdServerLimiter p = new ColdServerLimiter(new BrokerHarness().settings, TERMS); // one broker, 40 places, 12 s
-        p.updateServers(T0, ListScope.SNAPSHOT, List.of(server(T0)));
+    void aColdServerIsSentNoMoreThanItsRateInAnyWindowEvenAfterAStall() {
+        // One broker, 40 streams, warm in 12 s.
+        ColdServerLimiter limiter = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
+        limiter.updateServers(START_US, ListScope.SNAPSHOT, List.of(server(START_US)));
         List<Long> sent = new ArrayList<>();
-        for (long t = T0; t < T0 + 12 * S; t += t == T0 + 5 * S ? S : 5 * MS) { // a clock that stands still for 1 s
-            for (int burst = 0; burst < 20 && p.permits(t, "a"); burst++) {
-                p.recordSetUp(t, "a");
-                sent.add(t);
+        // The clock stands still for 1 s at 5 s.
+        for (long now = START_US;
+                now < START_US + 12 * SECOND_US;
+                now += now == START_US + 5 * SECOND_US ? SECOND_US : 5 * MILLISECOND_US) {
+            for (int burst = 0; burst < 20 && limiter.permits(now, "a"); burst++) {
+                limiter.recordSetUp(now, "a");
+                sent.add(now);
             }
         }
-        for (long from = T0; from < T0 + 10 * S; from += 100 * MS) {
-            long begin = from;
-            double warmth = 0.4 + 0.6 * (from + 2 * S - T0) / (12.0 * S);
-            long n = sent.stream().filter(t -> t >= begin && t < begin + 2 * S).count();
-            assertTrue(n <= 1.5 * 40 / 12.0 * warmth * 2 + 1, n + " from " + (from - T0) / MS);
+        for (long from = START_US; from < START_US + 10 * SECOND_US; from += 100 * MILLISECOND_US) {
+            long windowStart = from;
+            double warmth = 0.4 + 0.6 * (from + 2 * SECOND_US - START_US) / (12.0 * SECOND_US);
+            long count = sent.stream()
+                    .filter(now -> now >= windowStart && now < windowStart + 2 * SECOND_US)
+                    .count();
+            assertTrue(
+                    count <= 1.5 * 40 / 12.0 * warmth * 2 + 1, count + " from " + (from - START_US) / MILLISECOND_US);
         }
-        assertTrue(sent.size() > 0.8 * 40 / 12.0 * 0.7 * 12, "and the pace is used: " + sent.size());
-        assertTrue(p.permits(T0 + 13 * S, "a") && Double.isInfinite(p.acceptableRate(T0 + 13 * S, "a")));
+        assertTrue(sent.size() > 0.8 * 40 / 12.0 * 0.7 * 12, "the rate is used: " + sent.size());
+        assertTrue(limiter.permits(START_US + 13 * SECOND_US, "a")
+                && Double.isInfinite(limiter.acceptableRate(START_US + 13 * SECOND_US, "a")));
     }
 
     @Test
-    void whatPeersSpentIsSpent() {
-        ColdServerLimiter p = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
-        p.updateServers(T0, ListScope.SNAPSHOT, List.of(server(T0)));
-        assertTrue(p.permits(T0 + S, "a"));
-        p.applyPeerUsage(T0 + S, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 50)), false);
-        assertFalse(p.permits(T0 + S, "a"));
-        assertTrue(p.permits(T0 + 4 * S, "a"), "for the rule's window");
+    void setUpsOfPeersCountAgainstTheRate() {
+        ColdServerLimiter limiter = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
+        limiter.updateServers(START_US, ListScope.SNAPSHOT, List.of(server(START_US)));
+        assertTrue(limiter.permits(START_US + SECOND_US, "a"));
+        limiter.applyPeerUsage(
+                START_US + SECOND_US, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 50)), false);
+        assertFalse(limiter.permits(START_US + SECOND_US, "a"));
+        assertTrue(limiter.permits(START_US + 4 * SECOND_US, "a"), "they count for the overload window only");
     }
 
     @Test
-    void aListFromBeforeARestartIsColdUntilNewsOrAPeerThatKnows() {
+    void serversOfAStoredListAreColdUntilACurrentListOrAPeerThatKnowsAllColdServers() {
         for (boolean byPeer : List.of(true, false)) {
-            ColdServerLimiter p = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
-            p.updateServers(T0, ListScope.DISK, List.of(server(0)));
-            assertFalse(p.knowsAllCold(T0, 30));
-            assertFalse(Double.isInfinite(p.acceptableRate(T0 + S, "a")));
+            ColdServerLimiter limiter = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
+            limiter.updateServers(START_US, ListScope.DISK, List.of(server(0)));
+            assertFalse(limiter.knowsAllCold(START_US, 30));
+            assertFalse(Double.isInfinite(limiter.acceptableRate(START_US + SECOND_US, "a")));
             if (byPeer) {
-                p.applyPeerUsage(T0 + S, 1, List.of(), false);
+                limiter.applyPeerUsage(START_US + SECOND_US, 1, List.of(), false);
                 assertFalse(
-                        Double.isInfinite(p.acceptableRate(T0 + S, "a")), "a peer that does not know tells nothing");
-                p.applyPeerUsage(T0 + S, 1, List.of(), true);
+                        Double.isInfinite(limiter.acceptableRate(START_US + SECOND_US, "a")),
+                        "a peer that does not know all cold servers proves nothing");
+                limiter.applyPeerUsage(START_US + SECOND_US, 1, List.of(), true);
             } else {
-                p.updateServers(T0 + S, ListScope.CHANGES, List.of());
-                assertTrue(p.knowsAllCold(T0 + S, 30));
+                limiter.updateServers(START_US + SECOND_US, ListScope.CHANGES, List.of());
+                assertTrue(limiter.knowsAllCold(START_US + SECOND_US, 30));
             }
-            assertTrue(Double.isInfinite(p.acceptableRate(T0 + S, "a")));
+            assertTrue(Double.isInfinite(limiter.acceptableRate(START_US + SECOND_US, "a")));
         }
     }
 
     @Test
-    void aBoxThatAPeerKnowsToBeColdIsColdHereAndTheWordDoesNotGoRound() {
-        // The list tells of a restart up to 1.5 s late; until then such a box was sent 1.7 times what it could take.
-        ColdServerLimiter p = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
-        p.updateServers(T0, ListScope.SNAPSHOT, List.of(server(0)));
-        assertTrue(Double.isInfinite(p.acceptableRate(T0, "a")));
-        p.applyPeerUsage(T0, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 0)), false);
-        assertTrue(Double.isInfinite(p.acceptableRate(T0, "a")), "from one that does not know, it may be want of news");
-        p.applyPeerUsage(T0, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 0)), true);
-        assertFalse(Double.isInfinite(p.acceptableRate(T0 + S, "a")));
-        assertEquals(List.of(), p.usage(T0 + S, 30), "hearsay is not told on");
-        p.applyPeerUsage(T0 + 13 * S, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 0)), true);
-        assertTrue(Double.isInfinite(p.acceptableRate(T0 + 13 * S, "a")), "nor believed again at once");
-        p.updateServers(T0 + 30 * S, ListScope.CHANGES, List.of(server(T0 + 30 * S)));
-        assertEquals(1, p.usage(T0 + 31 * S, 30).size(), "what the list tells is");
+    void aServerThatAPeerReportsColdIsColdAndTheReportIsNotPassedOn() {
+        // The list reports a restart up to 1.5 s late; until then such a server was sent 1.7 times the set-ups that it
+        // accepts.
+        ColdServerLimiter limiter = new ColdServerLimiter(new BrokerHarness().settings, TERMS);
+        limiter.updateServers(START_US, ListScope.SNAPSHOT, List.of(server(0)));
+        assertTrue(Double.isInfinite(limiter.acceptableRate(START_US, "a")));
+        limiter.applyPeerUsage(START_US, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 0)), false);
+        assertTrue(
+                Double.isInfinite(limiter.acceptableRate(START_US, "a")),
+                "a peer that does not know all cold servers may only lack a current list");
+        limiter.applyPeerUsage(START_US, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 0)), true);
+        assertFalse(Double.isInfinite(limiter.acceptableRate(START_US + SECOND_US, "a")));
+        assertEquals(List.of(), limiter.usage(START_US + SECOND_US, 30), "a peer's report is not passed on");
+        limiter.applyPeerUsage(
+                START_US + 13 * SECOND_US, 1, List.of(new ServerUsage(ColdServerLimiter.idHash("a"), 0)), true);
+        assertTrue(
+                Double.isInfinite(limiter.acceptableRate(START_US + 13 * SECOND_US, "a")),
+                "nor is it believed again at once");
+        limiter.updateServers(START_US + 30 * SECOND_US, ListScope.CHANGES, List.of(server(START_US + 30 * SECOND_US)));
+        assertEquals(
+                1, limiter.usage(START_US + 31 * SECOND_US, 30).size(), "a start known from the list is passed on");
     }
 
-    // ---- Notes.
+    // ---- Storm messages and counters.
 
     @Test
-    void aNoteComesThroughAndFitsADatagramAtItsLargest() {
-        List<ServerUsage> spent = new ArrayList<>();
-        int[] promised = new int[StormMessage.MAX_SLOTS];
+    void theLongestMessageSurvivesEncodingAndFitsADatagram() {
+        List<ServerUsage> usages = new ArrayList<>();
+        int[] bookedReturns = new int[StormMessage.MAX_SLOTS];
         for (int i = 0; i < StormMessage.MAX_SERVERS; i++) {
-            spent.add(new ServerUsage(ColdServerLimiter.idHash("box" + i), i * 9));
-            promised[i] = i;
+            usages.add(new ServerUsage(ColdServerLimiter.idHash("box" + i), i * 9));
+            bookedReturns[i] = i;
         }
         byte[] bytes =
-                new StormMessage(StormDetector.State.STORM, 250, 371.4, 12.5, -5, promised, spent, true).encode();
+                new StormMessage(StormDetector.State.STORM, 250, 371.4, 12.5, -5, bookedReturns, usages, true).encode();
         assertTrue(bytes.length < StormMessage.MAX_BYTES, "bytes " + bytes.length);
-        StormMessage n = StormMessage.decode(bytes);
-        assertEquals(StormDetector.State.STORM, n.state());
-        assertEquals(371.4, n.arrivalRate(), 0.01);
-        assertEquals(12.5, n.returnCapacity(), 0.01);
-        assertEquals(-5, n.firstSlot());
-        assertEquals(29, n.bookedReturns()[29]);
-        assertEquals(spent.get(20), n.coldServers().get(20));
-        assertEquals(255, n.coldServers().get(29).setUps(), "counts stop there");
-        assertTrue(n.knowsAllCold());
+        StormMessage decoded = StormMessage.decode(bytes);
+        assertEquals(StormDetector.State.STORM, decoded.state());
+        assertEquals(371.4, decoded.arrivalRate(), 0.01);
+        assertEquals(12.5, decoded.returnCapacity(), 0.01);
+        assertEquals(-5, decoded.firstSlot());
+        assertEquals(29, decoded.bookedReturns()[29]);
+        assertEquals(usages.get(20), decoded.coldServers().get(20));
+        assertEquals(255, decoded.coldServers().get(29).setUps(), "counts are capped at 255");
+        assertTrue(decoded.knowsAllCold());
     }
 
     @Property(tries = 500, seed = "11")
-    void garbageIsPassedOver(@ForAll @Size(max = 300) byte[] bytes, @ForAll @IntRange(max = 255) int at) {
+    void invalidMessagesAreDiscarded(@ForAll @Size(max = 300) byte[] bytes, @ForAll @IntRange(max = 255) int position) {
         StormMessage.decode(bytes); // must not throw
-        byte[] good = new StormMessage(
+        byte[] valid = new StormMessage(
                         StormDetector.State.CALM, 250, 1, 2, 0, new int[] {1, 2}, List.of(new ServerUsage(1, 2)), false)
                 .encode();
-        for (int cut = 0; cut < good.length; cut++) {
-            assertNull(StormMessage.decode(java.util.Arrays.copyOf(good, cut)));
+        for (int length = 0; length < valid.length; length++) {
+            assertNull(StormMessage.decode(java.util.Arrays.copyOf(valid, length)));
         }
-        good[at % good.length] ^= (byte) 0x81;
-        StormMessage n = StormMessage.decode(good);
-        assertTrue(n == null
-                || n.bookedReturns().length <= StormMessage.MAX_SLOTS
-                        && n.coldServers().size() <= StormMessage.MAX_SERVERS);
-        good = new StormMessage(StormDetector.State.CALM, 250, 1, 2, 0, new int[0], List.of(), false).encode();
-        assertNotNull(StormMessage.decode(good));
-        good[1]++;
-        assertNull(StormMessage.decode(good), "a newer version");
+        valid[position % valid.length] ^= (byte) 0x81;
+        StormMessage decoded = StormMessage.decode(valid);
+        assertTrue(decoded == null
+                || decoded.bookedReturns().length <= StormMessage.MAX_SLOTS
+                        && decoded.coldServers().size() <= StormMessage.MAX_SERVERS);
+        valid = new StormMessage(StormDetector.State.CALM, 250, 1, 2, 0, new int[0], List.of(), false).encode();
+        assertNotNull(StormMessage.decode(valid));
+        valid[1]++;
+        assertNull(StormMessage.decode(valid), "a newer version");
     }
 
     @Test
-    void theWindowForgetsWhatIsPast() {
-        SlidingWindowCounter w = new SlidingWindowCounter(100 * MS, 2 * S);
-        Map<Long, Integer> all = new HashMap<>();
+    void theCounterDropsEventsOutsideItsWindow() {
+        SlidingWindowCounter counter = new SlidingWindowCounter(100 * MILLISECOND_US, 2 * SECOND_US);
+        Map<Long, Integer> expected = new HashMap<>();
         SplittableRandom random = new SplittableRandom(2);
-        for (long t = T0; t < T0 + 20 * S; t += random.nextLong(700 * MS)) {
-            w.add(t, 1);
-            all.merge(t / (100 * MS), 1, Integer::sum);
-            long newest = t / (100 * MS);
+        for (long now = START_US; now < START_US + 20 * SECOND_US; now += random.nextLong(700 * MILLISECOND_US)) {
+            counter.add(now, 1);
+            expected.merge(now / (100 * MILLISECOND_US), 1, Integer::sum);
+            long newest = now / (100 * MILLISECOND_US);
             assertEquals(
-                    all.entrySet().stream()
-                            .filter(e -> e.getKey() > newest - 20)
+                    expected.entrySet().stream()
+                            .filter(bucket -> bucket.getKey() > newest - 20)
                             .mapToInt(Map.Entry::getValue)
                             .sum(),
-                    w.sum(t, 2 * S));
+                    counter.sum(now, 2 * SECOND_US));
         }
     }
 }
--- a/src/test/java/dockshed/storm/StormScenariosTest.java
+++ b/src/test/java/dockshed/storm/StormScenariosTest.java
@@ -7,171 +7,196 @@
 import dockshed.rig.BrokerSimulation.Scenario;
 import org.junit.jupiter.api.Test;
 
-/** The hard cases, each on a virtual clock with real brokers and the real module, with the part and without it. */
+/**
+ * Guards brokers against retry storms that meet other faults: cold servers, a surge, restarts in turn, a name server that
+ * can't be reached, clients that ignore the advised time, lost replies and a stalled loop. Real brokers with the real
+ * decision module run on a virtual clock, with the retry storm filter and, where it is compared, without it.
+ */
 class StormScenariosTest {
-    private static final long S = BrokerSimulation.SECOND_US;
-    private static final int FROM = 30;
+    private static final long SECOND_US = BrokerSimulation.SECOND_US;
+    private static final int MEASURE_FROM_S = 30;
     private static final int SEEDS = 5;
 
-    private static Scenario script() {
-        Scenario s = new Scenario();
-        s.duration = 70 * S;
-        return s;
+    private static Scenario baseScenario() {
+        Scenario scenario = new Scenario();
+        scenario.duration = 70 * SECOND_US;
+        return scenario;
     }
 
-    private static BrokerSimulation with(Scenario s) {
-        s.terms = Terms.DEFAULTS;
-        return kept(BrokerSimulation.run(s, 11));
+    private static BrokerSimulation runWithFilter(Scenario scenario) {
+        scenario.terms = Terms.DEFAULTS;
+        return assertRulesKept(BrokerSimulation.run(scenario, 11));
     }
 
-    private static BrokerSimulation without(Scenario s) {
-        return kept(BrokerSimulation.run(s, 11));
+    private static BrokerSimulation runWithoutFilter(Scenario scenario) {
+        return assertRulesKept(BrokerSimulation.run(scenario, 11));
     }
 
-    /** The rules, which hold whatever happens. */
-    private static BrokerSimulation kept(BrokerSimulation w) {
-        assertEquals(0, w.duplicatePaidSetUps, "paid set-ups made twice");
-        assertEquals(0, w.paidRefusedAfterRun, "paid requests refused that may have run");
-        assertEquals(0, w.renditionsBelowFloor, "under the class's floor");
-        assertEquals(0, w.unanswered, "requests without an answer");
-        assertEquals(0, w.crashedServers, "boxes pushed over");
-        assertTrue(w.served > 100);
-        return w;
+    /** Checks the rules that every run has to keep. */
+    private static BrokerSimulation assertRulesKept(BrokerSimulation simulation) {
+        assertEquals(0, simulation.duplicatePaidSetUps, "paid set-ups made twice");
+        assertEquals(0, simulation.paidRefusedAfterRun, "paid requests refused that may have run");
+        assertEquals(0, simulation.renditionsBelowFloor, "renditions under the lowest of the class");
+        assertEquals(0, simulation.unanswered, "requests without an answer");
+        assertEquals(0, simulation.crashedServers, "edge servers that crashed under set-ups");
+        assertTrue(simulation.served > 100);
+        return simulation;
     }
 
-    private static Scenario coldFleet() {
-        Scenario s = script().outage(0, 35 * S, 39 * S);
-        for (int i = 0; i < s.servers; i++) {
-            s.restart(i, 35 * S);
+    private static Scenario coldFleetScenario() {
+        Scenario scenario = baseScenario().outage(0, 35 * SECOND_US, 39 * SECOND_US);
+        for (int i = 0; i < scenario.servers; i++) {
+            scenario.restart(i, 35 * SECOND_US);
         }
-        return s;
+        return scenario;
     }
 
     @Test
-    void aStormThatMeetsAColdFleetUsesItsPaceAndDoesNotExceedIt() {
-        // One return time for all leaves the cold boxes' pace unused between the waves.
-        Scenario on = coldFleet();
-        Scenario off = coldFleet();
-        on.maxReturnDelay = 10 * S;
-        off.maxReturnDelay = 10 * S;
-        on.terms = Terms.DEFAULTS;
-        double damped = 0;
-        double plain = 0;
+    void aStormThatMeetsAColdFleetUsesItsSetUpRateAndDoesNotExceedIt() {
+        // With one return time for all viewers, cold servers are idle between the waves of returns.
+        Scenario withFilter = coldFleetScenario();
+        Scenario withoutFilter = coldFleetScenario();
+        withFilter.maxReturnDelay = 10 * SECOND_US;
+        withoutFilter.maxReturnDelay = 10 * SECOND_US;
+        withFilter.terms = Terms.DEFAULTS;
+        double worstWithFilter = 0;
+        double worstWithoutFilter = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            BrokerSimulation w = kept(BrokerSimulation.run(on, seed));
-            damped += w.worstTenSeconds(FROM);
-            plain += kept(BrokerSimulation.run(off, seed)).worstTenSeconds(FROM);
-            assertTrue(w.coldPeakRatio <= 1.5, "cold peak " + w.coldPeakRatio);
+            BrokerSimulation simulation = assertRulesKept(BrokerSimulation.run(withFilter, seed));
+            worstWithFilter += simulation.worstTenSeconds(MEASURE_FROM_S);
+            worstWithoutFilter +=
+                    assertRulesKept(BrokerSimulation.run(withoutFilter, seed)).worstTenSeconds(MEASURE_FROM_S);
+            assertTrue(simulation.coldPeakRatio <= 1.5, "cold peak " + simulation.coldPeakRatio);
         }
-        assertTrue(damped > 1.08 * plain, damped + " over " + plain);
+        assertTrue(worstWithFilter > 1.08 * worstWithoutFilter, worstWithFilter + " over " + worstWithoutFilter);
     }
 
     @Test
-    void aStormIsNoticedAndOverWithinTenSecondsOfTheLastRestart() {
-        BrokerSimulation w = with(script().outage(0, 35 * S, 39 * S));
+    void aStormIsDetectedAndOverWithinTenSecondsOfTheLastRestart() {
+        BrokerSimulation simulation = runWithFilter(baseScenario().outage(0, 35 * SECOND_US, 39 * SECOND_US));
         assertTrue(
-                w.stormLog.stream().anyMatch(l -> l.startsWith("36") && l.endsWith("RISING")), w.stormLog.toString());
-        assertTrue(w.stormLog.stream().anyMatch(l -> l.endsWith("STORM")), w.stormLog.toString());
-        double after = w.secondsUntilCalm(39 * S);
-        assertTrue(after >= 0 && after <= 10, "calm after " + after);
-        BrokerSimulation calm = with(script());
-        assertTrue(calm.stormLog.stream().noneMatch(l -> l.endsWith("STORM")), "a calm run: " + calm.stormLog);
+                simulation.stormLog.stream().anyMatch(line -> line.startsWith("36") && line.endsWith("RISING")),
+                simulation.stormLog.toString());
+        assertTrue(
+                simulation.stormLog.stream().anyMatch(line -> line.endsWith("STORM")), simulation.stormLog.toString());
+        double secondsUntilCalm = simulation.secondsUntilCalm(39 * SECOND_US);
+        assertTrue(secondsUntilCalm >= 0 && secondsUntilCalm <= 10, "calm after " + secondsUntilCalm);
+        BrokerSimulation calm = runWithFilter(baseScenario());
+        assertTrue(calm.stormLog.stream().noneMatch(line -> line.endsWith("STORM")), "a calm run: " + calm.stormLog);
     }
 
     @Test
-    void aStormDuringABriefSurgeIsWithinThreePointsOfItWithoutThePart() {
-        Scenario on = script().outage(0, 35 * S, 39 * S);
-        on.surgeFactor = 2;
-        on.surgeFrom = 35 * S;
-        on.surgeTo = 50 * S;
-        BrokerSimulation damped = with(on);
-        on.terms = null;
+    void serviceInAStormDuringABriefSurgeIsWithinThreePointsOfThatWithoutTheFilter() {
+        Scenario scenario = baseScenario().outage(0, 35 * SECOND_US, 39 * SECOND_US);
+        scenario.surgeFactor = 2;
+        scenario.surgeFrom = 35 * SECOND_US;
+        scenario.surgeTo = 50 * SECOND_US;
+        BrokerSimulation withFilter = runWithFilter(scenario);
+        scenario.terms = null;
         assertTrue(
-                damped.worstTenSeconds(FROM) > without(on).worstTenSeconds(FROM) - 0.03,
-                "worst " + damped.worstTenSeconds(FROM) + " without "
-                        + without(on).worstTenSeconds(FROM));
-        assertTrue(damped.dampers().get(1).counts().returnTimesGiven > 0);
+                withFilter.worstTenSeconds(MEASURE_FROM_S)
+                        > runWithoutFilter(scenario).worstTenSeconds(MEASURE_FROM_S) - 0.03,
+                "worst " + withFilter.worstTenSeconds(MEASURE_FROM_S) + " without "
+                        + runWithoutFilter(scenario).worstTenSeconds(MEASURE_FROM_S));
+        assertTrue(withFilter.dampers().get(1).counts().returnTimesGiven > 0);
     }
 
     @Test
     void allBrokersRestartedInTurnAnswerEveryRequestOnce() {
-        BrokerSimulation w = with(
-                script().outage(0, 35 * S, 39 * S).outage(1, 43 * S, 47 * S).outage(2, 51 * S, 55 * S));
-        assertTrue(w.stormLog.stream().filter(l -> l.endsWith("STORM")).count() >= 2, w.stormLog.toString());
+        BrokerSimulation simulation = runWithFilter(baseScenario()
+                .outage(0, 35 * SECOND_US, 39 * SECOND_US)
+                .outage(1, 43 * SECOND_US, 47 * SECOND_US)
+                .outage(2, 51 * SECOND_US, 55 * SECOND_US));
+        assertTrue(
+                simulation.stormLog.stream()
+                                .filter(line -> line.endsWith("STORM"))
+                                .count()
+                        >= 2,
+                simulation.stormLog.toString());
+        assertTrue(
+                simulation.secondsUntilCalm(55 * SECOND_US) >= 0 && simulation.secondsUntilCalm(55 * SECOND_US) <= 10,
+                "calm after " + simulation.secondsUntilCalm(55 * SECOND_US));
         assertTrue(
-                w.secondsUntilCalm(55 * S) >= 0 && w.secondsUntilCalm(55 * S) <= 10,
-                "calm after " + w.secondsUntilCalm(55 * S));
-        assertTrue(w.serviceRatio(60, 69) > 0.7, "service after the last restart " + w.serviceRatio(60, 69));
+                simulation.serviceRatio(60, 69) > 0.7,
+                "service after the last restart " + simulation.serviceRatio(60, 69));
     }
 
     @Test
-    void aBrokerThatStartsIntoAStormKnowingNothingLearnsFromItsPeers() {
-        // Its list is from before the restart, so each box may be cold; the others know which are.
-        Scenario s =
-                script().outage(0, 35 * S, 39 * S).outage(1, 43 * S, 47 * S).outage(2, 51 * S, 55 * S);
-        s.nameServerReachable = false;
-        Terms u = Terms.DEFAULTS;
-        Terms silent = new Terms(
-                u.returns(),
-                u.soonest(),
-                u.longest(),
-                u.slot(),
-                u.early(),
-                u.remember(),
-                u.hold(),
-                u.waiting(),
-                u.rush(),
-                u.repeats(),
-                u.trouble(),
-                u.calmAfter(),
-                u.retryShare(),
-                u.retryLeast(),
-                u.coldAim(),
+    void aBrokerRestartedInAStormWithAStaleListLearnsFromItsPeers() {
+        // Its list is from before the restart, so any edge server may be cold; the other brokers know which ones are.
+        Scenario scenario = baseScenario()
+                .outage(0, 35 * SECOND_US, 39 * SECOND_US)
+                .outage(1, 43 * SECOND_US, 47 * SECOND_US)
+                .outage(2, 51 * SECOND_US, 55 * SECOND_US);
+        scenario.nameServerReachable = false;
+        Terms defaults = Terms.DEFAULTS;
+        Terms withoutMessages = new Terms(
+                defaults.returns(),
+                defaults.soonest(),
+                defaults.longest(),
+                defaults.slot(),
+                defaults.early(),
+                defaults.remember(),
+                defaults.hold(),
+                defaults.waiting(),
+                defaults.rush(),
+                defaults.repeats(),
+                defaults.trouble(),
+                defaults.calmAfter(),
+                defaults.retryShare(),
+                defaults.retryLeast(),
+                defaults.coldAim(),
                 0);
-        double told = 0;
-        double alone = 0;
+        double refusedWithMessages = 0;
+        double refusedWithoutMessages = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            s.terms = u;
-            told += kept(BrokerSimulation.run(s, seed)).refused;
-            s.terms = silent;
-            alone += kept(BrokerSimulation.run(s, seed)).refused;
+            scenario.terms = defaults;
+            refusedWithMessages += assertRulesKept(BrokerSimulation.run(scenario, seed)).refused;
+            scenario.terms = withoutMessages;
+            refusedWithoutMessages += assertRulesKept(BrokerSimulation.run(scenario, seed)).refused;
         }
-        assertTrue(told < 0.9 * alone, told + " refused, alone " + alone);
+        assertTrue(
+                refusedWithMessages < 0.9 * refusedWithoutMessages,
+                refusedWithMessages + " refused with messages, without " + refusedWithoutMessages);
     }
 
     @Test
-    void viewersThatHeedNothingGainNothingAndBreakNothing() {
-        Scenario s = coldFleet();
-        s.ignoringShare = 0.5;
-        BrokerSimulation w = with(s);
-        assertTrue(w.dampers().stream().mapToLong(d -> d.counts().returnsEarly).sum() > 0);
-        s.ignoringShare = 1;
-        with(s);
+    void viewersThatIgnoreTheAdvisedTimeBreakNoRule() {
+        Scenario scenario = coldFleetScenario();
+        scenario.ignoringShare = 0.5;
+        BrokerSimulation simulation = runWithFilter(scenario);
+        assertTrue(simulation.dampers().stream()
+                        .mapToLong(filter -> filter.counts().returnsEarly)
+                        .sum()
+                > 0);
+        scenario.ignoringShare = 1;
+        runWithFilter(scenario);
     }
 
     @Test
-    void aPaidSetUpWhoseReplyIsLostIsNeverMadeTwiceNorRefused() {
-        Scenario s = script().outage(0, 35 * S, 39 * S);
-        s.lostReplyShare = 0.2;
-        BrokerSimulation w = with(s);
-        assertTrue(w.failed > 0, "what may have run is failed");
+    void aPaidSetUpWhoseReplyIsLostIsNeitherRepeatedNorRefused() {
+        Scenario scenario = baseScenario().outage(0, 35 * SECOND_US, 39 * SECOND_US);
+        scenario.lostReplyShare = 0.2;
+        BrokerSimulation simulation = runWithFilter(scenario);
+        assertTrue(simulation.failed > 0, "requests that may have run are failed");
     }
 
     @Test
-    void aLoopThatStandsStillForASecondStartsNoStormAndLosesNothing() {
-        BrokerSimulation w = with(script().stall(40 * S, S));
-        assertTrue(w.stormLog.stream().noneMatch(l -> l.endsWith("STORM")), w.stormLog.toString());
+    void aLoopThatStandsStillForASecondStartsNoStormAndLosesNoRequest() {
+        BrokerSimulation simulation = runWithFilter(baseScenario().stall(40 * SECOND_US, SECOND_US));
+        assertTrue(
+                simulation.stormLog.stream().noneMatch(line -> line.endsWith("STORM")), simulation.stormLog.toString());
     }
 
     @Test
-    void oneSeedReplaysTheRunToTheLastEvent() {
-        Scenario s = coldFleet();
-        s.duration = 45 * S;
-        s.terms = Terms.DEFAULTS;
-        BrokerSimulation a = BrokerSimulation.run(s, 3);
-        BrokerSimulation b = BrokerSimulation.run(s, 3);
-        assertEquals(a.requests, b.requests);
-        assertEquals(a.stormLog, b.stormLog);
-        assertEquals(a.serviceRatio(0, 45), b.serviceRatio(0, 45));
+    void theSameSeedReplaysTheSameRun() {
+        Scenario scenario = coldFleetScenario();
+        scenario.duration = 45 * SECOND_US;
+        scenario.terms = Terms.DEFAULTS;
+        BrokerSimulation first = BrokerSimulation.run(scenario, 3);
+        BrokerSimulation second = BrokerSimulation.run(scenario, 3);
+        assertEquals(first.requests, second.requests);
+        assertEquals(first.stormLog, second.stormLog);
+        assertEquals(first.serviceRatio(0, 45), second.serviceRatio(0, 45));
     }
 }
