--- a/src/test/java/dockshed/rig/AnsweringEdgeServer.java
+++ b/src/test/java/dockshed/rig/AnsweringEdgeServer.java
@@ -11,17 +11,17 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** An edge server that answers each set-up at once and says nothing of loads. */
+/** An edge server for tests that answers every set-up at once and sends no load reports. */
 public final class AnsweringEdgeServer implements AutoCloseable {
     private static final int BACKLOG = 100;
 
     private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final Map<String, Integer> paidSetUps;
 
-    /** {@code paid}: set-ups of the paid class by session, counted there. */
-    AnsweringEdgeServer(Map<String, Integer> paid) throws IOException {
-        this.paidSetUps = paid;
-        daemon(this::serve);
+    /** Counts the set-ups of the paid class by session in {@code paidSetUps}. */
+    AnsweringEdgeServer(Map<String, Integer> paidSetUps) throws IOException {
+        this.paidSetUps = paidSetUps;
+        startDaemon(this::serve);
     }
 
     public AnsweringEdgeServer() throws IOException {
@@ -32,41 +32,45 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    private static void daemon(Runnable what) {
-        Thread t = new Thread(what, "rig");
-        t.setDaemon(true);
-        t.start();
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "rig");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private void serve() {
         while (!listener.isClosed()) {
             try {
-                Socket line = listener.accept();
-                daemon(() -> answer(line));
+                Socket connection = listener.accept();
+                startDaemon(() -> answer(connection));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void answer(Socket line) {
-        try (line;
-                BufferedReader in =
-                        new BufferedReader(new InputStreamReader(line.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String text = in.readLine(); text != null; text = in.readLine()) {
-                var m = com.google.gson.JsonParser.parseString(text).getAsJsonObject();
-                if (m.get("type").getAsString().equals("setup")) {
-                    String id = m.get("id").getAsString();
-                    if (m.getAsJsonObject("fields").get("class").getAsString().equals("cert-lesson")) {
-                        paidSetUps.merge(id, 1, Integer::sum);
+    private void answer(Socket connection) {
+        try (connection;
+                BufferedReader reader = new BufferedReader(
+                        new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8))) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                var message = com.google.gson.JsonParser.parseString(line).getAsJsonObject();
+                if (message.get("type").getAsString().equals("setup")) {
+                    String session = message.get("id").getAsString();
+                    if (message.getAsJsonObject("fields")
+                            .get("class")
+                            .getAsString()
+                            .equals("cert-lesson")) {
+                        paidSetUps.merge(session, 1, Integer::sum);
                     }
-                    line.getOutputStream()
-                            .write(("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=0\"}\n")
+                    connection
+                            .getOutputStream()
+                            .write(("{\"type\":\"answer\",\"id\":\"" + session + "\",\"fields\":{},\"sdp\":\"v=0\"}\n")
                                     .getBytes(StandardCharsets.UTF_8));
                 }
             }
         } catch (IOException e) {
-            // the broker is gone
+            // the broker has closed the connection
         }
     }
 
--- a/src/test/java/dockshed/rig/BrokerConfig.java
+++ b/src/test/java/dockshed/rig/BrokerConfig.java
@@ -7,13 +7,13 @@
 import java.util.stream.IntStream;
 
 /**
- * The configuration file of a broker as a process.
+ * Configuration file of a broker that runs as a process.
  *
- * @param brokerNumber         its number
- * @param maxSockets    descriptors that it may use
- * @param peerListenAddress where it listens for the other brokers
- * @param peerAddresses      where it finds each broker, by number
- * @param edgeServerAddresses      where the edge servers listen
+ * @param brokerNumber        number of the broker, from 0
+ * @param maxSockets          file descriptors that the broker may use
+ * @param peerListenAddress   address at which it listens for datagrams of the other brokers
+ * @param peerAddresses       addresses of all brokers, by number
+ * @param edgeServerAddresses addresses at which the edge servers listen
  */
 public record BrokerConfig(
         int brokerNumber,
@@ -34,7 +34,7 @@
             + "'limits':{'try_limit':5,'connect_timeout':250,'idle_close':30000,'peers':true,'retry_after':true,"
             + "'max_retry_after':2000},'prices':{},'report':{'fields':['busy_reqs','x0']}}}";
 
-    /** As the file holds it. */
+    /** Contents of the file. */
     public String toJson() {
         return String.format(
                 Locale.ROOT,
@@ -44,7 +44,7 @@
                 maxSockets,
                 peerListenAddress.getPort(),
                 peerAddresses.stream()
-                        .map(peer -> "\"127.0.0.1:" + peer.getPort() + '"')
+                        .map(address -> "\"127.0.0.1:" + address.getPort() + '"')
                         .collect(Collectors.joining(",")),
                 IntStream.range(0, edgeServerAddresses.size())
                         .mapToObj(this::member)
@@ -53,14 +53,14 @@
                 peerAddresses.size());
     }
 
-    private String member(int box) {
+    private String member(int index) {
         return String.format(
                         Locale.ROOT,
                         "{'id':'s-%d','host_port':'127.0.0.1:%d',"
                                 + "'locality':'east','flavor':'std','cell':%d,'phase':'active','size':1}",
-                        box,
-                        edgeServerAddresses.get(box).getPort(),
-                        box % 3)
+                        index,
+                        edgeServerAddresses.get(index).getPort(),
+                        index % 3)
                 .replace('\'', '"');
     }
 }
--- a/src/test/java/dockshed/rig/BrokerProcess.java
+++ b/src/test/java/dockshed/rig/BrokerProcess.java
@@ -11,18 +11,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** A broker in a process of its own, with what it logs; tests wait on its lines. */
+/** A broker in a process of its own. Tests wait for lines of its log, which holds standard output and error. */
 final class BrokerProcess {
-    private static final long WAIT_LIMIT_S = 60; // seconds for a line to come; only a failure takes so long
+    private static final long WAIT_LIMIT_S = 60; // for a line or an exit; only a failure takes so long
 
     private final List<String> command;
-    private final Path config;
-    private final List<String> lines = new ArrayList<>();
+    private final Path configFile;
+    private final List<String> logLines = new ArrayList<>();
     private Process process;
     private InetSocketAddress listenAddress;
 
-    BrokerProcess(Path config, Path conf) {
-        this.config = config;
+    BrokerProcess(Path configFile, Path operatorFile) {
+        this.configFile = configFile;
         command = List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -36,38 +36,42 @@
                 "dockshed.Main",
                 "serve",
                 "--conf",
-                conf.toString());
+                operatorFile.toString());
     }
 
+    /** Starts the process and waits until it serves viewers. */
     BrokerProcess start() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-        b.environment().put("EDGE_CONFIG", config.toString());
-        process = b.start();
-        Process mine = process;
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+        builder.environment().put("EDGE_CONFIG", configFile.toString());
+        process = builder.start();
+        Process started = process;
         Thread reader = new Thread(
                 () -> {
-                    try (BufferedReader in =
-                            new BufferedReader(new InputStreamReader(mine.getInputStream(), StandardCharsets.UTF_8))) {
-                        for (String line = in.readLine(); line != null; line = in.readLine()) {
-                            synchronized (lines) {
-                                lines.add(line);
-                                lines.notifyAll();
+                    try (BufferedReader input = new BufferedReader(
+                            new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
+                        for (String line = input.readLine(); line != null; line = input.readLine()) {
+                            synchronized (logLines) {
+                                logLines.add(line);
+                                logLines.notifyAll();
                             }
                         }
                     } catch (IOException e) {
-                        // its end
+                        // the process has ended
                     }
                 },
                 "log of a broker");
         reader.setDaemon(true);
         reader.start();
-        String serving = awaitLine(logPosition() == 0 ? 0 : logPosition() - 1, l -> l.contains("serving: name="));
-        String at = serving.replaceAll(".*listen=/([0-9.:]+) .*", "$1");
+        String servingLine =
+                awaitLine(logPosition() == 0 ? 0 : logPosition() - 1, logged -> logged.contains("serving: name="));
+        String address = servingLine.replaceAll(".*listen=/([0-9.:]+) .*", "$1");
         listenAddress = new InetSocketAddress(
-                at.substring(0, at.indexOf(':')), Integer.parseInt(at.substring(at.indexOf(':') + 1)));
+                address.substring(0, address.indexOf(':')),
+                Integer.parseInt(address.substring(address.indexOf(':') + 1)));
         return this;
     }
 
+    /** Address at which the running process listens for viewers. */
     InetSocketAddress listenAddress() {
         return listenAddress;
     }
@@ -76,40 +80,41 @@
         return process != null && process.isAlive();
     }
 
-    /** Lines so far; what is awaited from here on is later. */
+    /** Number of lines logged so far, as the position from which later lines are read. */
     int logPosition() {
-        synchronized (lines) {
-            return lines.size();
+        synchronized (logLines) {
+            return logLines.size();
         }
     }
 
-    List<String> linesSince(int mark) {
-        synchronized (lines) {
-            return List.copyOf(lines.subList(mark, lines.size()));
+    List<String> linesSince(int position) {
+        synchronized (logLines) {
+            return List.copyOf(logLines.subList(position, logLines.size()));
         }
     }
 
-    /** The first line from a mark on that meets a condition. */
-    String awaitLine(int mark, Predicate<String> what) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_LIMIT_S);
-        synchronized (lines) {
-            for (int i = mark; ; i++) {
-                while (i >= lines.size()) {
-                    long left = until - System.nanoTime();
-                    if (left <= 0 || !process.isAlive() && i >= lines.size()) {
-                        throw new AssertionError("never logged; the last: "
-                                + lines.subList(Math.max(0, lines.size() - 5), lines.size()));
+    /** Waits for the first line from a position on that meets a condition, and returns it. */
+    String awaitLine(int position, Predicate<String> condition) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_LIMIT_S);
+        synchronized (logLines) {
+            for (int i = position; ; i++) {
+                while (i >= logLines.size()) {
+                    long remaining = deadline - System.nanoTime();
+                    if (remaining <= 0 || !process.isAlive() && i >= logLines.size()) {
+                        throw new AssertionError(
+                                "awaited line was not logged within 60 s or before the process ended; last lines: "
+                                        + logLines.subList(Math.max(0, logLines.size() - 5), logLines.size()));
                     }
-                    lines.wait(left / 1_000_000 + 1);
+                    logLines.wait(remaining / 1_000_000 + 1);
                 }
-                if (what.test(lines.get(i))) {
-                    return lines.get(i);
+                if (condition.test(logLines.get(i))) {
+                    return logLines.get(i);
                 }
             }
         }
     }
 
-    /** STOP, CONT, TERM: by its process id only. */
+    /** Sends a signal, such as STOP, CONT or TERM, to this process alone. */
     void signal(String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .inheritIO()
@@ -121,9 +126,10 @@
         process.destroyForcibly().waitFor();
     }
 
+    /** Waits for the end of the process and returns its exit status. */
     int awaitExit() throws Exception {
         if (!process.waitFor(WAIT_LIMIT_S, TimeUnit.SECONDS)) {
-            throw new AssertionError("did not end");
+            throw new AssertionError("broker process did not exit within 60 s");
         }
         return process.exitValue();
     }
--- a/src/test/java/dockshed/rig/FleetProcessTest.java
+++ b/src/test/java/dockshed/rig/FleetProcessTest.java
@@ -16,7 +16,7 @@
 
 /** Five brokers as processes with faults between them; what they log is merged and held against what is promised. */
 class FleetProcessTest {
-    private static final int N = 5;
+    private static final int BROKERS = 5;
     private static final Pattern LEASE = Pattern.compile(".*from=(\\d+) until=(\\d+) share=([0-9.E-]+) fleet lease.*");
 
     @TempDir
@@ -30,7 +30,7 @@
         return l -> l.matches(".* lost=\\[[^]]*\\b" + broker + "\\b[^]]*] .* fleet");
     }
 
-    private static void serves(FleetRig rig, int... at) throws Exception {
+    private static void assertServes(FleetRig rig, int... at) throws Exception {
         for (int b : at) {
             assertEquals(200, rig.requestSession(b, "cert-lesson"));
             assertEquals(200, rig.requestSession(b, "refresher"));
@@ -40,14 +40,14 @@
     @Test
     @Timeout(170) // each wait is for a line that comes; suspicions take some seconds each
     void brokersFindLoseAndFindOneAnotherAndServeAllTheWhile() throws Exception {
-        try (FleetRig rig = new FleetRig(dir, N, 3, "fleet {\n}\n")) {
+        try (FleetRig rig = new FleetRig(dir, BROKERS, 3, "fleet {\n}\n")) {
             rig.network.loss = 0.05;
             rig.network.duplication = 0.05;
             rig.network.maxDelayMillis = 15;
             for (BrokerProcess b : rig.brokers) {
-                b.awaitLine(0, present(N));
+                b.awaitLine(0, present(BROKERS));
             }
-            serves(rig, 0, 1, 2, 3, 4);
+            assertServes(rig, 0, 1, 2, 3, 4);
 
             // Killed, and started again with nothing.
             int[] marks = marks(rig);
@@ -55,39 +55,39 @@
             for (int i : new int[] {0, 1, 2, 4}) {
                 rig.brokers.get(i).awaitLine(marks[i], lost(3));
             }
-            serves(rig, 0, 1, 2, 4);
+            assertServes(rig, 0, 1, 2, 4);
             marks = marks(rig);
             rig.brokers.get(3).start();
-            rig.brokers.get(3).awaitLine(marks[3], present(N));
+            rig.brokers.get(3).awaitLine(marks[3], present(BROKERS));
             for (int i : new int[] {0, 1, 2, 4}) {
-                rig.brokers.get(i).awaitLine(marks[i], present(N));
+                rig.brokers.get(i).awaitLine(marks[i], present(BROKERS));
             }
-            serves(rig, 3);
+            assertServes(rig, 3);
 
             // Stopped until the others have noticed, and let go on: it calls nobody dead.
             marks = marks(rig);
             rig.brokers.get(1).signal("STOP");
             rig.brokers.get(0).awaitLine(marks[0], lost(1));
-            serves(rig, 0, 2, 3, 4);
+            assertServes(rig, 0, 2, 3, 4);
             rig.brokers.get(1).signal("CONT");
-            rig.brokers.get(0).awaitLine(marks[0], present(N));
+            rig.brokers.get(0).awaitLine(marks[0], present(BROKERS));
             rig.brokers.get(1).awaitLine(marks[1], l -> l.contains("stalls=1"));
             assertTrue(
                     rig.brokers.get(1).linesSince(marks[1]).stream()
                             .noneMatch(l -> l.matches(".* lost=\\[\\d.* fleet")),
                     "it called somebody dead: " + rig.brokers.get(1).linesSince(marks[1]));
-            serves(rig, 1);
+            assertServes(rig, 1);
 
             // Cut in two, and healed; both parts serve.
             marks = marks(rig);
             rig.network.split(2, true);
             rig.brokers.get(0).awaitLine(marks[0], present(2));
             rig.brokers.get(4).awaitLine(marks[4], present(3));
-            serves(rig, 0, 1, 2, 3, 4);
+            assertServes(rig, 0, 1, 2, 3, 4);
             marks = marks(rig);
             rig.network.split(2, false);
-            for (int i = 0; i < N; i++) {
-                rig.brokers.get(i).awaitLine(marks[i], present(N));
+            for (int i = 0; i < BROKERS; i++) {
+                rig.brokers.get(i).awaitLine(marks[i], present(BROKERS));
             }
 
             // A planned end is told; the place is taken by a byzantine peer.
@@ -105,7 +105,7 @@
                         "a byzantine peer took somebody away at " + me);
                 assertTrue(rig.brokers.get(i).linesSince(marks[i]).stream().noneMatch(l -> l.contains("ERROR")));
             }
-            serves(rig, 0, 1, 2, 3);
+            assertServes(rig, 0, 1, 2, 3);
             assertEquals(0, rig.failed.get());
             assertTrue(rig.paidSetUps.values().stream().allMatch(n -> n == 1), "a paid set-up ran twice");
             assertSharesHold(rig);
@@ -128,7 +128,7 @@
                     mine.add(new double[] {
                         Double.parseDouble(m.group(1)),
                         Double.parseDouble(m.group(2)),
-                        Double.parseDouble(m.group(3)) - 0.5 / N
+                        Double.parseDouble(m.group(3)) - 0.5 / BROKERS
                     });
                 }
             }
@@ -145,7 +145,7 @@
             held += d;
             most = Math.max(most, held);
         }
-        assertTrue(leases > 2 * N, "leases seen: " + leases);
+        assertTrue(leases > 2 * BROKERS, "leases seen: " + leases);
         assertTrue(most <= 0.5 + 1e-6, "leased at the same time: " + most);
     }
 }
--- a/src/test/java/dockshed/rig/FleetRig.java
+++ b/src/test/java/dockshed/rig/FleetRig.java
@@ -21,85 +21,88 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntFunction;
 
-/** Brokers as processes, a fabric between them, boxes that answer at once, and viewers that ask and wait for the answer. */
+/**
+ * Brokers as processes, connected by a {@link LossyNetwork}, edge servers that answer at once, and viewers that send one
+ * request and wait for the response.
+ */
 final class FleetRig implements AutoCloseable {
-    private static final int SOCKETS = 512;
+    private static final int MAX_SOCKETS = 512;
 
     final List<BrokerProcess> brokers = new ArrayList<>();
     final LossyNetwork network;
     final AtomicInteger answered = new AtomicInteger();
     final AtomicInteger failed = new AtomicInteger();
-    final Map<String, Integer> paidSetUps = new ConcurrentHashMap<>(); // set-ups of the paid class by session
+    final Map<String, Integer> paidSetUps = new ConcurrentHashMap<>(); // set-ups of the paid class, by session
     private final Net net = new Net("rig");
     private final List<AnsweringEdgeServer> edgeServers = new ArrayList<>();
-    private final AtomicInteger names = new AtomicInteger();
+    private final AtomicInteger sessionIds = new AtomicInteger();
 
-    /** Brokers that all read the same operator's file. */
-    FleetRig(Path dir, int count, int boxCount, String conf) throws Exception {
-        this(dir, count, boxCount, broker -> conf);
+    /** Starts brokers that all read the same operator's file. */
+    FleetRig(Path dir, int count, int serverCount, String operatorFile) throws Exception {
+        this(dir, count, serverCount, broker -> operatorFile);
     }
 
-    /** {@code conf}: each broker's operator's file. */
-    FleetRig(Path dir, int count, int boxCount, IntFunction<String> conf) throws Exception {
-        for (int i = 0; i < boxCount; i++) {
+    /** Starts brokers; {@code operatorFile} gives the contents of each broker's operator's file by its number. */
+    FleetRig(Path dir, int count, int serverCount, IntFunction<String> operatorFile) throws Exception {
+        for (int i = 0; i < serverCount; i++) {
             edgeServers.add(new AnsweringEdgeServer(paidSetUps));
         }
-        InetSocketAddress[] listens = new InetSocketAddress[count];
-        List<DatagramSocket> held = new ArrayList<>();
+        InetSocketAddress[] addresses = new InetSocketAddress[count];
+        List<DatagramSocket> reserved = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-            held.add(free);
-            listens[i] = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+            DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+            reserved.add(socket);
+            addresses[i] = new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
         }
-        held.forEach(DatagramSocket::close);
-        network = new LossyNetwork(net, listens);
+        reserved.forEach(DatagramSocket::close);
+        network = new LossyNetwork(net, addresses);
         for (int i = 0; i < count; i++) {
             Path config = Files.writeString(
                     dir.resolve("broker" + i + ".json"),
-                    config(i, count, listens[i]).toJson());
-            Path file = Files.writeString(dir.resolve("broker" + i + ".conf"), conf.apply(i));
-            brokers.add(new BrokerProcess(config, file));
+                    config(i, count, addresses[i]).toJson());
+            Path operatorFilePath = Files.writeString(dir.resolve("broker" + i + ".conf"), operatorFile.apply(i));
+            brokers.add(new BrokerProcess(config, operatorFilePath));
         }
-        for (BrokerProcess b : brokers) {
-            b.start();
+        for (BrokerProcess broker : brokers) {
+            broker.start();
         }
     }
 
-    private BrokerConfig config(int me, int count, InetSocketAddress listens) {
+    private BrokerConfig config(int number, int count, InetSocketAddress listenAddress) {
         List<InetSocketAddress> peers = new ArrayList<>();
-        for (int other = 0; other < count; other++) {
-            peers.add(network.addressOf(me, other));
+        for (int peer = 0; peer < count; peer++) {
+            peers.add(network.addressOf(number, peer));
         }
         List<InetSocketAddress> addresses =
                 edgeServers.stream().map(AnsweringEdgeServer::address).toList();
-        return new BrokerConfig(me, SOCKETS, listens, peers, addresses);
+        return new BrokerConfig(number, MAX_SOCKETS, listenAddress, peers, addresses);
     }
 
-    /** A viewer of a broker: asks, waits for the one final answer, and leaves. Returns its status; 0: the connection ended. */
-    int requestSession(int broker, String cls) throws IOException {
-        String session = String.format("%016x", names.incrementAndGet());
-        try (Socket s = new Socket()) {
-            s.connect(brokers.get(broker).listenAddress(), 5000);
-            s.setSoTimeout(20_000);
-            Map<String, String> h = new LinkedHashMap<>();
-            h.put("CSeq", "1");
-            h.put("Session", session);
-            h.put("Priority-Class", cls);
-            h.put("Expires-Ms", "3000");
-            h.put("P-Trunk-Info", "home:0;copies:3;top:2;viewer:" + session);
-            s.getOutputStream()
+    /** Requests a session of a broker and returns the status of the final response; 0 if the connection was closed instead. */
+    int requestSession(int broker, String className) throws IOException {
+        String session = String.format("%016x", sessionIds.incrementAndGet());
+        try (Socket socket = new Socket()) {
+            socket.connect(brokers.get(broker).listenAddress(), 5000);
+            socket.setSoTimeout(20_000);
+            Map<String, String> headers = new LinkedHashMap<>();
+            headers.put("CSeq", "1");
+            headers.put("Session", session);
+            headers.put("Priority-Class", className);
+            headers.put("Expires-Ms", "3000");
+            headers.put("P-Trunk-Info", "home:0;copies:3;top:2;viewer:" + session);
+            socket.getOutputStream()
                     .write(HttpStyleMessage.encode(
-                            "SETUP rtsp://media/lesson RTSP/1.0", h, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
+                            "SETUP rtsp://media/lesson RTSP/1.0", headers, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
             HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
-            byte[] room = new byte[4096];
-            for (int n = s.getInputStream().read(room);
-                    n >= 0;
-                    n = s.getInputStream().read(room)) {
-                decoder.add(room, 0, n);
-                HttpStyleMessage m = decoder.next();
-                if (m != null) {
-                    (m.status() == 200 ? answered : failed).incrementAndGet();
-                    return m.status();
+            byte[] buffer = new byte[4096];
+            for (int length = socket.getInputStream().read(buffer);
+                    length >= 0;
+                    length = socket.getInputStream().read(buffer)) {
+                decoder.add(buffer, 0, length);
+                HttpStyleMessage response = decoder.next();
+                if (response != null) {
+                    (response.status() == 200 ? answered : failed).incrementAndGet();
+                    return response.status();
                 }
             }
             return 0;
@@ -108,17 +111,18 @@
         }
     }
 
-    /** One broker's place is taken by a byzantine peer, so many datagrams; waits until they are sent. */
-    void injectByzantine(int liar, int datagrams) throws Exception {
-        ByzantinePeer byzantine =
-                new ByzantinePeer(liar, brokers.size(), System.currentTimeMillis() * 1000 + 5_000_000, 3);
+    /** Sends datagrams of a byzantine peer in the place of a broker that is not running, and waits until all are sent. */
+    void injectByzantine(int impersonated, int datagrams) throws Exception {
+        ByzantinePeer peer =
+                new ByzantinePeer(impersonated, brokers.size(), System.currentTimeMillis() * 1000 + 5_000_000, 3);
         for (int i = 0; i < datagrams; i++) {
             net.loop()
                     .schedule(
                             () -> {
-                                for (int to = 0; to < brokers.size(); to++) {
-                                    if (to != liar) {
-                                        network.forward(liar, to, byzantine.next(System.currentTimeMillis() * 1000));
+                                for (int receiver = 0; receiver < brokers.size(); receiver++) {
+                                    if (receiver != impersonated) {
+                                        network.forward(
+                                                impersonated, receiver, peer.next(System.currentTimeMillis() * 1000));
                                     }
                                 }
                             },
@@ -130,13 +134,13 @@
 
     @Override
     public void close() throws Exception {
-        for (BrokerProcess b : brokers) {
-            if (b.isUp()) {
-                b.kill();
+        for (BrokerProcess broker : brokers) {
+            if (broker.isUp()) {
+                broker.kill();
             }
         }
-        for (AnsweringEdgeServer box : edgeServers) {
-            box.close();
+        for (AnsweringEdgeServer edgeServer : edgeServers) {
+            edgeServer.close();
         }
         net.close();
     }
--- a/src/test/java/dockshed/rig/LossyNetwork.java
+++ b/src/test/java/dockshed/rig/LossyNetwork.java
@@ -12,79 +12,83 @@
 import java.util.function.BiPredicate;
 
 /**
- * What carries datagrams between brokers that run as processes: one socket for each ordered pair, so that each broker knows
- * each other by an address of its own. It loses, delays, repeats and reorders, and is cut one way or both.
+ * Carries datagrams between brokers that run as processes, and can lose, delay, duplicate and reorder them, or cut a
+ * connection in one direction or both. There is a socket for each ordered pair of brokers, so that each broker has its own
+ * address for each other one.
  */
 public final class LossyNetwork {
     private final Net net;
-    private final Channel[][] from; // [a][b]: what a knows as b
-    private final InetSocketAddress[] listens;
+    private final Channel[][] sockets; // [a][b]: the address of b for a
+    private final InetSocketAddress[] brokerAddresses;
     private final boolean[][] cut;
     private final SplittableRandom random = new SplittableRandom(5);
-    volatile double loss;
-    volatile double duplication;
+    volatile double loss; // share of datagrams
+    volatile double duplication; // share of datagrams
     volatile int maxDelayMillis;
 
-    public LossyNetwork(Net net, InetSocketAddress[] listens) {
+    public LossyNetwork(Net net, InetSocketAddress[] brokerAddresses) {
         this.net = net;
-        this.listens = listens;
-        int n = listens.length;
-        from = new Channel[n][n];
-        cut = new boolean[n][n];
-        for (int a = 0; a < n; a++) {
-            for (int b = 0; b < n; b++) {
-                from[a][b] = a == b ? null : open(a, b);
+        this.brokerAddresses = brokerAddresses;
+        int brokers = brokerAddresses.length;
+        sockets = new Channel[brokers][brokers];
+        cut = new boolean[brokers][brokers];
+        for (int sender = 0; sender < brokers; sender++) {
+            for (int receiver = 0; receiver < brokers; receiver++) {
+                sockets[sender][receiver] = sender == receiver ? null : open(sender, receiver);
             }
         }
     }
 
-    private Channel open(int a, int b) {
+    private Channel open(int sender, int receiver) {
         return net.bindDatagrams(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         new SimpleChannelInboundHandler<DatagramPacket>() {
                             @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-                                forward(a, b, Net.toBytes(p.content()));
+                            protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
+                                forward(sender, receiver, Net.toBytes(packet.content()));
                             }
 
                             @Override
                             public void exceptionCaught(
-                                    ChannelHandlerContext ctx, Throwable cause) {} // nobody listens there now
+                                    ChannelHandlerContext context, Throwable cause) {} // the broker is not running
                         })
                 .syncUninterruptibly()
                 .channel();
     }
 
-    /** The address under which a knows b. */
-    public InetSocketAddress addressOf(int a, int b) {
-        return a == b ? listens[a] : (InetSocketAddress) from[a][b].localAddress();
+    /** The address under which {@code knownTo} reaches {@code broker}. */
+    public InetSocketAddress addressOf(int knownTo, int broker) {
+        return knownTo == broker
+                ? brokerAddresses[knownTo]
+                : (InetSocketAddress) sockets[knownTo][broker].localAddress();
     }
 
-    /** The share of datagrams that it loses from now on. */
+    /** Sets the share of datagrams that are lost from now on. */
     public void setLoss(double share) {
         loss = share;
     }
 
-    /** Cuts the links that the predicate holds for, from the first broker to the second, and joins all others. */
-    public void cutWhere(BiPredicate<Integer, Integer> where) {
+    /** Cuts the connections, given by sender and receiver, for which the predicate holds, and restores all others. */
+    public void cutWhere(BiPredicate<Integer, Integer> isCut) {
         net.callOnLoop(() -> {
-            for (int a = 0; a < cut.length; a++) {
-                for (int b = 0; b < cut.length; b++) {
-                    cut[a][b] = where.test(a, b);
+            for (int sender = 0; sender < cut.length; sender++) {
+                for (int receiver = 0; receiver < cut.length; receiver++) {
+                    cut[sender][receiver] = isCut.test(sender, receiver);
                 }
             }
             return null;
         });
     }
 
-    /** From a to b, as if a had sent it; on the loop's thread. */
-    void forward(int a, int b, byte[] datagram) {
-        if (cut[a][b] || random.nextDouble() < loss) {
+    /** Carries a datagram as if {@code sender} had sent it; to be called on the event loop's thread. */
+    void forward(int sender, int receiver, byte[] datagram) {
+        if (cut[sender][receiver] || random.nextDouble() < loss) {
             return;
         }
-        int times = random.nextDouble() < duplication ? 2 : 1;
-        for (int i = 0; i < times; i++) {
-            Runnable deliver = () -> from[b][a].writeAndFlush(new DatagramPacket(Net.toByteBuf(datagram), listens[b]));
+        int copies = random.nextDouble() < duplication ? 2 : 1;
+        for (int i = 0; i < copies; i++) {
+            Runnable deliver = () -> sockets[receiver][sender].writeAndFlush(
+                    new DatagramPacket(Net.toByteBuf(datagram), brokerAddresses[receiver]));
             if (maxDelayMillis > 0) {
                 net.loop().schedule(deliver, random.nextInt(maxDelayMillis + 1), TimeUnit.MILLISECONDS);
             } else {
@@ -93,30 +97,30 @@
         }
     }
 
-    /** Cuts, or joins again, what goes from any of some brokers to any of others: one way only. */
-    void cut(int[] from, int[] to, boolean is) {
+    /** Cuts, or restores, the connections from all senders to all receivers, in this direction only. */
+    void cut(int[] senders, int[] receivers, boolean enabled) {
         net.callOnLoop(() -> {
-            for (int a : from) {
-                for (int b : to) {
-                    cut[a][b] = is;
+            for (int sender : senders) {
+                for (int receiver : receivers) {
+                    cut[sender][receiver] = enabled;
                 }
             }
             return null;
         });
     }
 
-    /** Whether what a broker sends reaches anybody; what is sent to it does all the same. */
-    void mute(int broker, boolean is) {
+    /** Drops, or delivers again, all that a broker sends; what others send to it is still delivered. */
+    void mute(int broker, boolean enabled) {
         net.callOnLoop(() -> {
-            for (int to = 0; to < cut.length; to++) {
-                cut[broker][to] = is;
+            for (int receiver = 0; receiver < cut.length; receiver++) {
+                cut[broker][receiver] = enabled;
             }
             return null;
         });
     }
 
-    /** Cuts the first brokers off from the others, both ways, or joins them again. */
-    void split(int first, boolean is) {
-        cutWhere((a, b) -> is && a < first != b < first);
+    /** Cuts the first brokers off from the others in both directions, or restores all connections. */
+    void split(int first, boolean enabled) {
+        cutWhere((sender, receiver) -> enabled && sender < first != receiver < first);
     }
 }
--- a/src/test/java/dockshed/rig/ReadyBench.java
+++ b/src/test/java/dockshed/rig/ReadyBench.java
@@ -16,14 +16,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * So many brokers started together with the platform's run line, the list out of reach: seconds until each passes its first
- * test. The machine's cores are what they share; the first argument is their number (100), the second the cores that they get
- * (all), by taskset.
+ * Starts many brokers at the same time with the platform's run line and without a name server, and measures the seconds until
+ * each passes its first health check. They share the machine's cores. The first argument is the number of brokers (100), the
+ * second the number of cores that they may use (all), set by taskset.
  */
 public final class ReadyBench {
-    private static final byte[] TEST = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
-            .getBytes(StandardCharsets.UTF_8);
-    /** Seconds after which a broker is not waited for any more: the platform's bound, twice. */
+    private static final byte[] HEALTH_CHECK =
+            "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
+                    .getBytes(StandardCharsets.UTF_8);
+    /** Time after which a broker is no longer awaited: twice the platform's limit. */
     private static final long READY_TIMEOUT_S = 60;
 
     private ReadyBench() {}
@@ -31,71 +32,72 @@
     public static void main(String[] args) throws Exception {
         int count = args.length > 0 ? Integer.parseInt(args[0]) : 100;
         String cores = args.length > 1 ? "taskset -c 0-" + (Integer.parseInt(args[1]) - 1) + " " : "";
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = "))
-                .map(l -> l.substring(l.indexOf('"') + 1, l.indexOf('"', l.indexOf('"') + 1)))
+        String runLine = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                .filter(line -> line.startsWith("run = "))
+                .map(line -> line.substring(line.indexOf('"') + 1, line.indexOf('"', line.indexOf('"') + 1)))
                 .findFirst()
                 .orElseThrow();
         Path dir = Files.createTempDirectory("ready");
-        List<Process> all = new ArrayList<>();
+        List<Process> processes = new ArrayList<>();
         try {
-            double[] ready = new double[count];
-            List<Thread> waiting = new ArrayList<>();
-            long begin = System.nanoTime();
+            double[] secondsUntilReady = new double[count];
+            List<Thread> threads = new ArrayList<>();
+            long startedAt = System.nanoTime();
             for (int i = 0; i < count; i++) {
                 int port;
-                try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                    port = free.getLocalPort();
+                try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                    port = socket.getLocalPort();
                 }
                 Path config = Files.writeString(
                         dir.resolve(i + ".json"),
                         ConfigTest.COMPLETE_CONFIG.replace(
                                 "\"127.0.0.1:0\",\"seed\"", "\"127.0.0.1:" + port + "\",\"seed\""));
-                ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", run.replaceFirst("exec ", "exec " + cores))
+                ProcessBuilder builder = new ProcessBuilder(
+                                "/bin/sh", "-c", runLine.replaceFirst("exec ", "exec " + cores))
                         .directory(new File("."))
                         .redirectErrorStream(true)
                         .redirectOutput(dir.resolve(i + ".log").toFile());
-                b.environment().put("EDGE_CONFIG", config.toString());
-                all.add(b.start());
-                int me = i;
-                Thread t = new Thread(() -> ready[me] = passed(port, begin));
-                t.start();
-                waiting.add(t);
+                builder.environment().put("EDGE_CONFIG", config.toString());
+                processes.add(builder.start());
+                int index = i;
+                Thread thread = new Thread(() -> secondsUntilReady[index] = secondsUntilReady(port, startedAt));
+                thread.start();
+                threads.add(thread);
             }
-            for (Thread t : waiting) {
-                t.join();
+            for (Thread thread : threads) {
+                thread.join();
             }
-            java.util.Arrays.sort(ready);
+            java.util.Arrays.sort(secondsUntilReady);
             System.out.printf(
                     "brokers=%d cores=%s ready: first=%.1f median=%.1f nine in ten=%.1f last=%.1f s%n",
                     count,
                     args.length > 1 ? args[1] : "all",
-                    ready[0],
-                    ready[count / 2],
-                    ready[(count * 9 + 9) / 10 - 1],
-                    ready[count - 1]);
+                    secondsUntilReady[0],
+                    secondsUntilReady[count / 2],
+                    secondsUntilReady[(count * 9 + 9) / 10 - 1],
+                    secondsUntilReady[count - 1]);
         } finally {
-            for (Process p : all) {
-                p.destroyForcibly().waitFor();
+            for (Process process : processes) {
+                process.destroyForcibly().waitFor();
             }
         }
     }
 
-    private static double passed(int port, long begin) {
-        long until = begin + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S);
-        while (System.nanoTime() < until) {
-            try (Socket s = new Socket()) {
-                s.connect(new InetSocketAddress("127.0.0.1", port), 1000);
-                s.setSoTimeout(30_000);
-                s.getOutputStream().write(TEST);
-                InputStream in = s.getInputStream();
-                if (new String(in.readNBytes(12), StandardCharsets.UTF_8).equals("RTSP/1.0 200")) {
-                    return (System.nanoTime() - begin) / 1e9;
+    private static double secondsUntilReady(int port, long startedAt) {
+        long deadline = startedAt + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S);
+        while (System.nanoTime() < deadline) {
+            try (Socket socket = new Socket()) {
+                socket.connect(new InetSocketAddress("127.0.0.1", port), 1000);
+                socket.setSoTimeout(30_000);
+                socket.getOutputStream().write(HEALTH_CHECK);
+                InputStream input = socket.getInputStream();
+                if (new String(input.readNBytes(12), StandardCharsets.UTF_8).equals("RTSP/1.0 200")) {
+                    return (System.nanoTime() - startedAt) / 1e9;
                 }
             } catch (IOException e) {
                 try {
-                    Thread.sleep(50); // not there yet; this is a measurement, not a test
-                } catch (InterruptedException i) {
+                    Thread.sleep(50); // the broker does not listen yet; this is a measurement, not a test
+                } catch (InterruptedException interrupted) {
                     Thread.currentThread().interrupt();
                     return READY_TIMEOUT_S;
                 }
--- a/src/test/java/dockshed/rig/RolloutProcessTest.java
+++ b/src/test/java/dockshed/rig/RolloutProcessTest.java
@@ -15,14 +15,14 @@
 
 /** Five brokers as processes, three of them voters and one without the part; a configuration goes round through faults. */
 class RolloutProcessTest {
-    private static final int N = 5;
+    private static final int BROKERS = 5;
     private static final int LEARNER = 3;
-    private static final int WITHOUT = 4;
+    private static final int WITHOUT_ROLLOUT = 4;
     private static final int[] VOTERS = {0, 1, 2};
-    private static final int[] ALL = {0, 1, 2, LEARNER};
+    private static final int[] WITH_ROLLOUT = {0, 1, 2, LEARNER};
     private static final Pattern IN_FORCE =
             Pattern.compile(".*version=(\\d+) digest=([0-9a-f]+) after_ms=\\d+ configuration in force");
-    private static final Pattern NEXT = Pattern.compile(".*: version: expected (\\d+), .*");
+    private static final Pattern EXPECTED_VERSION = Pattern.compile(".*: version: expected (\\d+), .*");
 
     @TempDir
     Path dir;
@@ -39,7 +39,7 @@
 
     private String conf(int broker) {
         return "fleet {\n}\n"
-                + (broker == WITHOUT
+                + (broker == WITHOUT_ROLLOUT
                         ? ""
                         : "rollout {\nvoters 0 1 2\nstate_directory " + state(broker) + "\nfile " + document(broker)
                                 + "\n}\n");
@@ -71,7 +71,7 @@
     }
 
     /** Proposes until it is chosen, each time with the number that the refusal names; returns that number. */
-    private long change(int broker, long first, int port) throws Exception {
+    private long proposeUntilChosen(int broker, long first, int port) throws Exception {
         long version = first;
         while (true) {
             int mark = broker(broker).logPosition();
@@ -82,7 +82,7 @@
             if (!line.contains("configuration not taken")) {
                 return version;
             }
-            Matcher next = NEXT.matcher(line);
+            Matcher next = EXPECTED_VERSION.matcher(line);
             if (next.matches() && !line.contains("propose it again")) {
                 version = Long.parseLong(next.group(1));
             }
@@ -92,7 +92,7 @@
     @Test
     @Timeout(170) // each wait is for a line that comes
     void aChangeComesInForceEverywhereWhateverIsKilledOrCut() throws Exception {
-        try (FleetRig made = new FleetRig(dir, N, 1, this::conf)) {
+        try (FleetRig made = new FleetRig(dir, BROKERS, 1, this::conf)) {
             rig = made;
             rig.network.loss = 0.05;
             rig.network.duplication = 0.05;
@@ -101,13 +101,15 @@
                 broker(v).awaitLine(0, l -> l.contains("voter votes: above=0"));
             }
             propose(0, text(1, 1001));
-            awaitInForce(1, ALL);
+            awaitInForce(1, WITH_ROLLOUT);
 
             // What is wrong with a document is told by file, line and key, and nothing changes.
-            refused(0, "version 2\nnams 127.0.0.1:1\n", ":2: nams: expected one of version, names, got an unknown");
-            refused(0, "names 127.0.0.1:1\nversion 2\n", ":2: version: expected to be the first directive, got 2");
-            refused(0, text(7, 1), ":1: version: expected 2, the next, got 7");
-            refused(LEARNER, text(2, 1), ":1: version: this broker is no voter");
+            assertRefused(
+                    0, "version 2\nnams 127.0.0.1:1\n", ":2: nams: expected one of version, names, got an unknown");
+            assertRefused(
+                    0, "names 127.0.0.1:1\nversion 2\n", ":2: version: expected to be the first directive, got 2");
+            assertRefused(0, text(7, 1), ":1: version: expected 2, the next, got 7");
+            assertRefused(LEARNER, text(2, 1), ":1: version: this broker is no voter");
 
             // A voter is killed and back: it knows its votes.
             broker(1).kill();
@@ -115,7 +117,7 @@
             awaitInForce(2, 0, 2, LEARNER);
             int mark = broker(1).logPosition();
             broker(1).start();
-            awaitInForce(2, ALL);
+            awaitInForce(2, WITH_ROLLOUT);
             assertTrue(broker(1).linesSince(mark).stream().noneMatch(l -> l.contains("voter abstains")));
 
             // One that is heard by nobody keeps what it has until it is.
@@ -123,13 +125,13 @@
             propose(1, text(3, 1003));
             awaitInForce(3, VOTERS);
             rig.network.mute(LEARNER, false);
-            awaitInForce(3, ALL);
+            awaitInForce(3, WITH_ROLLOUT);
 
             // The proposer is killed as it begins, and as it has ended; others go on.
-            long version = killed(0, 4, "configuration proposed: version=");
-            awaitInForce(version, ALL);
-            version = killed(1, version + 1, "configuration chosen: version=");
-            awaitInForce(version, ALL);
+            long version = proposeAndKill(0, 4, "configuration proposed: version=");
+            awaitInForce(version, WITH_ROLLOUT);
+            version = proposeAndKill(1, version + 1, "configuration chosen: version=");
+            awaitInForce(version, WITH_ROLLOUT);
 
             // A voter without its state abstains until it has asked the others.
             broker(2).kill();
@@ -149,35 +151,36 @@
             String ended = "configuration (chosen: version=|not taken, the old one stands: why=).*";
             broker(0).awaitLine(zero, l -> l.matches(".*" + ended));
             broker(1).awaitLine(one, l -> l.matches(".*" + ended));
-            version = change(2, version + 2, 2003);
-            awaitInForce(version, ALL);
+            version = proposeUntilChosen(2, version + 2, 2003);
+            awaitInForce(version, WITH_ROLLOUT);
             assertOneContentAVersionAndNeverBack();
-            assertTrue(broker(WITHOUT).linesSince(0).stream().noneMatch(l -> l.contains("ERROR") || inForce(l, 0)));
-            assertEquals(200, rig.requestSession(WITHOUT, "cert-lesson"));
+            assertTrue(broker(WITHOUT_ROLLOUT).linesSince(0).stream()
+                    .noneMatch(l -> l.contains("ERROR") || inForce(l, 0)));
+            assertEquals(200, rig.requestSession(WITHOUT_ROLLOUT, "cert-lesson"));
             assertEquals(200, rig.requestSession(LEARNER, "cert-lesson"));
         }
     }
 
-    private void refused(int broker, String text, String why) throws Exception {
+    private void assertRefused(int broker, String text, String why) throws Exception {
         int mark = broker(broker).logPosition();
         propose(broker, text);
         broker(broker).awaitLine(mark, l -> l.contains("why=" + document(broker) + why));
     }
 
     /** Kills a proposer when it has logged something, and starts it again; another makes a change go through. */
-    private long killed(int proposer, long version, String logged) throws Exception {
+    private long proposeAndKill(int proposer, long version, String logged) throws Exception {
         int mark = broker(proposer).logPosition();
         propose(proposer, text(version, 3000 + proposer));
         broker(proposer).awaitLine(mark, l -> l.contains(logged));
         broker(proposer).kill();
-        long next = change(2, version + 1, 3100 + proposer);
+        long next = proposeUntilChosen(2, version + 1, 3100 + proposer);
         broker(proposer).start();
         return next;
     }
 
     private void assertOneContentAVersionAndNeverBack() {
         Map<Long, String> digests = new HashMap<>();
-        for (int b : ALL) {
+        for (int b : WITH_ROLLOUT) {
             long highest = 0;
             for (String line : broker(b).linesSince(0)) {
                 Matcher m = IN_FORCE.matcher(line);
--- a/src/test/java/dockshed/rig/SocketStorm.java
+++ b/src/test/java/dockshed/rig/SocketStorm.java
@@ -35,61 +35,61 @@
 public final class SocketStorm {
     private static final double[] RATES = {255, 425, 706, 1174, 1951};
     private static final double[] WORTHS = {.17, .41, .62, .81, 1};
-    private static final double LINK = 30_000;
+    private static final double LINK_KB_S = 30_000;
     private static final int BROKERS = 3;
-    private static final int BOXES = 12;
-    private static final int LANES = 4;
+    private static final int EDGE_SERVERS = 12;
+    private static final int CONNECTIONS_PER_BROKER = 4;
 
     private final Net net = new Net();
     private final SplittableRandom random = new SplittableRandom(17);
     private final Path dir;
     private final String conf; // null: without the part
-    private final List<StubEdgeServer> boxes = new ArrayList<>();
-    private final List<BrokerNode> nodes = new ArrayList<>();
+    private final List<StubEdgeServer> edgeServers = new ArrayList<>();
+    private final List<BrokerNode> brokers = new ArrayList<>();
     private final List<Viewer> viewers = new ArrayList<>();
-    private final Set<String> ran = new HashSet<>();
-    private final double[] offered = new double[300];
-    private final double[] earned = new double[300];
+    private final Set<String> executedSetUps = new HashSet<>();
+    private final double[] offeredBySecond = new double[300];
+    private final double[] earnedBySecond = new double[300];
     private LoopClock clock;
-    private long start;
-    private long ends;
-    private int tries;
+    private long startedAt;
+    private long endsAt;
+    private int requests;
     private int refused;
     private int failed;
-    private int paidTwice;
+    private int duplicatePaidSetUps;
     private int unanswered;
-    private int names;
-    private Duration used = Duration.ZERO;
+    private int lastRequestId;
+    private Duration cpuTime = Duration.ZERO;
 
     private SocketStorm(Path dir, String conf) {
         this.dir = dir;
         this.conf = conf;
     }
 
-    private void after(long millis, Runnable what) {
+    private void schedule(long millis, Runnable what) {
         net.loop().schedule(what, millis, TimeUnit.MILLISECONDS);
     }
 
     private int second() {
-        return (int) ((clock.now() - start) / 1_000_000);
+        return (int) ((clock.now() - startedAt) / 1_000_000);
     }
 
     // ---- Boxes.
 
     private final class StubEdgeServer {
-        final Map<String, Viewer> playing = new HashMap<>();
-        final Map<String, EdgeConnection> lineOf = new HashMap<>();
+        final Map<String, Viewer> sessions = new HashMap<>();
+        final Map<String, EdgeConnection> connectionBySession = new HashMap<>();
         int port;
 
-        double fill() {
-            return playing.values().stream()
-                            .mapToDouble(v -> RATES[v.rung] * v.scale)
+        double linkLoad() {
+            return sessions.values().stream()
+                            .mapToDouble(v -> RATES[v.rendition] * v.scale)
                             .sum()
-                    / LINK;
+                    / LINK_KB_S;
         }
 
         private final class EdgeConnection extends ByteHandler {
-            private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+            private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
             private Channel channel;
 
             @Override
@@ -101,63 +101,69 @@
             protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
                 for (byte b : bytes) {
                     if (b != '\n') {
-                        held.write(b);
+                        partialLine.write(b);
                         continue;
                     }
-                    JsonObject m = JsonParser.parseString(held.toString(StandardCharsets.UTF_8))
+                    JsonObject m = JsonParser.parseString(partialLine.toString(StandardCharsets.UTF_8))
                             .getAsJsonObject();
-                    held.reset();
-                    message(m, m.get("id").getAsString());
+                    partialLine.reset();
+                    handle(m, m.get("id").getAsString());
                 }
             }
 
-            private void message(JsonObject m, String id) {
+            private void handle(JsonObject m, String id) {
                 switch (m.get("type").getAsString()) {
-                    case "ping" -> say("pong", id, 1, "", null);
+                    case "ping" -> send("pong", id, 1, "", null);
                     case "setup" -> {
                         JsonObject f = m.getAsJsonObject("fields");
-                        if (!ran.add(id) && f.get("class").getAsString().equals("cert-lesson")) {
-                            paidTwice++;
+                        if (!executedSetUps.add(id)
+                                && f.get("class").getAsString().equals("cert-lesson")) {
+                            duplicatePaidSetUps++;
                         }
-                        Viewer v = Viewer.of(viewers, id);
+                        Viewer v = Viewer.find(viewers, id);
                         if (v != null) {
-                            v.rung = f.has("rung") ? f.get("rung").getAsInt() : v.floor;
-                            playing.put(id, v);
-                            lineOf.put(id, this);
-                            after(20, () -> {
-                                say(
+                            v.rendition = f.has("rung") ? f.get("rung").getAsInt() : v.lowestRendition;
+                            sessions.put(id, v);
+                            connectionBySession.put(id, this);
+                            schedule(20, () -> {
+                                send(
                                         "answer",
                                         id,
                                         -1,
-                                        "\"load\":\"" + load() + "\"",
+                                        "\"load\":\"" + loadReport() + "\"",
                                         m.get("sdp").getAsString());
-                                note(id);
+                                sendMetric(id);
                             });
                         }
                     }
                     case "rate" -> {
-                        if (playing.containsKey(id)) {
-                            playing.get(id).rung =
+                        if (sessions.containsKey(id)) {
+                            sessions.get(id).rendition =
                                     m.getAsJsonObject("fields").get("rung").getAsInt();
                         }
                     }
                     case "release" -> {
-                        playing.remove(id);
-                        lineOf.remove(id);
+                        sessions.remove(id);
+                        connectionBySession.remove(id);
                     }
                     default -> {}
                 }
             }
 
-            private String load() {
-                return "busy_reqs:" + playing.size() + ";x0:" + String.format(Locale.ROOT, "%.4f", fill());
+            private String loadReport() {
+                return "busy_reqs:" + sessions.size() + ";x0:" + String.format(Locale.ROOT, "%.4f", linkLoad());
             }
 
-            void note(String id) {
-                say("note", id, -1, String.format(Locale.ROOT, "\"note\":\"local\",\"value\":\"%.4f\"", fill()), null);
+            void sendMetric(String id) {
+                send(
+                        "note",
+                        id,
+                        -1,
+                        String.format(Locale.ROOT, "\"note\":\"local\",\"value\":\"%.4f\"", linkLoad()),
+                        null);
             }
 
-            void say(String type, String id, int cause, String fields, String sdp) {
+            void send(String type, String id, int cause, String fields, String sdp) {
                 JsonObject m = new JsonObject();
                 m.addProperty("type", type);
                 m.addProperty("id", id);
@@ -174,32 +180,32 @@
             @Override
             protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
                 // A broker that died takes its sessions along.
-                List<String> gone = lineOf.entrySet().stream()
+                List<String> gone = connectionBySession.entrySet().stream()
                         .filter(e -> e.getValue() == this)
                         .map(Map.Entry::getKey)
                         .toList();
                 gone.forEach(id -> {
-                    lineOf.remove(id);
-                    if (!playing.get(id).node.up()) {
-                        playing.remove(id);
+                    connectionBySession.remove(id);
+                    if (!sessions.get(id).broker.isUp()) {
+                        sessions.remove(id);
                     }
                 });
             }
         }
 
-        void tell() {
+        void reportLoads() {
             Map<EdgeConnection, String> one = new HashMap<>();
-            lineOf.forEach((id, line) -> one.put(line, id));
-            one.forEach(EdgeConnection::note);
-            after(1000, this::tell);
+            connectionBySession.forEach((id, line) -> one.put(line, id));
+            one.forEach(EdgeConnection::sendMetric);
+            schedule(1000, this::reportLoads);
         }
 
         /** The session has come to its natural end. */
-        void over(String id) {
-            EdgeConnection l = lineOf.remove(id);
-            playing.remove(id);
+        void endSession(String id) {
+            EdgeConnection l = connectionBySession.remove(id);
+            sessions.remove(id);
             if (l != null) {
-                l.say("release", id, 16, "", null);
+                l.send("release", id, 16, "", null);
             }
         }
     }
@@ -207,24 +213,24 @@
     // ---- Brokers.
 
     private final class BrokerNode {
-        final int me;
-        final int port = free();
+        final int number;
+        final int port = freePort();
         final int peerPort;
-        final ViewerConnection[] lanes = new ViewerConnection[LANES];
+        final ViewerConnection[] connections = new ViewerConnection[CONNECTIONS_PER_BROKER];
         Process process;
-        long noticed;
+        long failureNoticedAt;
 
         BrokerNode(int me, int peerPort) {
-            this.me = me;
+            this.number = me;
             this.peerPort = peerPort;
         }
 
-        boolean up() {
+        boolean isUp() {
             return process != null;
         }
 
-        void begin(List<Integer> peerPorts) throws IOException {
-            Path file = dir.resolve("broker" + me + ".json");
+        void start(List<Integer> peerPorts) throws IOException {
+            Path file = dir.resolve("broker" + number + ".json");
             Files.writeString(file, config(this, peerPorts));
             List<String> command = new ArrayList<>(List.of(
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -242,56 +248,56 @@
             ProcessBuilder b = new ProcessBuilder(command)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                            dir.resolve("broker" + me + ".log").toFile()));
+                            dir.resolve("broker" + number + ".log").toFile()));
             b.environment().put("EDGE_CONFIG", file.toString());
             process = b.start();
         }
 
         void kill() {
-            used = used.plus(process.info().totalCpuDuration().orElse(Duration.ZERO));
+            cpuTime = cpuTime.plus(process.info().totalCpuDuration().orElse(Duration.ZERO));
             process.destroyForcibly();
             process = null;
-            noticed = clock.now() + 1_200_000 + random.nextLong(2_200_000);
+            failureNoticedAt = clock.now() + 1_200_000 + random.nextLong(2_200_000);
         }
 
         void send(Viewer v, byte[] bytes) {
-            int i = random.nextInt(LANES);
-            if (lanes[i] != null) {
-                lanes[i].on.removeIf(o -> o.lane != lanes[i] || o.name == null);
+            int i = random.nextInt(CONNECTIONS_PER_BROKER);
+            if (connections[i] != null) {
+                connections[i].openViewers.removeIf(o -> o.connection != connections[i] || o.requestId == null);
             }
-            if (lanes[i] == null) {
-                lanes[i] = new ViewerConnection(this, i);
-                net.connect(new InetSocketAddress("127.0.0.1", port), 500, lanes[i]::handler)
+            if (connections[i] == null) {
+                connections[i] = new ViewerConnection(this, i);
+                net.connect(new InetSocketAddress("127.0.0.1", port), 500, connections[i]::handler)
                         .addListener(done -> {
                             if (!done.isSuccess()) {
-                                lanes[i].gone();
+                                connections[i].connectionLost();
                             }
                         });
             }
-            lanes[i].send(v, bytes);
+            connections[i].send(v, bytes);
         }
     }
 
     /** A connection that carries many viewers. */
     private final class ViewerConnection {
-        final BrokerNode node;
+        final BrokerNode broker;
         final int index;
-        final Set<Viewer> on = new HashSet<>();
-        final ByteArrayOutputStream early = new ByteArrayOutputStream();
+        final Set<Viewer> openViewers = new HashSet<>();
+        final ByteArrayOutputStream pendingOutput = new ByteArrayOutputStream();
         Channel channel;
 
         ViewerConnection(BrokerNode node, int index) {
-            this.node = node;
+            this.broker = node;
             this.index = index;
         }
 
         void send(Viewer v, byte[] bytes) {
             if (v != null) {
-                on.add(v);
-                v.lane = this;
+                openViewers.add(v);
+                v.connection = this;
             }
             if (channel == null) {
-                early.writeBytes(bytes);
+                pendingOutput.writeBytes(bytes);
             } else {
                 channel.writeAndFlush(Net.toByteBuf(bytes));
             }
@@ -304,7 +310,7 @@
                 @Override
                 public void channelActive(ChannelHandlerContext ctx) {
                     channel = ctx.channel();
-                    channel.writeAndFlush(Net.toByteBuf(early.toByteArray()));
+                    channel.writeAndFlush(Net.toByteBuf(pendingOutput.toByteArray()));
                 }
 
                 @Override
@@ -312,7 +318,7 @@
                     decoder.add(bytes, 0, bytes.length);
                     try {
                         for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
-                            Viewer v = Viewer.of(viewers, m.header("session", ""));
+                            Viewer v = Viewer.find(viewers, m.header("session", ""));
                             if (v != null && m.startLine().startsWith("RTSP/")) {
                                 v.answered(m);
                             } else if (v != null && !m.startLinePart(0).equals("SET_PARAMETER")) {
@@ -320,9 +326,9 @@
                                         null,
                                         HttpStyleMessage.encode(
                                                 "RTSP/1.0 200 OK",
-                                                Map.of("CSeq", "2", "Session", v.name),
+                                                Map.of("CSeq", "2", "Session", v.requestId),
                                                 new byte[0]));
-                                v.cut();
+                                v.connectionLost();
                             }
                         }
                     } catch (HttpStyleMessage.MalformedMessageException e) {
@@ -332,19 +338,19 @@
 
                 @Override
                 protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
-                    gone();
+                    connectionLost();
                 }
             };
         }
 
         /** A closed connection loses the requests open on it; sessions are lost with their broker only. */
-        void gone() {
-            if (node.lanes[index] == this) {
-                node.lanes[index] = null;
+        void connectionLost() {
+            if (broker.connections[index] == this) {
+                broker.connections[index] = null;
             }
-            for (Viewer v : List.copyOf(on)) {
-                if (v.lane == this && (!v.plays || !node.up())) {
-                    v.cut();
+            for (Viewer v : List.copyOf(openViewers)) {
+                if (v.connection == this && (!v.playing || !broker.isUp())) {
+                    v.connectionLost();
                 }
             }
         }
@@ -354,123 +360,128 @@
 
     private static final class Viewer {
         private static final String[] CLASSES = {"refresher", "cert-lesson", "audio-guide"};
-        private final SocketStorm in;
-        final int cls; // heeds 0: P-Back-Off, 1: Retry-After, 2: nothing, 3: doubles its wait
-        final int floor;
-        final int top;
-        final int heeds;
+        private final SocketStorm storm;
+        final int classIndex; // heeds 0: P-Back-Off, 1: Retry-After, 2: nothing, 3: doubles its wait
+        final int lowestRendition;
+        final int highestRendition;
+        final int retryPolicy;
         final double scale;
-        final long until;
-        final long patience;
+        final long leavesAt;
+        final long deadlineMillis;
         final String id;
-        String name;
-        BrokerNode node;
-        ViewerConnection lane;
-        int rung;
-        long wait = 500;
-        boolean plays;
+        String requestId;
+        BrokerNode broker;
+        ViewerConnection connection;
+        int rendition;
+        long backoffMillis = 500;
+        boolean playing;
 
         Viewer(SocketStorm in) {
-            this.in = in;
-            cls = in.random.nextDouble() < .3 ? 0 : in.random.nextDouble() < .36 ? 1 : 2;
-            floor = cls == 1 ? 1 : 0;
-            top = in.random.nextDouble() < .26 ? 2 : 4;
-            scale = cls == 2 ? .7 : 1;
-            patience = cls == 1 ? 4000 : 3000;
-            heeds = in.random.nextInt(4);
-            until = in.clock.now() + 8_000_000 + in.random.nextLong(12_000_000);
+            this.storm = in;
+            classIndex = in.random.nextDouble() < .3 ? 0 : in.random.nextDouble() < .36 ? 1 : 2;
+            lowestRendition = classIndex == 1 ? 1 : 0;
+            highestRendition = in.random.nextDouble() < .26 ? 2 : 4;
+            scale = classIndex == 2 ? .7 : 1;
+            deadlineMillis = classIndex == 1 ? 4000 : 3000;
+            retryPolicy = in.random.nextInt(4);
+            leavesAt = in.clock.now() + 8_000_000 + in.random.nextLong(12_000_000);
             id = "v" + in.viewers.size();
         }
 
-        static Viewer of(List<Viewer> all, String name) {
+        static Viewer find(List<Viewer> all, String name) {
             return name.length() != 16
                     ? null
-                    : all.get((int) (Long.parseLong(name.substring(0, 8), 16))).mine(name);
+                    : all.get((int) (Long.parseLong(name.substring(0, 8), 16))).ifCurrent(name);
         }
 
-        private Viewer mine(String session) {
-            return session.equals(name) ? this : null;
+        private Viewer ifCurrent(String session) {
+            return session.equals(requestId) ? this : null;
         }
 
-        void ask(boolean again) {
-            if (in.clock.now() > until - 1_000_000 || in.clock.now() > in.ends) {
+        void sendRequest(boolean again) {
+            if (storm.clock.now() > leavesAt - 1_000_000 || storm.clock.now() > storm.endsAt) {
                 return;
             }
-            in.tries++;
-            node = in.nodes.get(in.random.nextInt(BROKERS));
-            if (!node.up() && in.clock.now() > node.noticed) {
-                List<BrokerNode> up = in.nodes.stream().filter(BrokerNode::up).toList();
-                node = up.get(in.random.nextInt(up.size()));
+            storm.requests++;
+            broker = storm.brokers.get(storm.random.nextInt(BROKERS));
+            if (!broker.isUp() && storm.clock.now() > broker.failureNoticedAt) {
+                List<BrokerNode> up =
+                        storm.brokers.stream().filter(BrokerNode::isUp).toList();
+                broker = up.get(storm.random.nextInt(up.size()));
             }
-            name = String.format("%08x%08x", Integer.parseInt(id.substring(1)), ++in.names);
+            requestId = String.format("%08x%08x", Integer.parseInt(id.substring(1)), ++storm.lastRequestId);
             Map<String, String> h = new LinkedHashMap<>();
             h.put("CSeq", "1");
-            h.put("Session", name);
-            h.put("Priority-Class", CLASSES[cls]);
-            h.put("Expires-Ms", Long.toString(patience));
-            h.put("Expected-Ms", Long.toString((until - in.clock.now()) / 1000));
+            h.put("Session", requestId);
+            h.put("Priority-Class", CLASSES[classIndex]);
+            h.put("Expires-Ms", Long.toString(deadlineMillis));
+            h.put("Expected-Ms", Long.toString((leavesAt - storm.clock.now()) / 1000));
             if (again) {
                 h.put("P-Repeat", "1");
             }
-            h.put("P-Trunk-Info", "home:0;copies:3;top:" + top + ";viewer:" + id + (again ? ";again:1" : ""));
-            String asked = name;
-            node.send(
+            h.put(
+                    "P-Trunk-Info",
+                    "home:0;copies:3;top:" + highestRendition + ";viewer:" + id + (again ? ";again:1" : ""));
+            String asked = requestId;
+            broker.send(
                     this,
                     HttpStyleMessage.encode(
                             "SETUP rtsp://media/lesson RTSP/1.0", h, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
-            in.after(patience + 300, () -> {
-                if (asked.equals(name) && !plays) {
-                    in.unanswered += node.up() ? 1 : 0;
-                    cut();
+            storm.schedule(deadlineMillis + 300, () -> {
+                if (asked.equals(requestId) && !playing) {
+                    storm.unanswered += broker.isUp() ? 1 : 0;
+                    connectionLost();
                 }
             });
         }
 
         void answered(HttpStyleMessage m) {
             if (m.status() == 200) {
-                plays = true;
-                in.after((until - in.clock.now()) / 1000, this::over);
+                playing = true;
+                storm.schedule((leavesAt - storm.clock.now()) / 1000, this::leave);
                 return;
             }
             boolean no = m.status() == 453 || m.status() == 503;
-            in.refused += no ? 1 : 0;
-            in.failed += no ? 0 : 1;
-            name = null;
-            long own = 740 + in.random.nextLong(2160);
+            storm.refused += no ? 1 : 0;
+            storm.failed += no ? 0 : 1;
+            requestId = null;
+            long own = 740 + storm.random.nextLong(2160);
             String millis = m.header("p-back-off");
             String seconds = m.header("retry-after");
-            long back = heeds == 0 && millis != null
+            long back = retryPolicy == 0 && millis != null
                     ? Long.parseLong(millis)
-                    : heeds == 1 && seconds != null ? 1000 * Long.parseLong(seconds) : heeds == 3 ? wait : own;
-            wait *= 2;
-            if (no || cls != 1) {
-                in.after(back, () -> ask(true));
+                    : retryPolicy == 1 && seconds != null
+                            ? 1000 * Long.parseLong(seconds)
+                            : retryPolicy == 3 ? backoffMillis : own;
+            backoffMillis *= 2;
+            if (no || classIndex != 1) {
+                storm.schedule(back, () -> sendRequest(true));
             }
         }
 
-        private void over() {
-            if (plays && name != null) {
-                String was = name;
-                in.boxes.forEach(b -> b.over(was));
-                name = null;
-                plays = false;
+        private void leave() {
+            if (playing && requestId != null) {
+                String was = requestId;
+                storm.edgeServers.forEach(b -> b.endSession(was));
+                requestId = null;
+                playing = false;
             }
         }
 
         /** Its session or request was lost. */
-        void cut() {
-            boolean again = plays || cls != 1; // a paid request that was lost may have run
-            plays = false;
-            name = null;
+        void connectionLost() {
+            boolean again = playing || classIndex != 1; // a paid request that was lost may have run
+            playing = false;
+            requestId = null;
             if (again) {
-                in.after(740 + in.random.nextLong(2160), () -> ask(true));
+                storm.schedule(740 + storm.random.nextLong(2160), () -> sendRequest(true));
             }
         }
     }
 
     // ---- The run.
 
-    private static int free() {
+    private static int freePort() {
         try (ServerSocket s = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             return s.getLocalPort();
         } catch (IOException e) {
@@ -480,20 +491,20 @@
 
     private String config(BrokerNode n, List<Integer> peerPorts) {
         JsonObject c = JsonParser.parseString(TEMPLATE).getAsJsonObject();
-        c.addProperty("name", "n" + n.me);
+        c.addProperty("name", "n" + n.number);
         c.addProperty("listen", "127.0.0.1:" + n.port);
         c.addProperty("seed", String.format("%016x", random.nextLong()));
         c.addProperty("peer_listen", "127.0.0.1:" + n.peerPort);
         peerPorts.forEach(p -> c.getAsJsonArray("peers").add("127.0.0.1:" + p));
         StringBuilder members = new StringBuilder();
-        for (int i = 0; i < BOXES; i++) {
+        for (int i = 0; i < EDGE_SERVERS; i++) {
             members.append(i == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
                             "{'id':'s-%d','host_port':'127.0.0.1:%d',"
                                     + "'locality':'east','flavor':'std','cell':%d,'phase':'active','size':1}",
                             i,
-                            boxes.get(i).port,
+                            edgeServers.get(i).port,
                             i % 3));
         }
         c.add(
@@ -501,8 +512,8 @@
                 JsonParser.parseString("{'rev':2,'notices':[{'rev':1,'pool':{'complete':true,'members':[" + members
                         + "]}},{'rev':2,'pool':{'complete':false,'members':[]}}]}"));
         JsonObject s = c.getAsJsonObject("settings");
-        s.addProperty("me", n.me);
-        s.getAsJsonObject("family_info").addProperty("links_kb", LINK * BOXES);
+        s.addProperty("me", n.number);
+        s.getAsJsonObject("family_info").addProperty("links_kb", LINK_KB_S * EDGE_SERVERS);
         return c.toString();
     }
 
@@ -521,32 +532,34 @@
     private void measure() {
         int sec = second();
         for (Viewer v : viewers) {
-            if (clock.now() < v.until && sec < offered.length) {
-                double worth = v.cls == 1 ? 3 : 1;
-                offered[sec] += worth * WORTHS[v.top];
-                earned[sec] += v.plays ? worth * WORTHS[Math.min(v.rung, v.top)] : 0;
+            if (clock.now() < v.leavesAt && sec < offeredBySecond.length) {
+                double worth = v.classIndex == 1 ? 3 : 1;
+                offeredBySecond[sec] += worth * WORTHS[v.highestRendition];
+                earnedBySecond[sec] += v.playing ? worth * WORTHS[Math.min(v.rendition, v.highestRendition)] : 0;
             }
         }
-        if (clock.now() < ends) {
-            after(100, this::measure);
+        if (clock.now() < endsAt) {
+            schedule(100, this::measure);
         }
     }
 
-    private void arrive(double perSecond) {
-        if (clock.now() < ends) {
+    private void addViewer(double perSecond) {
+        if (clock.now() < endsAt) {
             Viewer v = new Viewer(this);
             viewers.add(v);
-            v.ask(false);
-            after(Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1000)), () -> arrive(perSecond));
+            v.sendRequest(false);
+            schedule(
+                    Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1000)),
+                    () -> addViewer(perSecond));
         }
     }
 
-    private double[] play(int seconds, double perSecond, int killAt, int backAt) throws Exception {
+    private double[] run(int seconds, double perSecond, int killAt, int backAt) throws Exception {
         clock = net.callOnLoop(() -> new LoopClock(net.loop()));
         List<Integer> peerPorts = new ArrayList<>();
-        for (int i = 0; i < BOXES; i++) {
+        for (int i = 0; i < EDGE_SERVERS; i++) {
             StubEdgeServer b = new StubEdgeServer();
-            boxes.add(b);
+            edgeServers.add(b);
             b.port = ((InetSocketAddress)
                             net.listen(new InetSocketAddress("127.0.0.1", 0), () -> b.new EdgeConnection())
                                     .sync()
@@ -555,27 +568,27 @@
                     .getPort();
         }
         for (int i = 0; i < BROKERS; i++) {
-            peerPorts.add(free());
-            nodes.add(new BrokerNode(i, peerPorts.get(i)));
+            peerPorts.add(freePort());
+            brokers.add(new BrokerNode(i, peerPorts.get(i)));
         }
-        for (BrokerNode n : nodes) {
-            n.begin(peerPorts);
+        for (BrokerNode n : brokers) {
+            n.start(peerPorts);
         }
         Thread.sleep(2500); // a measurement, no test: the brokers come up
         net.callOnLoop(() -> {
-            for (BrokerNode n : nodes) { // starting costs the same each time, and is no part of the overhead
-                used = used.minus(n.process.info().totalCpuDuration().orElse(Duration.ZERO));
+            for (BrokerNode n : brokers) { // starting costs the same each time, and is no part of the overhead
+                cpuTime = cpuTime.minus(n.process.info().totalCpuDuration().orElse(Duration.ZERO));
             }
-            start = clock.now();
-            ends = start + seconds * 1_000_000L;
-            boxes.forEach(StubEdgeServer::tell);
-            arrive(perSecond);
+            startedAt = clock.now();
+            endsAt = startedAt + seconds * 1_000_000L;
+            edgeServers.forEach(StubEdgeServer::reportLoads);
+            addViewer(perSecond);
             measure();
             if (killAt > 0) {
-                after(killAt * 1000L, () -> nodes.get(0).kill());
-                after(backAt * 1000L, () -> {
+                schedule(killAt * 1000L, () -> brokers.get(0).kill());
+                schedule(backAt * 1000L, () -> {
                     try {
-                        nodes.get(0).begin(peerPorts);
+                        brokers.get(0).start(peerPorts);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
@@ -592,15 +605,17 @@
                 double a = 0;
                 double e = 0;
                 for (int j = i; j < i + 5; j++) {
-                    a += offered[j];
-                    e += earned[j];
+                    a += offeredBySecond[j];
+                    e += earnedBySecond[j];
                 }
                 worst = Math.min(worst, e / a);
-                asked += offered[i];
-                got += earned[i];
+                asked += offeredBySecond[i];
+                got += earnedBySecond[i];
             }
-            nodes.stream().filter(BrokerNode::up).forEach(BrokerNode::kill);
-            return new double[] {worst, got / asked, tries / (double) viewers.size(), used.toMillis(), viewers.size()};
+            brokers.stream().filter(BrokerNode::isUp).forEach(BrokerNode::kill);
+            return new double[] {
+                worst, got / asked, requests / (double) viewers.size(), cpuTime.toMillis(), viewers.size()
+            };
         });
         net.close();
         System.out.printf(
@@ -614,7 +629,7 @@
                 failed,
                 out[2],
                 out[3],
-                paidTwice,
+                duplicatePaidSetUps,
                 unanswered);
         return out;
     }
@@ -636,12 +651,12 @@
         int unanswered = 0;
         for (int on = 0; on < 2 && !List.of(args).contains("--calm"); on++) {
             SocketStorm s = new SocketStorm(dir, on == 0 ? null : conf);
-            seen[on] = s.play(seconds, 45, at, at + 4);
-            twice += s.paidTwice;
+            seen[on] = s.run(seconds, 45, at, at + 4);
+            twice += s.duplicatePaidSetUps;
             unanswered += s.unanswered;
         }
         for (int on = 0; on < 2 && !quick; on++) {
-            calm[on] = new SocketStorm(dir, on == 0 ? null : conf).play(seconds, 20, 0, 0);
+            calm[on] = new SocketStorm(dir, on == 0 ? null : conf).run(seconds, 20, 0, 0);
         }
         if (seen[0] == null) {
             System.out.printf(Locale.ROOT, "storm-sockets overhead=%.3f%n", calm[1][3] / calm[0][3] - 1);
