--- a/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
+++ b/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
@@ -31,13 +31,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ends that cross, seen on the wires at both ends: viewers' front, broker and lines to two servers on loopback sockets, the
- * module scripted. The loop is held until both sides of a crossing have come. Afterwards every table is empty.
+ * Guards against races between two endings of one attempt or session, such as an answer and a cancellation, which could leave
+ * entries in the broker's tables, send a second attempt or send a second answer. The real front, broker and connections to two
+ * edge servers run on loopback sockets, with a scripted decision module. The event loop is blocked until both messages of a race
+ * have been sent. At the end of each test all tables are empty.
  */
 class ConcurrentEndingsTest {
     private static final String SESSION = "0123456789abcdef";
 
-    /** A server, which the test plays. */
+    /** An edge server whose messages the test sends. */
     private static final class ScriptedEdgeServer implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Socket connection;
@@ -53,36 +55,36 @@
             reader = new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8));
         }
 
-        /** The next line, as "setup ID" or "release ID 16". */
+        /** Reads the next message, as "setup ID" or "release ID CAUSE"; "end" if the connection was closed. */
         String readMessage() throws IOException {
-            String text = reader.readLine();
-            if (text == null) {
+            String line = reader.readLine();
+            if (line == null) {
                 return "end";
             }
-            String cause = text.contains("\"cause\"") ? " " + text.replaceAll(".*\"cause\":([0-9]+).*", "$1") : "";
-            return text.replaceAll(".*\"type\":\"([a-z]+)\".*", "$1") + " "
-                    + text.replaceAll(".*\"id\":\"([0-9a-f]+)\".*", "$1") + cause;
+            String cause = line.contains("\"cause\"") ? " " + line.replaceAll(".*\"cause\":([0-9]+).*", "$1") : "";
+            return line.replaceAll(".*\"type\":\"([a-z]+)\".*", "$1") + " "
+                    + line.replaceAll(".*\"id\":\"([0-9a-f]+)\".*", "$1") + cause;
         }
 
-        /** The next set-up; a release before it is of one that was given up before its end had been read. */
+        /** Reads the next set-up, skipping releases of set-ups that were cancelled before their end had been read. */
         String readSetUp() throws IOException {
-            String next = readMessage();
-            while (next.startsWith("release ")) {
-                next = readMessage();
+            String message = readMessage();
+            while (message.startsWith("release ")) {
+                message = readMessage();
             }
-            return next;
+            return message;
         }
 
-        void send(String text) throws IOException {
-            connection.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
+        void send(String line) throws IOException {
+            connection.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
-        void answer(String id) throws IOException {
-            send("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=0\\r\\n\"}");
+        void answer(String session) throws IOException {
+            send("{\"type\":\"answer\",\"id\":\"" + session + "\",\"fields\":{},\"sdp\":\"v=0\\r\\n\"}");
         }
 
-        void release(String id, int cause) throws IOException {
-            send("{\"type\":\"release\",\"id\":\"" + id + "\",\"fields\":{},\"cause\":" + cause + "}");
+        void release(String session, int cause) throws IOException {
+            send("{\"type\":\"release\",\"id\":\"" + session + "\",\"fields\":{},\"cause\":" + cause + "}");
         }
 
         @Override
@@ -98,8 +100,8 @@
         final Socket socket;
         private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
 
-        Viewer(InetSocketAddress at) throws IOException {
-            socket = new Socket(at.getAddress(), at.getPort());
+        Viewer(InetSocketAddress address) throws IOException {
+            socket = new Socket(address.getAddress(), address.getPort());
             socket.setSoTimeout(20_000);
         }
 
@@ -107,40 +109,43 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        void setUp(String id, String cls) throws IOException {
-            send("SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: " + id + "\r\nPriority-Class: " + cls
+        void setUp(String session, String className) throws IOException {
+            send("SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: " + session + "\r\nPriority-Class: " + className
                     + "\r\nExpires-Ms: 3000\r\nContent-Length: 5\r\n\r\nv=0\r\n");
         }
 
-        void tearDown(String id) throws IOException {
-            send("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n");
+        void tearDown(String session) throws IOException {
+            send("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + session
+                    + "\r\nContent-Length: 0\r\n\r\n");
         }
 
-        /** The next message, as "200 1 ID" or "TEARDOWN 2 ID"; "end" where none comes any more. */
+        /** Reads the next message, as "200 CSEQ ID" or "TEARDOWN CSEQ ID"; "end" if the connection was closed. */
         String readMessage() throws Exception {
-            byte[] buf = new byte[4096];
-            for (HttpStyleMessage m = decoder.next(); ; m = decoder.next()) {
-                if (m != null) {
-                    String what = m.startLine().startsWith("RTSP/") ? m.startLinePart(1) : m.startLinePart(0);
-                    return what + " " + m.header("cseq") + " " + m.header("session");
+            byte[] buffer = new byte[4096];
+            for (HttpStyleMessage message = decoder.next(); ; message = decoder.next()) {
+                if (message != null) {
+                    String kind = message.startLine().startsWith("RTSP/")
+                            ? message.startLinePart(1)
+                            : message.startLinePart(0);
+                    return kind + " " + message.header("cseq") + " " + message.header("session");
                 }
-                int n = socket.getInputStream().read(buf);
-                if (n < 0) {
+                int length = socket.getInputStream().read(buffer);
+                if (length < 0) {
                     return "end";
                 }
-                decoder.add(buf, 0, n);
+                decoder.add(buffer, 0, length);
             }
         }
 
-        /** What comes until a test of the viewer's own passes: all that was told before it. */
+        /** Reads all messages sent before the response to a ping, which the viewer sends now. */
         List<String> readUntilPing() throws Exception {
             send("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: ping\r\nContent-Length: 0\r\n\r\n");
-            List<String> heard = new ArrayList<>();
-            for (String m = readMessage(); !m.equals("200 3 ping"); m = readMessage()) {
-                assertTrue(!m.equals("end"), heard.toString());
-                heard.add(m);
+            List<String> messages = new ArrayList<>();
+            for (String message = readMessage(); !message.equals("200 3 ping"); message = readMessage()) {
+                assertTrue(!message.equals("end"), messages.toString());
+                messages.add(message);
             }
-            return heard;
+            return messages;
         }
 
         @Override
@@ -164,24 +169,24 @@
         serverB = new ScriptedEdgeServer();
         RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
+            TimerQueue timers = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     module.settings,
                     actions -> {
                         moduleActions = actions;
                         return module;
                     },
-                    m -> {},
-                    deadlines);
+                    message -> {},
+                    timers);
             clock.onWakeUp(broker::runDueTimers);
-            EdgeServerConnections edges = new EdgeServerConnections(
+            EdgeServerConnections edgeServers = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
-                    deadlines,
+                    timers,
                     new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of("busy_reqs", "x0"), 256));
-            module.onRequest = r -> moduleActions.send(r.id(), "a", 0);
-            module.onOutcome = id -> moduleActions.send(id, "b", 0);
+            module.onRequest = request -> moduleActions.send(request.id(), "a", 0);
+            module.onOutcome = requestId -> moduleActions.send(requestId, "b", 0);
             broker.serversChanged(
                     clock.now(),
                     "names",
@@ -189,10 +194,10 @@
                     List.of(
                             new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0),
                             new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(
+            edgeServers.updateAddresses(
                     Map.of("a", (InetSocketAddress) serverA.listener.getLocalSocketAddress(), "b", (InetSocketAddress)
                             serverB.listener.getLocalSocketAddress()));
-            return new RtspFront(broker, edges, clock, deadlines, 10);
+            return new RtspFront(broker, edgeServers, clock, timers, 10);
         });
         frontAddress = (InetSocketAddress)
                 net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), front::accept, () -> {}, true)
@@ -210,74 +215,76 @@
         viewer.close();
     }
 
+    /** Checks that the broker has neither unanswered requests nor sessions. */
     private void assertTablesEmpty() {
         assertEquals(0, net.callOnLoop(() -> broker.unansweredRequests() + broker.activeSessions()));
     }
 
-    private void setUpReachesA(String id, String cls) throws Exception {
-        viewer.setUp(id, cls);
+    private void setUpReachesA(String session, String className) throws Exception {
+        viewer.setUp(session, className);
         if (serverA.connection == null) {
             serverA.accept();
         }
-        assertEquals("setup " + id, serverA.readMessage());
+        assertEquals("setup " + session, serverA.readMessage());
     }
 
-    /** A line to b that is up, so that what is sent there would be written at once. */
+    /** Opens a connection to server b, so that a set-up sent there would be written at once. */
     private void connectToB() throws Exception {
-        String other = "00000000000000b1";
-        setUpReachesA(other, "safe");
-        serverA.release(other, 34);
+        String session = "00000000000000b1";
+        setUpReachesA(session, "safe");
+        serverA.release(session, 34);
         serverB.accept();
-        assertEquals("setup " + other, serverB.readMessage());
-        serverB.release(other, 102); // tried at b once more, as the script says
-        assertEquals("setup " + other, serverB.readMessage());
-        viewer.tearDown(other);
-        assertEquals("200 2 " + other, viewer.readMessage());
-        assertEquals("release " + other + " 16", serverB.readMessage());
+        assertEquals("setup " + session, serverB.readMessage());
+        serverB.release(session, 102); // the scripted module sends it to b once more
+        assertEquals("setup " + session, serverB.readMessage());
+        viewer.tearDown(session);
+        assertEquals("200 2 " + session, viewer.readMessage());
+        assertEquals("release " + session + " 16", serverB.readMessage());
     }
 
     @Test
-    void whoClosesAsTheFirstAttemptEndsHasNoSecond() throws Exception {
+    void aViewerThatDisconnectsAsTheFirstAttemptEndsGetsNoSecondAttempt() throws Exception {
         connectToB();
-        for (String cls : List.of("safe", "paid")) {
-            String id = cls.equals("safe") ? SESSION : SESSION.replace('0', '9');
-            try (Viewer leaves = new Viewer(frontAddress)) {
-                leaves.setUp(id, cls);
-                assertEquals("setup " + id, serverA.readSetUp());
-                CountDownLatch go = LoopBlocker.block(net);
-                serverA.release(id, 34); // it never ran: another attempt would be in order
-                leaves.close();
-                go.countDown();
+        for (String className : List.of("safe", "paid")) {
+            String session = className.equals("safe") ? SESSION : SESSION.replace('0', '9');
+            try (Viewer leaving = new Viewer(frontAddress)) {
+                leaving.setUp(session, className);
+                assertEquals("setup " + session, serverA.readSetUp());
+                CountDownLatch unblock = LoopBlocker.block(net);
+                serverA.release(session, 34); // it never ran: another attempt would be allowed
+                leaving.close();
+                unblock.countDown();
             }
             assertEquals(List.of(), viewer.readUntilPing());
             assertEquals(List.of(), viewer.readUntilPing());
         }
-        String next = "00000000000000b2";
-        viewer.setUp(next, "safe");
-        assertEquals("setup " + next, serverA.readSetUp());
-        serverA.release(next, 34);
-        assertEquals("setup " + next, serverB.readMessage(), "nothing came in between");
-        viewer.tearDown(next);
-        assertEquals("200 2 " + next, viewer.readMessage());
+        String nextSession = "00000000000000b2";
+        viewer.setUp(nextSession, "safe");
+        assertEquals("setup " + nextSession, serverA.readSetUp());
+        serverA.release(nextSession, 34);
+        assertEquals("setup " + nextSession, serverB.readMessage(), "no set-up was sent in between");
+        viewer.tearDown(nextSession);
+        assertEquals("200 2 " + nextSession, viewer.readMessage());
         assertTablesEmpty();
     }
 
     @Test
-    void anAnswerThatCrossesItsGivingUpIsNeitherHeardNorLeftStanding() throws Exception {
+    void anAnswerThatCrossesACancellationLeavesNoSessionBehind() throws Exception {
         setUpReachesA(SESSION, "paid");
-        CountDownLatch go = LoopBlocker.block(net);
+        CountDownLatch unblock = LoopBlocker.block(net);
         serverA.answer(SESSION);
         viewer.tearDown(SESSION);
-        go.countDown();
-        List<String> heard = new ArrayList<>(List.of(viewer.readMessage()));
-        heard.addAll(viewer.readUntilPing());
-        // Either was read first: the session stood and was ended by its viewer, or was given up before it stood.
+        unblock.countDown();
+        List<String> received = new ArrayList<>(List.of(viewer.readMessage()));
+        received.addAll(viewer.readUntilPing());
+        // Either message may be read first: the viewer ended a started session, or cancelled the request before it
+        // started.
         assertTrue(
-                heard.equals(List.of("200 2 " + SESSION))
-                        || heard.equals(List.of("200 1 " + SESSION, "200 2 " + SESSION)),
-                heard.toString());
-        String told = serverA.readMessage();
-        assertEquals(heard.size() == 1 ? "release " + SESSION + " 16" : "release " + SESSION + " 31", told);
+                received.equals(List.of("200 2 " + SESSION))
+                        || received.equals(List.of("200 1 " + SESSION, "200 2 " + SESSION)),
+                received.toString());
+        String released = serverA.readMessage();
+        assertEquals(received.size() == 1 ? "release " + SESSION + " 16" : "release " + SESSION + " 31", released);
         assertTablesEmpty();
     }
 
@@ -287,11 +294,11 @@
         serverA.release(SESSION, 34);
         serverB.accept();
         assertEquals("setup " + SESSION, serverB.readMessage());
-        CountDownLatch go = LoopBlocker.block(net);
+        CountDownLatch unblock = LoopBlocker.block(net);
         serverB.answer(SESSION);
         serverB.answer(SESSION);
         serverA.answer(SESSION);
-        go.countDown();
+        unblock.countDown();
         assertEquals("200 1 " + SESSION, viewer.readMessage());
         serverA.answer(SESSION);
         serverB.answer(SESSION);
@@ -306,60 +313,60 @@
     @Test
     void aResetInTheMiddleOfAnAnswerFailsAPaidSetUpAndRepeatsASafeOne() throws Exception {
         setUpReachesA(SESSION, "paid");
-        module.onOutcome = id -> moduleActions.fail(id);
+        module.onOutcome = requestId -> moduleActions.fail(requestId);
         serverA.connection
                 .getOutputStream()
                 .write(("{\"type\":\"answer\",\"id\":\"" + SESSION).getBytes(StandardCharsets.UTF_8));
         serverA.connection.setSoLinger(true, 0);
         serverA.connection.close();
         assertEquals("500 1 " + SESSION, viewer.readMessage());
-        module.onOutcome = id -> moduleActions.send(id, "b", 0);
-        String safe = "00000000000000b3";
-        viewer.setUp(safe, "safe");
+        module.onOutcome = requestId -> moduleActions.send(requestId, "b", 0);
+        String safeSession = "00000000000000b3";
+        viewer.setUp(safeSession, "safe");
         serverA.accept();
-        assertEquals("setup " + safe, serverA.readMessage());
+        assertEquals("setup " + safeSession, serverA.readMessage());
         serverA.connection
                 .getOutputStream()
-                .write(("{\"type\":\"answer\",\"id\":\"" + safe).getBytes(StandardCharsets.UTF_8));
+                .write(("{\"type\":\"answer\",\"id\":\"" + safeSession).getBytes(StandardCharsets.UTF_8));
         serverA.connection.setSoLinger(true, 0);
         serverA.connection.close();
         serverB.accept();
-        assertEquals("setup " + safe, serverB.readMessage());
-        serverB.answer(safe);
-        assertEquals("200 1 " + safe, viewer.readMessage());
-        viewer.tearDown(safe);
-        assertEquals("200 2 " + safe, viewer.readMessage());
+        assertEquals("setup " + safeSession, serverB.readMessage());
+        serverB.answer(safeSession);
+        assertEquals("200 1 " + safeSession, viewer.readMessage());
+        viewer.tearDown(safeSession);
+        assertEquals("200 2 " + safeSession, viewer.readMessage());
         assertTablesEmpty();
     }
 
     @Test
-    void oneConnectionsEndGivesUpAllThatIsOpenOnItAndNothingElse() throws Exception {
+    void theEndOfAConnectionCancelsAllRequestsOnItAndNoOthers() throws Exception {
         setUpReachesA(SESSION, "safe");
-        try (Viewer leaves = new Viewer(frontAddress)) {
+        try (Viewer leaving = new Viewer(frontAddress)) {
             for (int i = 1; i <= 3; i++) {
-                leaves.setUp("000000000000000" + i, i == 2 ? "paid" : "safe");
+                leaving.setUp("000000000000000" + i, i == 2 ? "paid" : "safe");
             }
-            int setUps = 1;
-            List<Socket> lines = new ArrayList<>(List.of(serverA.connection));
-            // Each takes a line of its own; which line carries which is the adapter's affair.
-            BufferedReader first = serverA.reader;
-            List<BufferedReader> all = new ArrayList<>(List.of(first));
-            while (setUps < 4) {
+            int setUpsRead = 1;
+            List<Socket> connections = new ArrayList<>(List.of(serverA.connection));
+            // Each set-up takes a connection of its own; which connection carries which is up to the adapter.
+            BufferedReader firstReader = serverA.reader;
+            List<BufferedReader> readers = new ArrayList<>(List.of(firstReader));
+            while (setUpsRead < 4) {
                 serverA.accept();
-                lines.add(serverA.connection);
-                all.add(serverA.reader);
+                connections.add(serverA.connection);
+                readers.add(serverA.reader);
                 assertTrue(serverA.readMessage().startsWith("setup 000000000000000"));
-                setUps++;
+                setUpsRead++;
             }
-            leaves.close();
+            leaving.close();
             for (int i = 1; i < 4; i++) {
-                serverA.reader = all.get(i);
+                serverA.reader = readers.get(i);
                 assertTrue(serverA.readMessage().matches("release 000000000000000[1-3] 16"));
             }
-            serverA.connection = lines.get(0);
-            serverA.reader = first;
+            serverA.connection = connections.get(0);
+            serverA.reader = firstReader;
             for (int i = 1; i < 4; i++) {
-                lines.get(i).close();
+                connections.get(i).close();
             }
         }
         serverA.answer(SESSION);
