--- a/src/test/java/dockshed/rig/FleetProcessTest.java
+++ b/src/test/java/dockshed/rig/FleetProcessTest.java
@@ -14,7 +14,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five brokers as processes with faults between them; what they log is merged and held against what is promised. */
+/**
+ * Guards the fleet's membership and shares against a killed broker, a stopped one, a partition, a planned end and a byzantine
+ * peer, over a network that loses, delays and duplicates datagrams. Five brokers run as processes; their merged logs are
+ * checked.
+ */
 class FleetProcessTest {
     private static final int BROKERS = 5;
     private static final Pattern LEASE = Pattern.compile(".*from=(\\d+) until=(\\d+) share=([0-9.E-]+) fleet lease.*");
@@ -23,129 +27,134 @@
     Path dir;
 
     private static Predicate<String> present(int count) {
-        return l -> l.contains("present=" + count + " ") && l.endsWith(" fleet");
+        return line -> line.contains("present=" + count + " ") && line.endsWith(" fleet");
     }
 
     private static Predicate<String> lost(int broker) {
-        return l -> l.matches(".* lost=\\[[^]]*\\b" + broker + "\\b[^]]*] .* fleet");
+        return line -> line.matches(".* lost=\\[[^]]*\\b" + broker + "\\b[^]]*] .* fleet");
     }
 
-    private static void assertServes(FleetRig rig, int... at) throws Exception {
-        for (int b : at) {
-            assertEquals(200, rig.requestSession(b, "cert-lesson"));
-            assertEquals(200, rig.requestSession(b, "refresher"));
+    private static void assertServes(FleetRig rig, int... brokers) throws Exception {
+        for (int broker : brokers) {
+            assertEquals(200, rig.requestSession(broker, "cert-lesson"));
+            assertEquals(200, rig.requestSession(broker, "refresher"));
         }
     }
 
     @Test
-    @Timeout(170) // each wait is for a line that comes; suspicions take some seconds each
-    void brokersFindLoseAndFindOneAnotherAndServeAllTheWhile() throws Exception {
+    @Timeout(170) // every wait is for a log line; a suspicion takes some seconds
+    void brokersDetectFailuresAndReturnsOfOneAnotherAndServeMeanwhile() throws Exception {
         try (FleetRig rig = new FleetRig(dir, BROKERS, 3, "fleet {\n}\n")) {
             rig.network.loss = 0.05;
             rig.network.duplication = 0.05;
             rig.network.maxDelayMillis = 15;
-            for (BrokerProcess b : rig.brokers) {
-                b.awaitLine(0, present(BROKERS));
+            for (BrokerProcess broker : rig.brokers) {
+                broker.awaitLine(0, present(BROKERS));
             }
             assertServes(rig, 0, 1, 2, 3, 4);
 
-            // Killed, and started again with nothing.
-            int[] marks = marks(rig);
+            // A broker is killed, and restarted without any state.
+            int[] positions = positions(rig);
             rig.brokers.get(3).kill();
             for (int i : new int[] {0, 1, 2, 4}) {
-                rig.brokers.get(i).awaitLine(marks[i], lost(3));
+                rig.brokers.get(i).awaitLine(positions[i], lost(3));
             }
             assertServes(rig, 0, 1, 2, 4);
-            marks = marks(rig);
+            positions = positions(rig);
             rig.brokers.get(3).start();
-            rig.brokers.get(3).awaitLine(marks[3], present(BROKERS));
+            rig.brokers.get(3).awaitLine(positions[3], present(BROKERS));
             for (int i : new int[] {0, 1, 2, 4}) {
-                rig.brokers.get(i).awaitLine(marks[i], present(BROKERS));
+                rig.brokers.get(i).awaitLine(positions[i], present(BROKERS));
             }
             assertServes(rig, 3);
 
-            // Stopped until the others have noticed, and let go on: it calls nobody dead.
-            marks = marks(rig);
+            // A broker is stopped until the others have noticed, and continued: it declares no other broker dead.
+            positions = positions(rig);
             rig.brokers.get(1).signal("STOP");
-            rig.brokers.get(0).awaitLine(marks[0], lost(1));
+            rig.brokers.get(0).awaitLine(positions[0], lost(1));
             assertServes(rig, 0, 2, 3, 4);
             rig.brokers.get(1).signal("CONT");
-            rig.brokers.get(0).awaitLine(marks[0], present(BROKERS));
-            rig.brokers.get(1).awaitLine(marks[1], l -> l.contains("stalls=1"));
+            rig.brokers.get(0).awaitLine(positions[0], present(BROKERS));
+            rig.brokers.get(1).awaitLine(positions[1], line -> line.contains("stalls=1"));
             assertTrue(
-                    rig.brokers.get(1).linesSince(marks[1]).stream()
-                            .noneMatch(l -> l.matches(".* lost=\\[\\d.* fleet")),
-                    "it called somebody dead: " + rig.brokers.get(1).linesSince(marks[1]));
+                    rig.brokers.get(1).linesSince(positions[1]).stream()
+                            .noneMatch(line -> line.matches(".* lost=\\[\\d.* fleet")),
+                    "the stopped broker declared others dead: "
+                            + rig.brokers.get(1).linesSince(positions[1]));
             assertServes(rig, 1);
 
-            // Cut in two, and healed; both parts serve.
-            marks = marks(rig);
+            // A partition, which is healed; both sides serve.
+            positions = positions(rig);
             rig.network.split(2, true);
-            rig.brokers.get(0).awaitLine(marks[0], present(2));
-            rig.brokers.get(4).awaitLine(marks[4], present(3));
+            rig.brokers.get(0).awaitLine(positions[0], present(2));
+            rig.brokers.get(4).awaitLine(positions[4], present(3));
             assertServes(rig, 0, 1, 2, 3, 4);
-            marks = marks(rig);
+            positions = positions(rig);
             rig.network.split(2, false);
             for (int i = 0; i < BROKERS; i++) {
-                rig.brokers.get(i).awaitLine(marks[i], present(BROKERS));
+                rig.brokers.get(i).awaitLine(positions[i], present(BROKERS));
             }
 
-            // A planned end is told; the place is taken by a byzantine peer.
-            marks = marks(rig);
+            // A planned end is announced to the others; then a byzantine peer sends in the place of the broker that
+            // ended.
+            positions = positions(rig);
             rig.brokers.get(4).signal("TERM");
             assertEquals(0, rig.brokers.get(4).awaitExit());
-            rig.brokers.get(0).awaitLine(marks[0], lost(4));
-            marks = marks(rig);
+            rig.brokers.get(0).awaitLine(positions[0], lost(4));
+            positions = positions(rig);
             rig.injectByzantine(4, 1000);
             for (int i = 0; i < 4; i++) {
-                int me = i;
+                int broker = i;
                 assertTrue(
-                        rig.brokers.get(i).linesSince(marks[i]).stream()
-                                .noneMatch(l -> l.matches(".* lost=\\[[0-3].* fleet")),
-                        "a byzantine peer took somebody away at " + me);
-                assertTrue(rig.brokers.get(i).linesSince(marks[i]).stream().noneMatch(l -> l.contains("ERROR")));
+                        rig.brokers.get(i).linesSince(positions[i]).stream()
+                                .noneMatch(line -> line.matches(".* lost=\\[[0-3].* fleet")),
+                        "a byzantine peer made brokers disappear at " + broker);
+                assertTrue(
+                        rig.brokers.get(i).linesSince(positions[i]).stream().noneMatch(line -> line.contains("ERROR")));
             }
             assertServes(rig, 0, 1, 2, 3);
             assertEquals(0, rig.failed.get());
-            assertTrue(rig.paidSetUps.values().stream().allMatch(n -> n == 1), "a paid set-up ran twice");
+            assertTrue(rig.paidSetUps.values().stream().allMatch(setUps -> setUps == 1), "a paid set-up ran twice");
             assertSharesHold(rig);
         }
     }
 
-    private static int[] marks(FleetRig rig) {
+    private static int[] positions(FleetRig rig) {
         return rig.brokers.stream().mapToInt(BrokerProcess::logPosition).toArray();
     }
 
-    /** All leases of all processes, on the one clock of this machine: at no time more than what is not guaranteed. */
+    /** Checks that the leases of all brokers, on this machine's one clock, never exceed the share that is not guaranteed. */
     private static void assertSharesHold(FleetRig rig) {
-        TreeMap<Long, Double> change = new TreeMap<>();
+        TreeMap<Long, Double> changes = new TreeMap<>();
         int leases = 0;
-        for (BrokerProcess b : rig.brokers) {
-            List<double[]> mine = new ArrayList<>();
-            for (String line : b.linesSince(0)) {
-                Matcher m = LEASE.matcher(line);
-                if (m.matches()) {
-                    mine.add(new double[] {
-                        Double.parseDouble(m.group(1)),
-                        Double.parseDouble(m.group(2)),
-                        Double.parseDouble(m.group(3)) - 0.5 / BROKERS
+        for (BrokerProcess broker : rig.brokers) {
+            List<double[]> ownLeases = new ArrayList<>();
+            for (String line : broker.linesSince(0)) {
+                Matcher matcher = LEASE.matcher(line);
+                if (matcher.matches()) {
+                    ownLeases.add(new double[] {
+                        Double.parseDouble(matcher.group(1)),
+                        Double.parseDouble(matcher.group(2)),
+                        Double.parseDouble(matcher.group(3)) - 0.5 / BROKERS
                     });
                 }
             }
-            leases += mine.size();
-            for (int i = 0; i < mine.size(); i++) { // one lease takes the place of the one before
-                double end = i + 1 < mine.size() ? Math.min(mine.get(i)[1], mine.get(i + 1)[0]) : mine.get(i)[1];
-                change.merge((long) mine.get(i)[0], mine.get(i)[2], Double::sum);
-                change.merge((long) end, -mine.get(i)[2], Double::sum);
+            leases += ownLeases.size();
+            for (int i = 0; i < ownLeases.size(); i++) { // a lease replaces the one before it
+                double end = i + 1 < ownLeases.size()
+                        ? Math.min(ownLeases.get(i)[1], ownLeases.get(i + 1)[0])
+                        : ownLeases.get(i)[1];
+                changes.merge((long) ownLeases.get(i)[0], ownLeases.get(i)[2], Double::sum);
+                changes.merge((long) end, -ownLeases.get(i)[2], Double::sum);
             }
         }
         double held = 0;
-        double most = 0;
-        for (double d : change.values()) {
-            held += d;
-            most = Math.max(most, held);
+        double highest = 0;
+        for (double change : changes.values()) {
+            held += change;
+            highest = Math.max(highest, held);
         }
         assertTrue(leases > 2 * BROKERS, "leases seen: " + leases);
-        assertTrue(most <= 0.5 + 1e-6, "leased at the same time: " + most);
+        assertTrue(highest <= 0.5 + 1e-6, "leased at the same time: " + highest);
     }
 }
--- a/src/test/java/dockshed/rig/ZonedFleetProcessTest.java
+++ b/src/test/java/dockshed/rig/ZonedFleetProcessTest.java
@@ -10,11 +10,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two zones of three brokers as processes, with faults between them. */
+/**
+ * Guards the membership of zones against the loss of a whole zone and of one direction between two, over a network that loses
+ * and delays datagrams. Two zones of three brokers run as processes.
+ */
 class ZonedFleetProcessTest {
     private static final int[] NORTH = {0, 1, 2};
     private static final int[] SOUTH = {3, 4, 5};
-    private static final String CONF = "fleet {\n zone north n 0-2\n zone south s 3-5\n}\n";
+    private static final String OPERATOR_FILE = "fleet {\n zone north n 0-2\n zone south s 3-5\n}\n";
 
     @TempDir
     Path dir;
@@ -27,13 +30,13 @@
         return line -> line.contains("present=3 ") && line.endsWith(" fleet");
     }
 
-    private static void await(FleetRig rig, int[] brokers, int[] marks, Predicate<String> line) throws Exception {
+    private static void await(FleetRig rig, int[] brokers, int[] positions, Predicate<String> line) throws Exception {
         for (int broker : brokers) {
-            rig.brokers.get(broker).awaitLine(marks[broker], line);
+            rig.brokers.get(broker).awaitLine(positions[broker], line);
         }
     }
 
-    private static int[] marks(FleetRig rig) {
+    private static int[] positions(FleetRig rig) {
         return rig.brokers.stream().mapToInt(BrokerProcess::logPosition).toArray();
     }
 
@@ -43,55 +46,55 @@
         }
     }
 
-    private static void assertNever(FleetRig rig, int[] brokers, int[] marks, String pattern) {
+    private static void assertNever(FleetRig rig, int[] brokers, int[] positions, String pattern) {
         for (int broker : brokers) {
-            List<String> lines = rig.brokers.get(broker).linesSince(marks[broker]);
+            List<String> lines = rig.brokers.get(broker).linesSince(positions[broker]);
             assertTrue(lines.stream().noneMatch(line -> line.matches(pattern)), "at " + broker + ": " + lines);
         }
     }
 
     @Test
-    @Timeout(170) // each wait is for a line that comes
-    void zonesLoseAndFindOneAnotherAndNobodyIsCalledDeadForIt() throws Exception {
-        try (FleetRig rig = new FleetRig(dir, 6, 3, CONF)) {
+    @Timeout(170) // every wait is for a log line
+    void zonesDetectLossAndReturnOfOneAnotherAndNoBrokerIsDeclaredDeadForIt() throws Exception {
+        try (FleetRig rig = new FleetRig(dir, 6, 3, OPERATOR_FILE)) {
             rig.network.loss = 0.05;
             rig.network.maxDelayMillis = 10;
-            int[] begin = new int[6];
-            await(rig, NORTH, begin, zone("south", true));
-            await(rig, SOUTH, begin, zone("north", true));
-            await(rig, NORTH, begin, presentInZone());
-            await(rig, SOUTH, begin, presentInZone());
+            int[] start = new int[6];
+            await(rig, NORTH, start, zone("south", true));
+            await(rig, SOUTH, start, zone("north", true));
+            await(rig, NORTH, start, presentInZone());
+            await(rig, SOUTH, start, presentInZone());
 
-            // A zone is killed, and started again with nothing.
-            int[] marks = marks(rig);
+            // A zone is killed, and restarted without any state.
+            int[] positions = positions(rig);
             for (int broker : SOUTH) {
                 rig.brokers.get(broker).kill();
             }
-            await(rig, NORTH, marks, zone("south", false));
+            await(rig, NORTH, positions, zone("south", false));
             serve(rig, NORTH);
-            assertNever(rig, NORTH, marks, ".* lost=\\[\\d.* fleet");
-            int[] back = marks(rig);
+            assertNever(rig, NORTH, positions, ".* lost=\\[\\d.* fleet");
+            int[] afterRestart = positions(rig);
             for (int broker : SOUTH) {
                 rig.brokers.get(broker).start();
             }
-            await(rig, NORTH, back, zone("south", true));
-            await(rig, SOUTH, back, zone("north", true));
-            await(rig, SOUTH, back, presentInZone());
+            await(rig, NORTH, afterRestart, zone("south", true));
+            await(rig, SOUTH, afterRestart, zone("north", true));
+            await(rig, SOUTH, afterRestart, presentInZone());
             serve(rig, SOUTH);
 
-            // One way only: the north hears nothing of the south, which hears it all the while.
-            int[] cut = marks(rig);
+            // One direction is cut: the north receives nothing from the south, which still receives from the north.
+            int[] afterCut = positions(rig);
             rig.network.cut(SOUTH, NORTH, true);
-            await(rig, NORTH, cut, zone("south", false));
+            await(rig, NORTH, afterCut, zone("south", false));
             serve(rig, NORTH);
             serve(rig, SOUTH);
-            assertNever(rig, SOUTH, cut, ".*zone=north .*known=false.*");
-            int[] healed = marks(rig);
+            assertNever(rig, SOUTH, afterCut, ".*zone=north .*known=false.*");
+            int[] afterHealing = positions(rig);
             rig.network.cut(SOUTH, NORTH, false);
-            await(rig, NORTH, healed, zone("south", true));
-            assertNever(rig, NORTH, cut, ".* lost=\\[\\d.* fleet");
-            assertNever(rig, SOUTH, cut, ".* lost=\\[\\d.* fleet");
-            assertNever(rig, new int[] {0, 1, 2, 3, 4, 5}, begin, ".* ERROR .*");
+            await(rig, NORTH, afterHealing, zone("south", true));
+            assertNever(rig, NORTH, afterCut, ".* lost=\\[\\d.* fleet");
+            assertNever(rig, SOUTH, afterCut, ".* lost=\\[\\d.* fleet");
+            assertNever(rig, new int[] {0, 1, 2, 3, 4, 5}, start, ".* ERROR .*");
         }
     }
 }
