--- a/src/main/java/dockshed/storm/ColdServerLimiter.java
+++ b/src/main/java/dockshed/storm/ColdServerLimiter.java
@@ -67,6 +67,7 @@
         return (int) crc.getValue();
     }
 
+    /** Takes over a list of servers or its changes; servers that are gone, or missing in a whole list, are forgotten. */
     void updateServers(long now, ListScope scope, List<Server> servers) {
         if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
             List<String> ids = servers.stream().map(Server::id).toList();
@@ -191,6 +192,7 @@
         return tracked.tokens >= 1 && fleetSetUps + 1 <= maxSetUps;
     }
 
+    /** Counts a set-up that this broker sends to a server, if that is cold. */
     void recordSetUp(long now, String server) {
         TrackedServer tracked = trackedServers.get(server);
         if (tracked != null && !Double.isInfinite(acceptableRate(now, tracked))) {
--- a/src/main/java/dockshed/storm/RequestHistory.java
+++ b/src/main/java/dockshed/storm/RequestHistory.java
@@ -51,6 +51,7 @@
         this.terms = terms;
     }
 
+    /** Key of a viewer's requests for one title and class. */
     static String key(String viewer, String title, String className) {
         return className + '\n' + title + '\n' + viewer;
     }
--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -27,6 +27,7 @@
     /** Share of the expected set-up rate that is kept for returning viewers, however many first requests arrive. */
     private static final double MIN_RETURN_SHARE = 0.3;
 
+    /** Returns that are booked in any case, however little capacity the brokers report. */
     private static final double MIN_RETURNS_PER_SECOND = 0.2;
     /** Age up to which the last status of another broker is used. */
     private static final long PEER_STATUS_VALIDITY_US = 3_000_000;
@@ -87,6 +88,7 @@
         }
     }
 
+    /** The last status of another broker. */
     private record PeerStatus(StormMessage message, long receivedAt) {}
 
     private final Settings settings;
@@ -246,6 +248,7 @@
                 assignReturnTime(queued.request().id(), queued.viewerRecord(), queued.returnKind()));
     }
 
+    /** Refuses queued requests whose wait deadline has come, then admits as many as capacity allows. */
     private void serveQueue(long now) {
         for (QueuedRequest expired : queue.removeExpired(now)) {
             refuseQueued(expired);
@@ -258,6 +261,7 @@
 
     // ---- Return times.
 
+    /** Removes a viewer's return from the calendar, if it is booked. */
     private void cancelBooking(ViewerRecord viewerRecord) {
         if (viewerRecord.booked) {
             calendar.cancel(viewerRecord.returnAt);
--- a/src/main/java/dockshed/storm/StormDetector.java
+++ b/src/main/java/dockshed/storm/StormDetector.java
@@ -49,9 +49,13 @@
     /** Weight of repeated requests and refusals that indicate a lack of capacity. */
     private static final double CAPACITY_SHORTAGE_WEIGHT = 0.4;
 
+    /** Pressure from which CALM becomes RISING. */
     private static final double RISING_PRESSURE = 1;
+    /** Pressure from which RISING or EBBING becomes STORM. */
     private static final double STORM_PRESSURE = 1.75;
+    /** Pressure below which STORM becomes EBBING, and RISING becomes CALM again. */
     private static final double EBBING_PRESSURE = 1;
+    /** Pressure below which EBBING becomes CALM. */
     private static final double CALM_PRESSURE = 0.75;
     /** Time for which the pressure must last before the state becomes STORM. */
     private static final long STORM_CONFIRMATION_US = 400_000;
@@ -83,6 +87,7 @@
         }
     }
 
+    /** A change of state and the indicators that it is based on. */
     record Transition(State from, State to, Indicators indicators) {}
 
     private final Terms terms;
--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -82,7 +82,7 @@
         public Terms terms; // null: without the retry storm filter
         public FleetSettings fleet; // null: without membership and admission control of the fleet
         public boolean instantExchange; // brokers exchange everything without loss or delay
-        public int byzantineBroker = -1; // sends invalid datagrams at full rate; -1: none does
+        public int byzantineBroker = -1; // a byzantine peer sends in its place at full rate; -1: none
         public long minStay = 22 * SECOND_US; // of viewers: evenly from minStay to minStay + extraStay
         public long extraStay = 40 * SECOND_US;
         public int slowServers; // deliver a third of their link, from slowFrom to slowTo
@@ -153,10 +153,10 @@
     public int returnsOnTime;
     public int returnsEarly;
     public int crashedServers; // cold edge servers that got more set-ups than they bear
-    public int renditionsBelowFloor;
+    public int renditionsBelowFloor; // set-ups and changes of rendition under the lowest one of the class
     public int paidRefusedAfterRun; // paid requests refused although a set-up ran
     public double coldPeakRatio; // most set-ups in an overload window at a cold server, over those that it accepts
-    public long brokerTimeNanos; // wall-clock time spent in the brokers
+    public long brokerTimeNanos; // wall-clock time spent in calls of the brokers
     public int brokerRetries; // attempts after the first of a request
     public int paidRequests; // first requests of the paid class within the surge
     public int paidServed; // of paidRequests
@@ -316,7 +316,7 @@
             requestedAt = now;
             answered = false;
             BrokerNode target = nodes.get(random.nextInt(scenario.brokers));
-            if (!target.receivesViewers()) { // the load balancer has noticed the failure
+            if (!target.receivesViewers()) { // the failure has been noticed
                 List<BrokerNode> alive =
                         nodes.stream().filter(BrokerNode::receivesViewers).toList();
                 target = alive.isEmpty() ? target : alive.get(random.nextInt(alive.size()));
@@ -540,7 +540,7 @@
             return broker != null;
         }
 
-        /** Whether viewers are sent here: the load balancer notices a killed broker late. */
+        /** Whether viewers still send requests here: they notice late that a broker was killed. */
         boolean receivesViewers() {
             return broker != null || now < failureNoticedAt;
         }
