--- a/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
+++ b/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
@@ -31,65 +31,67 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ends that cross, seen on the wires at both ends: viewers' front, broker and lines to two servers on loopback sockets, the
- * module scripted. The loop is held until both sides of a crossing have come. Afterwards every table is empty.
+ * Guards against races between two endings of one attempt or session, such as an answer and a cancellation, which could
+ * leave entries in the broker's tables, send a second attempt or send a second answer. The real front, broker and
+ * connections to two edge servers run on loopback sockets, with a scripted decision module. The event loop is blocked
+ * until both messages of a race have been sent. At the end of each test all tables are empty.
  */
 class ConcurrentEndingsTest {
-    private static final String ID = "0123456789abcdef";
+    private static final String SESSION = "0123456789abcdef";
 
-    /** A server, which the test plays. */
+    /** An edge server whose messages the test sends. */
     private static final class ScriptedEdgeServer implements AutoCloseable {
-        final ServerSocket at = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Socket line;
-        BufferedReader reads;
+        final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        Socket connection;
+        BufferedReader reader;
 
         ScriptedEdgeServer() throws IOException {
-            at.setSoTimeout(20_000);
+            listener.setSoTimeout(20_000);
         }
 
         void accept() throws IOException {
-            line = at.accept();
-            line.setSoTimeout(20_000);
-            reads = new BufferedReader(new InputStreamReader(line.getInputStream(), StandardCharsets.UTF_8));
+            connection = listener.accept();
+            connection.setSoTimeout(20_000);
+            reader = new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8));
         }
 
-        /** The next line, as "setup ID" or "release ID 16". */
-        String read() throws IOException {
-            String text = reads.readLine();
-            if (text == null) {
+        /** Reads the next message, as "setup ID" or "release ID CAUSE"; "end" if the connection was closed. */
+        String readMessage() throws IOException {
+            String line = reader.readLine();
+            if (line == null) {
                 return "end";
             }
-            String cause = text.contains("\"cause\"") ? " " + text.replaceAll(".*\"cause\":([0-9]+).*", "$1") : "";
-            return text.replaceAll(".*\"type\":\"([a-z]+)\".*", "$1") + " "
-                    + text.replaceAll(".*\"id\":\"([0-9a-f]+)\".*", "$1") + cause;
+            String cause = line.contains("\"cause\"") ? " " + line.replaceAll(".*\"cause\":([0-9]+).*", "$1") : "";
+            return line.replaceAll(".*\"type\":\"([a-z]+)\".*", "$1") + " "
+                    + line.replaceAll(".*\"id\":\"([0-9a-f]+)\".*", "$1") + cause;
         }
 
-        /** The next set-up; a release before it is of one that was given up before its end had been read. */
-        String setUp() throws IOException {
-            String next = read();
-            while (next.startsWith("release ")) {
-                next = read();
+        /** Reads the next set-up, skipping releases of set-ups that were cancelled before their end had been read. */
+        String readSetUp() throws IOException {
+            String message = readMessage();
+            while (message.startsWith("release ")) {
+                message = readMessage();
             }
-            return next;
+            return message;
         }
 
-        void say(String text) throws IOException {
-            line.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
+        void send(String line) throws IOException {
+            connection.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
-        void answer(String id) throws IOException {
-            say("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=0\\r\\n\"}");
+        void answer(String session) throws IOException {
+            send("{\"type\":\"answer\",\"id\":\"" + session + "\",\"fields\":{},\"sdp\":\"v=0\\r\\n\"}");
         }
 
-        void release(String id, int cause) throws IOException {
-            say("{\"type\":\"release\",\"id\":\"" + id + "\",\"fields\":{},\"cause\":" + cause + "}");
+        void release(String session, int cause) throws IOException {
+            send("{\"type\":\"release\",\"id\":\"" + session + "\",\"fields\":{},\"cause\":" + cause + "}");
         }
 
         @Override
         public void close() throws IOException {
-            at.close();
-            if (line != null) {
-                line.close();
+            listener.close();
+            if (connection != null) {
+                connection.close();
             }
         }
     }
@@ -98,49 +100,52 @@
         final Socket socket;
         private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
 
-        Viewer(InetSocketAddress at) throws IOException {
-            socket = new Socket(at.getAddress(), at.getPort());
+        Viewer(InetSocketAddress address) throws IOException {
+            socket = new Socket(address.getAddress(), address.getPort());
             socket.setSoTimeout(20_000);
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        void setUp(String id, String cls) throws IOException {
-            say("SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: " + id + "\r\nPriority-Class: " + cls
+        void setUp(String session, String className) throws IOException {
+            send("SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: " + session + "\r\nPriority-Class: " + className
                     + "\r\nExpires-Ms: 3000\r\nContent-Length: 5\r\n\r\nv=0\r\n");
         }
 
-        void tearDown(String id) throws IOException {
-            say("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n");
+        void tearDown(String session) throws IOException {
+            send("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + session
+                    + "\r\nContent-Length: 0\r\n\r\n");
         }
 
-        /** The next message, as "200 1 ID" or "TEARDOWN 2 ID"; "end" where none comes any more. */
-        String hear() throws Exception {
-            byte[] buf = new byte[4096];
-            for (HttpStyleMessage m = decoder.next(); ; m = decoder.next()) {
-                if (m != null) {
-                    String what = m.startLine().startsWith("RTSP/") ? m.startLinePart(1) : m.startLinePart(0);
-                    return what + " " + m.header("cseq") + " " + m.header("session");
+        /** Reads the next message, as "200 CSEQ ID" or "TEARDOWN CSEQ ID"; "end" if the connection was closed. */
+        String readMessage() throws Exception {
+            byte[] buffer = new byte[4096];
+            for (HttpStyleMessage message = decoder.next(); ; message = decoder.next()) {
+                if (message != null) {
+                    String kind = message.startLine().startsWith("RTSP/")
+                            ? message.startLinePart(1)
+                            : message.startLinePart(0);
+                    return kind + " " + message.header("cseq") + " " + message.header("session");
                 }
-                int n = socket.getInputStream().read(buf);
-                if (n < 0) {
+                int length = socket.getInputStream().read(buffer);
+                if (length < 0) {
                     return "end";
                 }
-                decoder.add(buf, 0, n);
+                decoder.add(buffer, 0, length);
             }
         }
 
-        /** What comes until a test of the viewer's own passes: all that was told before it. */
-        List<String> settled() throws Exception {
-            say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: ping\r\nContent-Length: 0\r\n\r\n");
-            List<String> heard = new ArrayList<>();
-            for (String m = hear(); !m.equals("200 3 ping"); m = hear()) {
-                assertTrue(!m.equals("end"), heard.toString());
-                heard.add(m);
+        /** Reads all messages sent before the response to a ping, which the viewer sends now. */
+        List<String> readUntilPing() throws Exception {
+            send("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: ping\r\nContent-Length: 0\r\n\r\n");
+            List<String> messages = new ArrayList<>();
+            for (String message = readMessage(); !message.equals("200 3 ping"); message = readMessage()) {
+                assertTrue(!message.equals("end"), messages.toString());
+                messages.add(message);
             }
-            return heard;
+            return messages;
         }
 
         @Override
@@ -151,37 +156,37 @@
 
     private final Net net = new Net();
     private final BrokerHarness module = new BrokerHarness();
-    private Director.Actions act;
+    private Director.Actions moduleActions;
     private Broker broker;
-    private InetSocketAddress at;
-    private ScriptedEdgeServer a;
-    private ScriptedEdgeServer b;
+    private InetSocketAddress frontAddress;
+    private ScriptedEdgeServer serverA;
+    private ScriptedEdgeServer serverB;
     private Viewer viewer;
 
     @BeforeEach
     void start() throws Exception {
-        a = new ScriptedEdgeServer();
-        b = new ScriptedEdgeServer();
+        serverA = new ScriptedEdgeServer();
+        serverB = new ScriptedEdgeServer();
         RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
+            TimerQueue timers = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     module.settings,
                     actions -> {
-                        act = actions;
+                        moduleActions = actions;
                         return module;
                     },
-                    m -> {},
-                    deadlines);
+                    message -> {},
+                    timers);
             clock.onWakeUp(broker::runDueTimers);
-            EdgeServerConnections edges = new EdgeServerConnections(
+            EdgeServerConnections edgeServers = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
-                    deadlines,
+                    timers,
                     new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of("busy_reqs", "x0"), 256));
-            module.onRequest = r -> act.send(r.id(), "a", 0);
-            module.onOutcome = id -> act.send(id, "b", 0);
+            module.onRequest = request -> moduleActions.send(request.id(), "a", 0);
+            module.onOutcome = requestId -> moduleActions.send(requestId, "b", 0);
             broker.serversChanged(
                     clock.now(),
                     "names",
@@ -189,177 +194,185 @@
                     List.of(
                             new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0),
                             new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(Map.of("a", (InetSocketAddress) a.at.getLocalSocketAddress(), "b", (InetSocketAddress)
-                    b.at.getLocalSocketAddress()));
-            return new RtspFront(broker, edges, clock, deadlines, 10);
+            edgeServers.updateAddresses(
+                    Map.of("a", (InetSocketAddress) serverA.listener.getLocalSocketAddress(), "b", (InetSocketAddress)
+                            serverB.listener.getLocalSocketAddress()));
+            return new RtspFront(broker, edgeServers, clock, timers, 10);
         });
-        at = (InetSocketAddress)
+        frontAddress = (InetSocketAddress)
                 net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), front::accept, () -> {}, true)
                         .sync()
                         .channel()
                         .localAddress();
-        viewer = new Viewer(at);
+        viewer = new Viewer(frontAddress);
     }
 
     @AfterEach
     void stop() throws Exception {
         net.close();
-        a.close();
-        b.close();
+        serverA.close();
+        serverB.close();
         viewer.close();
     }
 
-    private void empty() {
+    /** Checks that the broker has neither unanswered requests nor sessions. */
+    private void assertTablesEmpty() {
         assertEquals(0, net.callOnLoop(() -> broker.unansweredRequests() + broker.activeSessions()));
     }
 
-    private void out(String id, String cls) throws Exception {
-        viewer.setUp(id, cls);
-        if (a.line == null) {
-            a.accept();
+    private void setUpReachesA(String session, String className) throws Exception {
+        viewer.setUp(session, className);
+        if (serverA.connection == null) {
+            serverA.accept();
         }
-        assertEquals("setup " + id, a.read());
+        assertEquals("setup " + session, serverA.readMessage());
     }
 
-    /** A line to b that is up, so that what is sent there would be written at once. */
-    private void lineToB() throws Exception {
-        String other = "00000000000000b1";
-        out(other, "safe");
-        a.release(other, 34);
-        b.accept();
-        assertEquals("setup " + other, b.read());
-        b.release(other, 102); // tried at b once more, as the script says
-        assertEquals("setup " + other, b.read());
-        viewer.tearDown(other);
-        assertEquals("200 2 " + other, viewer.hear());
-        assertEquals("release " + other + " 16", b.read());
+    /** Opens a connection to server b, so that a set-up sent there would be written at once. */
+    private void connectToB() throws Exception {
+        String session = "00000000000000b1";
+        setUpReachesA(session, "safe");
+        serverA.release(session, 34);
+        serverB.accept();
+        assertEquals("setup " + session, serverB.readMessage());
+        serverB.release(session, 102); // the scripted module sends it to b once more
+        assertEquals("setup " + session, serverB.readMessage());
+        viewer.tearDown(session);
+        assertEquals("200 2 " + session, viewer.readMessage());
+        assertEquals("release " + session + " 16", serverB.readMessage());
     }
 
     @Test
-    void whoClosesAsTheFirstAttemptEndsHasNoSecond() throws Exception {
-        lineToB();
-        for (String cls : List.of("safe", "paid")) {
-            String id = cls.equals("safe") ? ID : ID.replace('0', '9');
-            try (Viewer leaves = new Viewer(at)) {
-                leaves.setUp(id, cls);
-                assertEquals("setup " + id, a.setUp());
-                CountDownLatch go = LoopBlocker.block(net);
-                a.release(id, 34); // it never ran: another attempt would be in order
-                leaves.close();
-                go.countDown();
+    void aViewerThatDisconnectsAsTheFirstAttemptEndsGetsNoSecondAttempt() throws Exception {
+        connectToB();
+        for (String className : List.of("safe", "paid")) {
+            String session = className.equals("safe") ? SESSION : SESSION.replace('0', '9');
+            try (Viewer leaving = new Viewer(frontAddress)) {
+                leaving.setUp(session, className);
+                assertEquals("setup " + session, serverA.readSetUp());
+                CountDownLatch unblock = LoopBlocker.block(net);
+                serverA.release(session, 34); // it never ran: another attempt would be allowed
+                leaving.close();
+                unblock.countDown();
             }
-            assertEquals(List.of(), viewer.settled());
-            assertEquals(List.of(), viewer.settled());
+            assertEquals(List.of(), viewer.readUntilPing());
+            assertEquals(List.of(), viewer.readUntilPing());
         }
-        String next = "00000000000000b2";
-        viewer.setUp(next, "safe");
-        assertEquals("setup " + next, a.setUp());
-        a.release(next, 34);
-        assertEquals("setup " + next, b.read(), "nothing came in between");
-        viewer.tearDown(next);
-        assertEquals("200 2 " + next, viewer.hear());
-        empty();
+        String nextSession = "00000000000000b2";
+        viewer.setUp(nextSession, "safe");
+        assertEquals("setup " + nextSession, serverA.readSetUp());
+        serverA.release(nextSession, 34);
+        assertEquals("setup " + nextSession, serverB.readMessage(), "no set-up was sent in between");
+        viewer.tearDown(nextSession);
+        assertEquals("200 2 " + nextSession, viewer.readMessage());
+        assertTablesEmpty();
     }
 
     @Test
-    void anAnswerThatCrossesItsGivingUpIsNeitherHeardNorLeftStanding() throws Exception {
-        out(ID, "paid");
-        CountDownLatch go = LoopBlocker.block(net);
-        a.answer(ID);
-        viewer.tearDown(ID);
-        go.countDown();
-        List<String> heard = new ArrayList<>(List.of(viewer.hear()));
-        heard.addAll(viewer.settled());
-        // Either was read first: the session stood and was ended by its viewer, or was given up before it stood.
+    void anAnswerThatCrossesACancellationLeavesNoSessionBehind() throws Exception {
+        setUpReachesA(SESSION, "paid");
+        CountDownLatch unblock = LoopBlocker.block(net);
+        serverA.answer(SESSION);
+        viewer.tearDown(SESSION);
+        unblock.countDown();
+        List<String> received = new ArrayList<>(List.of(viewer.readMessage()));
+        received.addAll(viewer.readUntilPing());
+        // Either message may be read first: the viewer ended a started session, or cancelled the request before it
+        // started.
         assertTrue(
-                heard.equals(List.of("200 2 " + ID)) || heard.equals(List.of("200 1 " + ID, "200 2 " + ID)),
-                heard.toString());
-        String told = a.read();
-        assertEquals(heard.size() == 1 ? "release " + ID + " 16" : "release " + ID + " 31", told);
-        empty();
+                received.equals(List.of("200 2 " + SESSION))
+                        || received.equals(List.of("200 1 " + SESSION, "200 2 " + SESSION)),
+                received.toString());
+        String released = serverA.readMessage();
+        assertEquals(received.size() == 1 ? "release " + SESSION + " 16" : "release " + SESSION + " 31", released);
+        assertTablesEmpty();
     }
 
     @Test
     void aSecondAnswerFromTheSameServerOrFromAnotherChangesNothing() throws Exception {
-        out(ID, "safe");
-        a.release(ID, 34);
-        b.accept();
-        assertEquals("setup " + ID, b.read());
-        CountDownLatch go = LoopBlocker.block(net);
-        b.answer(ID);
-        b.answer(ID);
-        a.answer(ID);
-        go.countDown();
-        assertEquals("200 1 " + ID, viewer.hear());
-        a.answer(ID);
-        b.answer(ID);
-        assertEquals(List.of(), viewer.settled());
-        b.release(ID, 16);
-        assertEquals("TEARDOWN 2 " + ID, viewer.hear());
-        b.release(ID, 16);
-        assertEquals(List.of(), viewer.settled());
-        empty();
+        setUpReachesA(SESSION, "safe");
+        serverA.release(SESSION, 34);
+        serverB.accept();
+        assertEquals("setup " + SESSION, serverB.readMessage());
+        CountDownLatch unblock = LoopBlocker.block(net);
+        serverB.answer(SESSION);
+        serverB.answer(SESSION);
+        serverA.answer(SESSION);
+        unblock.countDown();
+        assertEquals("200 1 " + SESSION, viewer.readMessage());
+        serverA.answer(SESSION);
+        serverB.answer(SESSION);
+        assertEquals(List.of(), viewer.readUntilPing());
+        serverB.release(SESSION, 16);
+        assertEquals("TEARDOWN 2 " + SESSION, viewer.readMessage());
+        serverB.release(SESSION, 16);
+        assertEquals(List.of(), viewer.readUntilPing());
+        assertTablesEmpty();
     }
 
     @Test
     void aResetInTheMiddleOfAnAnswerFailsAPaidSetUpAndRepeatsASafeOne() throws Exception {
-        out(ID, "paid");
-        module.onOutcome = id -> act.fail(id);
-        a.line.getOutputStream().write(("{\"type\":\"answer\",\"id\":\"" + ID).getBytes(StandardCharsets.UTF_8));
-        a.line.setSoLinger(true, 0);
-        a.line.close();
-        assertEquals("500 1 " + ID, viewer.hear());
-        module.onOutcome = id -> act.send(id, "b", 0);
-        String safe = "00000000000000b3";
-        viewer.setUp(safe, "safe");
-        a.accept();
-        assertEquals("setup " + safe, a.read());
-        a.line.getOutputStream().write(("{\"type\":\"answer\",\"id\":\"" + safe).getBytes(StandardCharsets.UTF_8));
-        a.line.setSoLinger(true, 0);
-        a.line.close();
-        b.accept();
-        assertEquals("setup " + safe, b.read());
-        b.answer(safe);
-        assertEquals("200 1 " + safe, viewer.hear());
-        viewer.tearDown(safe);
-        assertEquals("200 2 " + safe, viewer.hear());
-        empty();
+        setUpReachesA(SESSION, "paid");
+        module.onOutcome = requestId -> moduleActions.fail(requestId);
+        serverA.connection
+                .getOutputStream()
+                .write(("{\"type\":\"answer\",\"id\":\"" + SESSION).getBytes(StandardCharsets.UTF_8));
+        serverA.connection.setSoLinger(true, 0);
+        serverA.connection.close();
+        assertEquals("500 1 " + SESSION, viewer.readMessage());
+        module.onOutcome = requestId -> moduleActions.send(requestId, "b", 0);
+        String safeSession = "00000000000000b3";
+        viewer.setUp(safeSession, "safe");
+        serverA.accept();
+        assertEquals("setup " + safeSession, serverA.readMessage());
+        serverA.connection
+                .getOutputStream()
+                .write(("{\"type\":\"answer\",\"id\":\"" + safeSession).getBytes(StandardCharsets.UTF_8));
+        serverA.connection.setSoLinger(true, 0);
+        serverA.connection.close();
+        serverB.accept();
+        assertEquals("setup " + safeSession, serverB.readMessage());
+        serverB.answer(safeSession);
+        assertEquals("200 1 " + safeSession, viewer.readMessage());
+        viewer.tearDown(safeSession);
+        assertEquals("200 2 " + safeSession, viewer.readMessage());
+        assertTablesEmpty();
     }
 
     @Test
-    void oneConnectionsEndGivesUpAllThatIsOpenOnItAndNothingElse() throws Exception {
-        out(ID, "safe");
-        try (Viewer leaves = new Viewer(at)) {
+    void theEndOfAConnectionCancelsAllRequestsOnItAndNoOthers() throws Exception {
+        setUpReachesA(SESSION, "safe");
+        try (Viewer leaving = new Viewer(frontAddress)) {
             for (int i = 1; i <= 3; i++) {
-                leaves.setUp("000000000000000" + i, i == 2 ? "paid" : "safe");
+                leaving.setUp("000000000000000" + i, i == 2 ? "paid" : "safe");
             }
-            int setUps = 1;
-            List<Socket> lines = new ArrayList<>(List.of(a.line));
-            // Each takes a line of its own; which line carries which is the adapter's affair.
-            BufferedReader first = a.reads;
-            List<BufferedReader> all = new ArrayList<>(List.of(first));
-            while (setUps < 4) {
-                a.accept();
-                lines.add(a.line);
-                all.add(a.reads);
-                assertTrue(a.read().startsWith("setup 000000000000000"));
-                setUps++;
+            int setUpsRead = 1;
+            List<Socket> connections = new ArrayList<>(List.of(serverA.connection));
+            // Each set-up takes a connection of its own; which connection carries which is up to the adapter.
+            BufferedReader firstReader = serverA.reader;
+            List<BufferedReader> readers = new ArrayList<>(List.of(firstReader));
+            while (setUpsRead < 4) {
+                serverA.accept();
+                connections.add(serverA.connection);
+                readers.add(serverA.reader);
+                assertTrue(serverA.readMessage().startsWith("setup 000000000000000"));
+                setUpsRead++;
             }
-            leaves.close();
+            leaving.close();
             for (int i = 1; i < 4; i++) {
-                a.reads = all.get(i);
-                assertTrue(a.read().matches("release 000000000000000[1-3] 16"));
+                serverA.reader = readers.get(i);
+                assertTrue(serverA.readMessage().matches("release 000000000000000[1-3] 16"));
             }
-            a.line = lines.get(0);
-            a.reads = first;
+            serverA.connection = connections.get(0);
+            serverA.reader = firstReader;
             for (int i = 1; i < 4; i++) {
-                lines.get(i).close();
+                connections.get(i).close();
             }
         }
-        a.answer(ID);
-        assertEquals("200 1 " + ID, viewer.hear());
-        viewer.tearDown(ID);
-        assertEquals("200 2 " + ID, viewer.hear());
-        empty();
+        serverA.answer(SESSION);
+        assertEquals("200 1 " + SESSION, viewer.readMessage());
+        viewer.tearDown(SESSION);
+        assertEquals("200 2 " + SESSION, viewer.readMessage());
+        assertTablesEmpty();
     }
 }
