--- a/src/main/java/dockshed/edge/EdgeServerConnections.java
+++ b/src/main/java/dockshed/edge/EdgeServerConnections.java
@@ -59,7 +59,8 @@
     /** No figure of a note or report is higher: a server runs fewer streams, and asks less of its link. */
     private static final double MAX_FIGURE = 100_000;
 
-    private static final Logger LOG = LoggerFactory.getLogger(EdgeServerConnections.class);
+    /** The logger keeps its earlier name, by which operators filter log lines. */
+    private static final Logger LOG = LoggerFactory.getLogger("dockshed.edge.Edges");
 
     /** The figures of the settings that bear on the connections; times in microseconds, {@code lines} at most in all. */
     public record Options(
--- a/src/main/java/dockshed/names/DnsDiscovery.java
+++ b/src/main/java/dockshed/names/DnsDiscovery.java
@@ -29,7 +29,8 @@
     /** An answer that has not come by then is no longer waited for; it counts all the same if it comes late. */
     private static final long ANSWER_TIMEOUT_US = 1_000_000;
 
-    private static final Logger LOG = LoggerFactory.getLogger(DnsDiscovery.class);
+    /** The logger keeps its earlier name, by which operators filter log lines. */
+    private static final Logger LOG = LoggerFactory.getLogger("dockshed.names.Names");
 
     /** Hears of every piece of news; {@code addresses} holds all servers that are listed now. */
     public interface Listener {
