--- a/src/main/java/dockshed/config/ConfFile.java
+++ b/src/main/java/dockshed/config/ConfFile.java
@@ -30,7 +30,8 @@
 
     private static final int MAX_FAULTS = 100;
     private static final Pattern QUANTITY = Pattern.compile("([0-9]{1,12}(?:\\.[0-9]{1,9})?)([a-z/%]*)");
-    private static final Map<String, Double> MICROS = Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "m", 60e6, "h", 3600e6);
+    private static final Map<String, Double> MICROS_BY_UNIT =
+            Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "m", 60e6, "h", 3600e6);
 
     /** A directive with what follows it, or a section. */
     private record Entry(int line, List<String> values, Section section) {}
@@ -43,10 +44,10 @@
         private final String name;
         private final int line;
         private final Map<String, Entry> entries = new LinkedHashMap<>();
-        private final Map<String, List<Entry>> repeats = new LinkedHashMap<>(); // further lines of a directive
-        private final List<String> asked = new ArrayList<>();
+        private final Map<String, List<Entry>> repeatedEntries = new LinkedHashMap<>(); // further lines of a directive
+        private final List<String> knownKeys = new ArrayList<>();
         /** Keys that stand in the file under a name of an earlier version; their fault is recorded. */
-        private final Set<String> outdated = new HashSet<>();
+        private final Set<String> renamedKeys = new HashSet<>();
 
         private Section(String name, int line) {
             this.name = name;
@@ -59,11 +60,11 @@
 
         /** All lines of a directive that may stand several times, in their order. */
         List<DirectiveLine> lines(String key, String expected) {
-            asked.add(key);
+            knownKeys.add(key);
             List<Entry> all = new ArrayList<>();
             if (entries.containsKey(key)) {
                 all.add(entries.get(key));
-                all.addAll(repeats.getOrDefault(key, List.of()));
+                all.addAll(repeatedEntries.getOrDefault(key, List.of()));
             }
             List<DirectiveLine> out = new ArrayList<>();
             for (Entry e : all) {
@@ -81,8 +82,8 @@
             fault(of.number(), key, expected, got);
         }
 
-        private void once(String key) {
-            for (Entry again : repeats.getOrDefault(key, List.of())) {
+        private void rejectRepeats(String key) {
+            for (Entry again : repeatedEntries.getOrDefault(key, List.of())) {
                 fault(
                         again.line(),
                         key,
@@ -93,8 +94,8 @@
 
         /** The section of that name, or an empty one. */
         Section section(String key) {
-            asked.add(key);
-            once(key);
+            knownKeys.add(key);
+            rejectRepeats(key);
             Entry e = entries.get(key);
             if (e != null && e.section() == null) {
                 fault(e.line(), key, "a section: '" + key + " {'", String.join(" ", e.values()));
@@ -103,8 +104,8 @@
         }
 
         private String value(String key, String expected) {
-            asked.add(key);
-            once(key);
+            knownKeys.add(key);
+            rejectRepeats(key);
             Entry e = entries.get(key);
             if (e == null) {
                 return null;
@@ -140,8 +141,13 @@
 
         /** Microseconds. */
         long duration(String key, long absent, long least, long most) {
-            return Math.round(
-                    quantity(key, absent, least, most, MICROS, "a time from " + time(least) + " to " + time(most)));
+            return Math.round(quantity(
+                    key,
+                    absent,
+                    least,
+                    most,
+                    MICROS_BY_UNIT,
+                    "a time from " + formatTime(least) + " to " + formatTime(most)));
         }
 
         /** A share of 1, written in percent. */
@@ -162,7 +168,7 @@
                     least,
                     most,
                     Map.of("/s", 1.0, "/m", 1 / 60.0),
-                    String.format(Locale.ROOT, "a rate from %s/s to %s/s", figure(least), figure(most)));
+                    String.format(Locale.ROOT, "a rate from %s/s to %s/s", formatNumber(least), formatNumber(most)));
         }
 
         double decimal(String key, double absent, double least, double most) {
@@ -172,14 +178,14 @@
                     least,
                     most,
                     Map.of("", 1.0),
-                    "a number from " + figure(least) + " to " + figure(most));
+                    "a number from " + formatNumber(least) + " to " + formatNumber(most));
         }
 
         int integer(String key, int absent, int least, int most) {
             double read =
                     quantity(key, absent, least, most, Map.of("", 1.0), "a whole number from " + least + " to " + most);
             if (read != Math.rint(read)) {
-                fault(entries.get(key).line(), key, "a whole number", figure(read));
+                fault(entries.get(key).line(), key, "a whole number", formatNumber(read));
                 return absent;
             }
             return (int) read;
@@ -202,7 +208,7 @@
 
         /** Several whole numbers on one line; empty where the directive does not stand. */
         List<Integer> integers(String key, int least, int most, String expected) {
-            asked.add(key);
+            knownKeys.add(key);
             Entry e = entries.get(key);
             List<Integer> out = new ArrayList<>();
             if (e == null) {
@@ -282,7 +288,7 @@
         void rejectRenamed(Map<String, String> newNames) {
             entries.forEach((key, e) -> {
                 if (newNames.containsKey(key)) {
-                    outdated.add(key);
+                    renamedKeys.add(key);
                     addFault(file + ":" + e.line() + ": " + key + ": was renamed to " + newNames.get(key));
                 }
             });
@@ -291,12 +297,12 @@
         /** Whatever was not asked for by now is no directive of this section. */
         void rejectUnknown() {
             entries.forEach((key, e) -> {
-                if (!asked.contains(key) && !outdated.contains(key)) {
-                    once(key);
+                if (!knownKeys.contains(key) && !renamedKeys.contains(key)) {
+                    rejectRepeats(key);
                     fault(
                             e.line(),
                             key,
-                            "one of " + String.join(", ", asked) + (name.isEmpty() ? "" : " in section " + name),
+                            "one of " + String.join(", ", knownKeys) + (name.isEmpty() ? "" : " in section " + name),
                             "an unknown directive");
                 }
             });
@@ -389,7 +395,7 @@
             }
             Entry read = new Entry(line, words.subList(1, words.size()), inner);
             if (in.entries.putIfAbsent(key, read) != null) {
-                in.repeats.computeIfAbsent(key, k -> new ArrayList<>()).add(read);
+                in.repeatedEntries.computeIfAbsent(key, k -> new ArrayList<>()).add(read);
             }
             if (section) {
                 open.add(inner);
@@ -435,13 +441,13 @@
         return out;
     }
 
-    private static String time(long micros) {
+    private static String formatTime(long micros) {
         return micros % 1_000_000 == 0
                 ? micros / 1_000_000 + "s"
                 : micros % 1000 == 0 ? micros / 1000 + "ms" : micros + "us";
     }
 
-    private static String figure(double d) {
+    private static String formatNumber(double d) {
         return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
     }
 }
--- a/src/main/java/dockshed/config/OperatorConfig.java
+++ b/src/main/java/dockshed/config/OperatorConfig.java
@@ -14,8 +14,8 @@
 
 /** What the operator's file switches on and sets; a part that is null is off. */
 public record OperatorConfig(Terms storm, FleetSettings fleet, RolloutConfig rollout) {
-    private static final long MS = 1000;
-    private static final long S = 1_000_000;
+    private static final long MILLISECOND_US = 1000;
+    private static final long SECOND_US = 1_000_000;
 
     /** Directives of the fleet section that earlier versions had, with the names that they have now. */
     private static final Map<String, String> RENAMED_FLEET_DIRECTIVES = Map.of(
@@ -27,7 +27,8 @@
     public static final OperatorConfig NONE = new OperatorConfig(null, null, null);
 
     /** Of a line of a zone. */
-    private static final String ZONE_LINE = "a name, a region and a range of broker numbers: 'zone north-1 north 0-72'";
+    private static final String EXPECTED_ZONE =
+            "a name, a region and a range of broker numbers: 'zone north-1 north 0-72'";
 
     private static final Pattern ZONE_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,31}");
     private static final Pattern ZONE_RANGE = Pattern.compile("([0-9]{1,5})-([0-9]{1,5})");
@@ -65,14 +66,17 @@
     }
 
     private static List<Zone> zones(ConfFile.Section s, int brokers) {
-        List<ConfFile.DirectiveLine> lines = s.lines("zone", ZONE_LINE);
+        List<ConfFile.DirectiveLine> lines = s.lines("zone", EXPECTED_ZONE);
         List<ConfFile.DirectiveLine> read = new ArrayList<>();
         List<Zone> zones = new ArrayList<>();
         for (ConfFile.DirectiveLine line : lines) {
             Zone zone = zone(line);
             if (zone == null) {
                 s.faultAt(
-                        line, "zone", ZONE_LINE, line.values().isEmpty() ? "nothing" : String.join(" ", line.values()));
+                        line,
+                        "zone",
+                        EXPECTED_ZONE,
+                        line.values().isEmpty() ? "nothing" : String.join(" ", line.values()));
             } else {
                 read.add(line);
                 zones.add(zone);
@@ -122,25 +126,25 @@
         Terms u = Terms.DEFAULTS;
         Terms t = new Terms(
                 s.enumValue("returns", u.returns(), Terms.Returns.class),
-                s.duration("soonest", u.soonest(), 10 * MS, 60 * S),
-                s.duration("longest", u.longest(), 100 * MS, 600 * S),
-                s.duration("slot", u.slot(), 50 * MS, 5 * S),
-                s.duration("early", u.early(), 0, 5 * S),
-                s.duration("remember", u.remember(), S, 3600 * S),
-                s.duration("hold", u.hold(), 0, S),
+                s.duration("soonest", u.soonest(), 10 * MILLISECOND_US, 60 * SECOND_US),
+                s.duration("longest", u.longest(), 100 * MILLISECOND_US, 600 * SECOND_US),
+                s.duration("slot", u.slot(), 50 * MILLISECOND_US, 5 * SECOND_US),
+                s.duration("early", u.early(), 0, 5 * SECOND_US),
+                s.duration("remember", u.remember(), SECOND_US, 3600 * SECOND_US),
+                s.duration("hold", u.hold(), 0, SECOND_US),
                 s.integer("waiting", u.waiting(), 1, 8192),
                 s.decimal("rush", u.rush(), 1.1, 100),
                 s.share("repeats", u.repeats(), 0.01, 1),
                 s.share("trouble", u.trouble(), 0.01, 1),
-                s.duration("calm_after", u.calmAfter(), 500 * MS, 60 * S),
+                s.duration("calm_after", u.calmAfter(), 500 * MILLISECOND_US, 60 * SECOND_US),
                 s.share("retry_share", u.retryShare(), 0, 1),
                 s.perSecond("retry_least", u.retryLeast(), 0, 1000),
                 s.decimal("cold_aim", u.coldAim(), 0.1, 2),
-                s.duration("notes_every", u.notesEvery(), 0, 10 * S));
+                s.duration("notes_every", u.notesEvery(), 0, 10 * SECOND_US));
         if (t.longest() > 0 && t.soonest() > t.longest()) {
             s.rejectCombination("soonest", "at most longest");
         }
-        if (t.notesEvery() > 0 && t.notesEvery() < 250 * MS) {
+        if (t.notesEvery() > 0 && t.notesEvery() < 250 * MILLISECOND_US) {
             s.rejectCombination("notes_every", "0s, or 250ms and more");
         }
         return t;
--- a/src/main/java/dockshed/config/RolloutConfig.java
+++ b/src/main/java/dockshed/config/RolloutConfig.java
@@ -13,10 +13,10 @@
  * @param file           the document that a SIGHUP proposes; null: none can be proposed here
  */
 public record RolloutConfig(List<Integer> voters, Path stateDirectory, Path file) {
-    private static final Set<Integer> COUNTS = Set.of(3, 5, 7);
-    private static final String VOTERS = "3, 5 or 7 different numbers of brokers";
+    private static final Set<Integer> ALLOWED_VOTER_COUNTS = Set.of(3, 5, 7);
+    private static final String EXPECTED_VOTERS = "3, 5 or 7 different numbers of brokers";
     /** Brokers' numbers take two bytes. */
-    private static final int MOST_NUMBER = 65_534;
+    private static final int MAX_BROKER_NUMBER = 65_534;
 
     public RolloutConfig {
         voters = List.copyOf(voters);
@@ -27,11 +27,11 @@
         boolean named = root.has("rollout");
         ConfFile.Section s = root.section("rollout");
         boolean on = s.flag("enabled", true);
-        List<Integer> voters = s.integers("voters", 0, MOST_NUMBER, VOTERS);
+        List<Integer> voters = s.integers("voters", 0, MAX_BROKER_NUMBER, EXPECTED_VOTERS);
         String directory = s.text("state_directory", "the path of a directory");
         String file = s.text("file", "the path of a file");
-        if (named && (!COUNTS.contains(voters.size()) || new HashSet<>(voters).size() != voters.size())) {
-            s.rejectCombination("voters", VOTERS);
+        if (named && (!ALLOWED_VOTER_COUNTS.contains(voters.size()) || new HashSet<>(voters).size() != voters.size())) {
+            s.rejectCombination("voters", EXPECTED_VOTERS);
         }
         if (brokers > 0 && voters.stream().anyMatch(v -> v >= brokers)) {
             s.rejectCombination("voters", "numbers below " + brokers + ", the number of brokers");
--- a/src/main/java/dockshed/config/RolloutDocument.java
+++ b/src/main/java/dockshed/config/RolloutDocument.java
@@ -16,7 +16,7 @@
  * @param nameServer       the name server's address; null: it stays as it is
  */
 public record RolloutDocument(long version, int versionLine, InetSocketAddress nameServer) {
-    private static final long MOST_VERSION = 1_000_000_000_000L;
+    private static final long MAX_VERSION = 1_000_000_000_000L;
 
     /** The bytes of a document's file, at most so many. */
     public static byte[] load(Path file, int mostBytes) {
@@ -34,7 +34,7 @@
     public static RolloutDocument read(String name, byte[] content) {
         ConfFile file = ConfFile.read(name, text(name, content));
         ConfFile.Section root = file.root();
-        long version = root.longInteger("version", 0, 1, MOST_VERSION);
+        long version = root.longInteger("version", 0, 1, MAX_VERSION);
         if (!root.has("version")) {
             root.rejectCombination("version", "the document's version in its first directive");
         } else if (!root.isFirst("version")) {
--- a/src/main/java/dockshed/config/SettingsReader.java
+++ b/src/main/java/dockshed/config/SettingsReader.java
@@ -76,7 +76,7 @@
     }
 
     /** What a class without points is worth, of the least that another is: it is served last, and served. */
-    private static final double UNPAID = 1e-6;
+    private static final double UNPAID_WORTH_SHARE = 1e-6;
 
     private static List<SessionClass> classes(JsonFields options, JsonFields family) {
         List<SessionClass> out = new ArrayList<>();
@@ -93,8 +93,8 @@
                         c.path() + ": member 'name' is there twice: " + c.text("name"));
             }
         }
-        double unpaid =
-                UNPAID * points.stream().filter(p -> p > 0).min(Double::compare).orElse(1 / UNPAID);
+        double unpaid = UNPAID_WORTH_SHARE
+                * points.stream().filter(p -> p > 0).min(Double::compare).orElse(1 / UNPAID_WORTH_SHARE);
         int rungs = family.numbers("rates_kb").size();
         List<Double> scale = family.numbers("class_scale");
         List<Double> floor = family.numbers("lowest_rung");
--- a/src/main/java/dockshed/edge/EdgeServerConnections.java
+++ b/src/main/java/dockshed/edge/EdgeServerConnections.java
@@ -29,40 +29,63 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The edge servers, over JSON lines. A few lines (connections) lead to a server, so that what spoils one seldom costs
- * more than the set-up that is out on it; one at least is kept while sessions stand there, since news of them comes on
- * any. The adapter finds out that a server's process is gone: new connections are refused again and again, or do not
- * come up. A line that breaks proves nothing: connections are reset under living processes too.
+ * Connections to the edge servers, over which JSON lines are exchanged. Each server has a small pool of connections, so
+ * that a connection that fails seldom costs more than the one set-up in flight on it. At least one connection is kept
+ * open while the server has active sessions, since messages about them may arrive on any connection.
+ *
+ * <p>This adapter also detects that a server's process is gone: repeated attempts to connect are refused or time out.
+ * A connection that breaks proves nothing, as connections are reset under live processes too.
+ *
+ * <p>All methods must be called on the event loop. Times are Unix times and durations in microseconds.
  */
 public final class EdgeServerConnections implements ServerAdapter {
+    /** Longest line in either direction; no edge server reads a longer one. */
     static final int MAX_LINE_BYTES = 16 * 1024;
-    /** A connection is not used for a set-up so shortly before the server may close it as idle, a quarter of that at most. */
+    /**
+     * Before the server may close a connection as idle, it is not used for a set-up for this long, or for a quarter of
+     * the idle timeout where that is shorter: a set-up written just then would be lost.
+     */
     private static final long IDLE_CLOSE_MARGIN_US = 3_000_000;
-    /** An id given up at a server does not go there again for so long: what comes of the first could not be told apart. */
+    /**
+     * A session id cancelled at a server is not sent there again for this long: a late answer to the first set-up could
+     * not be told from the answer to the second.
+     */
     private static final long CANCELLED_ID_HOLD_US = 5_000_000;
-    /** How often in a row a connection to a server with sessions must fail to come up, and the time between. */
+    /** Consecutive failures to connect after which a server with active sessions counts as gone. */
     private static final int MAX_CONNECT_FAILURES = 2;
-
+    /** Delay between two attempts to connect to a server with active sessions. */
     private static final long RECONNECT_INTERVAL_US = 300_000;
-    /** Lines to one server at most: set-ups out at the same time are fewer, and descriptors are scarce. */
+    /** Upper bound of the pool of one server: concurrent set-ups are fewer, and descriptors are scarce. */
     static final int MAX_CONNECTIONS_PER_SERVER = 4;
-    /** A message that is not whole by then will not be; a set-up unanswered for so long on a mute line casts doubt. */
+    /**
+     * A message still incomplete after this time is given up with its connection; a connection that stays silent for
+     * this time after a set-up is not used for another one.
+     */
     private static final long STUCK_TIMEOUT_US = 200_000;
 
     private static final long CHECK_INTERVAL_US = 500_000;
-    /** From so many servers with sessions on, all falling silent at once means that reports stay out, not that all died. */
+    /** With this many servers with sessions, silence of all at once means missing reports, not dead servers. */
     private static final int MIN_SERVERS_FOR_COMMON_SILENCE = 4;
-
+    /** Bounds the pending set-ups of a connection, and the queued messages and cancelled ids of a server. */
     private static final int MAX_BACKLOG_ENTRIES = 1000;
-    /** Lines a look that change hands where there are fewer than servers with sessions. */
+    /** Connections closed per check in favour of servers with sessions that have none. */
     private static final int MAX_ROTATIONS_PER_CHECK = 4;
-    /** No figure of a note or report is higher: a server runs fewer streams, and asks less of its link. */
+    /** Highest value accepted in a note or load report: no server runs more streams or has more demand on its link. */
     private static final double MAX_FIGURE = 100_000;
 
     /** The logger keeps its earlier name, by which operators filter log lines. */
     private static final Logger LOG = LoggerFactory.getLogger("dockshed.edge.Edges");
 
-    /** The figures of the settings that bear on the connections; times in microseconds, {@code lines} at most in all. */
+    /**
+     * The settings that affect the connections; times in microseconds.
+     *
+     * @param connectTimeout how long an attempt to connect may take
+     * @param idleTimeout    after which a server closes an idle connection
+     * @param reportInterval between two load reports of a server with sessions; 0 or less: servers do not report
+     * @param reportDelay    how late a load report may be
+     * @param reportFields   the names of a load report's values, in the order in which the broker wants them
+     * @param maxConnections to all servers together
+     */
     public record Options(
             long connectTimeout,
             long idleTimeout,
@@ -71,399 +94,427 @@
             List<String> reportFields,
             int maxConnections) {}
 
-    /** A server and the lines to it, the longest in use first. */
+    /** An edge server and the connections to it, the oldest first. */
     private final class ServerEntry {
         final String id;
         InetSocketAddress address;
         final List<Connection> connections = new ArrayList<>();
         boolean hasSessions;
-        int connectFailures; // connections in a row that did not come up
-        long lastReceivedAt; // when it last wrote
-        long lastAttemptAt; // when a connection was last begun for its sessions' sake
-        long suspectSince = -1; // since when it is not known whether its process is there; -1: it is
-        final ArrayDeque<Message> queuedMessages = new ArrayDeque<>(); // releases for when a line is up again
-        final LinkedHashMap<String, Long> cancelledAt = new LinkedHashMap<>(); // ids, the oldest first, BACKLOG at most
+        int connectFailures; // consecutive
+        long lastReceivedAt; // when the server last sent anything
+        long lastAttemptAt; // when a connection was last opened on behalf of the server's sessions
+        long suspectSince = -1; // since when its process may be gone; -1: not suspect
+        final ArrayDeque<Message> queuedMessages = new ArrayDeque<>(); // sent once a connection is open again
+        /** Ids of cancelled set-ups, the oldest first, with the time; at most {@link #MAX_BACKLOG_ENTRIES}. */
+        final LinkedHashMap<String, Long> cancelledAt = new LinkedHashMap<>();
 
         ServerEntry(String id) {
             this.id = id;
         }
     }
 
+    /** A set-up that is assigned to a connection and not answered yet. */
     private static final class PendingSetUp {
         final byte[] bytes;
-        boolean handedOver; // given to the connection, which may still hold it
-        boolean written; // all of it has left
-        long handedOverAt = Long.MAX_VALUE; // when it was handed over
+        boolean handedOver; // to the channel, which may still buffer it
+        boolean written; // completely, to the operating system
+        long handedOverAt = Long.MAX_VALUE;
 
-        PendingSetUp(byte[] text) {
-            this.bytes = text;
+        PendingSetUp(byte[] bytes) {
+            this.bytes = bytes;
         }
     }
 
     private final Broker broker;
     private final Net net;
     private final Clock clock;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final Options options;
-    private final ProbeCoordinator finder;
+    private final ProbeCoordinator probeCoordinator;
     private final Map<String, ServerEntry> servers = new HashMap<>();
-    private final Set<Connection> connectionsToFlush = new LinkedHashSet<>(); // at the end of this turn of the loop
+    private final Set<Connection> connectionsToFlush = new LinkedHashSet<>(); // at the end of this event loop iteration
     private int maxConnectionsPerServer = 1;
-    private int connectionCount; // lines to all servers, those not up yet too
-    private boolean incompleteReportLogged; // told once
-    private long lastNoteAt; // when a server last wrote a note
-    private long lastConnectFailureAt = -TimerQueue.NEVER / 2; // when a server with sessions last did not come up
-    private long lastSilenceProbeAt = -TimerQueue.NEVER / 2; // when one was last tried in the silence of all
+    private int connectionCount; // to all servers, including those still connecting
+    private boolean incompleteReportLogged; // the warning is logged once
+    private long lastNoteAt; // from any server
+    private long lastConnectFailureAt = -TimerQueue.NEVER / 2; // of any server with sessions
+    private long lastSilenceProbeAt = -TimerQueue.NEVER / 2; // while all servers were silent
 
-    public EdgeServerConnections(Broker broker, Net net, Clock clock, TimerQueue deadlines, Options terms) {
-        this(broker, net, clock, deadlines, terms, ProbeCoordinator.STANDALONE);
+    public EdgeServerConnections(Broker broker, Net net, Clock clock, TimerQueue timers, Options options) {
+        this(broker, net, clock, timers, options, ProbeCoordinator.STANDALONE);
     }
 
-    /** {@code finder}: says which broker finds out about a server that may be gone. */
+    /** {@code probeCoordinator} decides which broker probes a server that may be gone. */
     public EdgeServerConnections(
-            Broker broker, Net net, Clock clock, TimerQueue deadlines, Options terms, ProbeCoordinator finder) {
-        this.finder = finder;
+            Broker broker,
+            Net net,
+            Clock clock,
+            TimerQueue timers,
+            Options options,
+            ProbeCoordinator probeCoordinator) {
+        this.probeCoordinator = probeCoordinator;
         this.broker = broker;
         this.net = net;
         this.clock = clock;
-        this.deadlines = deadlines;
-        this.options = terms;
-        deadlines.schedule(clock.now() + CHECK_INTERVAL_US, this::checkConnections);
+        this.timers = timers;
+        this.options = options;
+        timers.schedule(clock.now() + CHECK_INTERVAL_US, this::checkConnections);
     }
 
-    /** Where the servers listen, as far as they are listed; the others are forgotten once nothing is left there. */
+    /**
+     * Sets the addresses of all listed servers. A server that is no longer listed is forgotten unless it has sessions
+     * or pending set-ups; one whose address changed is reconnected.
+     */
     public void updateAddresses(Map<String, InetSocketAddress> listed) {
         listed.forEach((id, at) -> {
-            ServerEntry b = servers.computeIfAbsent(id, ServerEntry::new);
-            if (!at.equals(b.address)) {
-                b.address = at;
-                close(b);
-                if (b.hasSessions) {
-                    connectIfNone(b);
+            ServerEntry entry = servers.computeIfAbsent(id, ServerEntry::new);
+            if (!at.equals(entry.address)) {
+                entry.address = at;
+                close(entry);
+                if (entry.hasSessions) {
+                    connectIfNone(entry);
                 }
             }
         });
-        for (ServerEntry b : new ArrayList<>(servers.values())) {
-            if (!listed.containsKey(b.id)
-                    && !b.hasSessions
-                    && b.connections.stream().allMatch(l -> l.pending.isEmpty())) {
-                close(b);
-                servers.remove(b.id);
+        for (ServerEntry entry : new ArrayList<>(servers.values())) {
+            if (!listed.containsKey(entry.id)
+                    && !entry.hasSessions
+                    && entry.connections.stream().allMatch(c -> c.pending.isEmpty())) {
+                close(entry);
+                servers.remove(entry.id);
             }
         }
         maxConnectionsPerServer = Math.max(
                 1, Math.min(MAX_CONNECTIONS_PER_SERVER, options.maxConnections() / 2 / Math.max(1, servers.size())));
     }
 
-    /** The list tells that the process is gone: so are its sessions. */
-    public void serverRemoved(String server) {
-        ServerEntry b = servers.get(server);
-        if (b != null) {
-            close(b);
-            clearSuspicion(b);
+    /** The server was removed from the list: its sessions are over. */
+    public void serverRemoved(String serverId) {
+        ServerEntry entry = servers.get(serverId);
+        if (entry != null) {
+            close(entry);
+            clearSuspicion(entry);
         }
-        broker.serverLost(clock.now(), this, server, clock.now());
+        broker.serverLost(clock.now(), this, serverId, clock.now());
     }
 
-    /** The list tells that the process was started anew: older sessions are over, older lines lead nowhere. */
-    public void serverRestarted(String server, long since) {
-        ServerEntry b = servers.get(server);
-        if (b != null) {
-            b.connectFailures = 0;
-            for (Connection l : List.copyOf(b.connections)) {
-                if (l.openedAt < since) {
-                    close(l);
+    /**
+     * According to the list the server's process was started again at {@code since}: sessions and connections from
+     * before that are over.
+     */
+    public void serverRestarted(String serverId, long since) {
+        ServerEntry entry = servers.get(serverId);
+        if (entry != null) {
+            entry.connectFailures = 0;
+            for (Connection connection : List.copyOf(entry.connections)) {
+                if (connection.openedAt < since) {
+                    close(connection);
                 }
             }
         }
-        broker.serverLost(clock.now(), this, server, since);
-        if (b != null && b.hasSessions) {
-            connectIfNone(b);
+        broker.serverLost(clock.now(), this, serverId, since);
+        if (entry != null && entry.hasSessions) {
+            connectIfNone(entry);
         }
     }
 
-    // ---- From the broker.
+    // ---- Calls from the broker.
 
     @Override
-    public void setUp(String server, SetUp s) {
-        ServerEntry b = servers.get(server);
-        if (b == null || b.address == null) {
-            reportNotSent(server, s.name());
+    public void setUp(String serverId, SetUp setUp) {
+        ServerEntry entry = servers.get(serverId);
+        if (entry == null || entry.address == null) {
+            reportNotSent(serverId, setUp.name());
             return;
         }
         Map<String, String> fields = new LinkedHashMap<>();
-        fields.put("class", s.className());
-        fields.put("key", s.title());
-        fields.put("left", Long.toString(Math.max(1, s.answerTimeout() / 1000)));
-        fields.put("rung", Integer.toString(s.highestRendition()));
-        byte[] text = new Message("setup", s.name(), fields, -1, s.description())
+        fields.put("class", setUp.className());
+        fields.put("key", setUp.title());
+        fields.put("left", Long.toString(Math.max(1, setUp.answerTimeout() / 1000)));
+        fields.put("rung", Integer.toString(setUp.highestRendition()));
+        byte[] encoded = new Message("setup", setUp.name(), fields, -1, setUp.description())
                 .encode()
                 .getBytes(StandardCharsets.UTF_8);
-        if (text.length > MAX_LINE_BYTES) {
-            LOG.warn("set-up held back: server={} bytes={} why=no server reads so long a line", server, text.length);
-            reportNotSent(server, s.name());
+        if (encoded.length > MAX_LINE_BYTES) {
+            LOG.warn("set-up held back: server={} bytes={} why=line too long", serverId, encoded.length);
+            reportNotSent(serverId, setUp.name());
             return;
         }
-        b.cancelledAt.values().removeIf(at -> clock.now() - at > CANCELLED_ID_HOLD_US);
-        if (b.cancelledAt.containsKey(s.name())) {
-            broker.trace().add(clock.now(), s.name(), "held-back", server);
-            LOG.info("set-up held back: server={} why=given up there just now: session={}", server, s.name());
-            reportNotSent(server, s.name());
+        entry.cancelledAt.values().removeIf(at -> clock.now() - at > CANCELLED_ID_HOLD_US);
+        if (entry.cancelledAt.containsKey(setUp.name())) {
+            broker.trace().add(clock.now(), setUp.name(), "held-back", serverId);
+            LOG.info("set-up held back: server={} why=recently cancelled there: session={}", serverId, setUp.name());
+            reportNotSent(serverId, setUp.name());
             return;
         }
-        Connection line = selectConnection(b);
-        if (line == null) { // no descriptor was to be had, which says nothing of the server
-            LOG.warn("set-up held back: server={} why=no descriptor for a line: lines={}", server, connectionCount);
-            reportNotSent(server, s.name());
+        Connection connection = selectConnection(entry);
+        if (connection == null) { // out of descriptors, which says nothing about the server
+            LOG.warn("set-up held back: server={} why=out of descriptors: lines={}", serverId, connectionCount);
+            reportNotSent(serverId, setUp.name());
             return;
         }
-        if (line.pending.size() >= MAX_BACKLOG_ENTRIES || line.connected && Net.hasUnwrittenBytes(line.channel)) {
-            broker.trace().add(clock.now(), s.name(), "held-back", server);
-            LOG.warn("set-up held back: server={} open={} why=server does not read", server, line.pending.size());
-            reportNotSent(server, s.name());
+        if (connection.pending.size() >= MAX_BACKLOG_ENTRIES
+                || connection.connected && Net.hasUnwrittenBytes(connection.channel)) {
+            broker.trace().add(clock.now(), setUp.name(), "held-back", serverId);
+            LOG.warn(
+                    "set-up held back: server={} open={} why=server does not read",
+                    serverId,
+                    connection.pending.size());
+            reportNotSent(serverId, setUp.name());
             return;
         }
         LOG.debug(
-                "set-up out: session={} server={} left={} line={}",
-                s.name(),
-                server,
-                s.answerTimeout(),
-                line.connected ? "up" : "new");
-        broker.trace().add(clock.now(), s.name(), line.connected ? "out" : "out-on-new-line", server);
-        PendingSetUp p = new PendingSetUp(text);
-        line.pending.put(s.name(), p);
-        if (line.connected) {
-            scheduleFlush(line);
+                "set-up assigned to a connection: session={} server={} left={} line={}",
+                setUp.name(),
+                serverId,
+                setUp.answerTimeout(),
+                connection.connected ? "up" : "new");
+        broker.trace().add(clock.now(), setUp.name(), connection.connected ? "out" : "out-on-new-line", serverId);
+        PendingSetUp attempt = new PendingSetUp(encoded);
+        connection.pending.put(setUp.name(), attempt);
+        if (connection.connected) {
+            scheduleFlush(connection);
         }
     }
 
-    /** A set-up has come to nothing, and provably never left. */
-    private void reportNotSent(String server, String name) {
-        broker.ended(clock.now(), server, name, Outcome.MOOT, LoadReport.NONE);
+    /** Ends an attempt that was provably not sent. */
+    private void reportNotSent(String serverId, String name) {
+        broker.ended(clock.now(), serverId, name, Outcome.MOOT, LoadReport.NONE);
     }
 
     /**
-     * Set-ups leave at the end of the loop's turn, once all that had come has been read: a viewer's going, or the news of a
-     * drain, that lay unread beside what caused them takes them back.
+     * Sends pending set-ups at the end of this event loop iteration, once all input that had arrived is read: a
+     * viewer's disconnect or a drain that was waiting unread beside the request still cancels them.
      */
-    private void scheduleFlush(Connection line) {
+    private void scheduleFlush(Connection connection) {
         if (connectionsToFlush.isEmpty()) {
             net.loop().execute(() -> {
-                List<Connection> now = List.copyOf(connectionsToFlush);
+                List<Connection> toFlush = List.copyOf(connectionsToFlush);
                 connectionsToFlush.clear();
-                now.forEach(Connection::writePending);
+                toFlush.forEach(Connection::writePending);
             });
         }
-        connectionsToFlush.add(line);
+        connectionsToFlush.add(connection);
     }
 
     @Override
-    public void cancelSetUp(String server, String name) {
-        LOG.debug("set-up given up: session={} server={}", name, server);
-        ServerEntry b = servers.get(server);
-        if (b == null) {
+    public void cancelSetUp(String serverId, String name) {
+        LOG.debug("set-up cancelled: session={} server={}", name, serverId);
+        ServerEntry entry = servers.get(serverId);
+        if (entry == null) {
             return;
         }
-        for (Connection l : List.copyOf(b.connections)) {
-            PendingSetUp p = l.pending.remove(name);
-            if (p != null) {
-                broker.trace().add(clock.now(), name, "given-up", server);
+        for (Connection connection : List.copyOf(entry.connections)) {
+            PendingSetUp attempt = connection.pending.remove(name);
+            if (attempt != null) {
+                broker.trace().add(clock.now(), name, "given-up", serverId);
             }
-            if (p == null || !l.connected || !p.handedOver) {
+            if (attempt == null || !connection.connected || !attempt.handedOver) {
                 continue;
             }
-            if (b.cancelledAt.size() >= MAX_BACKLOG_ENTRIES) {
-                b.cancelledAt.remove(b.cancelledAt.keySet().iterator().next());
+            if (entry.cancelledAt.size() >= MAX_BACKLOG_ENTRIES) {
+                entry.cancelledAt.remove(entry.cancelledAt.keySet().iterator().next());
             }
-            b.cancelledAt.put(name, clock.now());
-            if (!p.written) { // it would still leave whenever the server reads again
-                LOG.warn("line to edge server dropped: id={} why=does not read what was given up", b.id);
-                close(l);
-                keepConnected(b);
+            entry.cancelledAt.put(name, clock.now());
+            if (!attempt.written) { // the rest would still be sent once the server reads again
+                LOG.warn("connection to edge server dropped: id={} why=cancelled set-up still unread", entry.id);
+                close(connection);
+                keepConnected(entry);
                 continue;
             }
-            // Told even where nothing else comes: an answer may cross with it, and its session would stand unheard of.
-            l.send(new Message("release", name, Map.of(), 16, null));
-            l.retired |= l.isStuck(p);
+            // Sent even on a silent connection: an answer may cross it, and its session would stay active unnoticed.
+            connection.send(new Message("release", name, Map.of(), 16, null));
+            connection.retired |= connection.isStuck(attempt);
         }
     }
 
     @Override
-    public void release(String server, String name) {
-        ServerEntry b = servers.get(server);
-        if (b == null) {
+    public void release(String serverId, String name) {
+        ServerEntry entry = servers.get(serverId);
+        if (entry == null) {
             return;
         }
-        sendOrQueue(b, new Message("release", name, Map.of(), 31, null));
+        sendOrQueue(entry, new Message("release", name, Map.of(), 31, null));
     }
 
-    /** Sends at once, or once a line is up. */
-    private void sendOrQueue(ServerEntry b, Message m) {
-        Connection up = b.connections.stream()
-                .filter(l -> l.connected && !l.isDead())
-                .max(Comparator.comparing((Connection l) -> !l.unconfirmed))
+    /** Sends a message at once, or once a connection is open; drops it if the queue is full. */
+    private void sendOrQueue(ServerEntry entry, Message message) {
+        Connection up = entry.connections.stream()
+                .filter(c -> c.connected && !c.isDead())
+                .max(Comparator.comparing((Connection c) -> !c.unconfirmed))
                 .orElse(null);
         if (up != null) {
-            up.send(m);
-        } else if (b.queuedMessages.size() < MAX_BACKLOG_ENTRIES) {
-            b.queuedMessages.add(m);
-            connectIfNone(b);
+            up.send(message);
+        } else if (entry.queuedMessages.size() < MAX_BACKLOG_ENTRIES) {
+            entry.queuedMessages.add(message);
+            connectIfNone(entry);
         }
     }
 
     @Override
-    public void setRendition(String server, String name, int rung) {
-        ServerEntry b = servers.get(server);
-        if (b == null) {
+    public void setRendition(String serverId, String name, int rendition) {
+        ServerEntry entry = servers.get(serverId);
+        if (entry == null) {
             return;
         }
-        sendOrQueue(b, new Message("rate", name, Map.of("rung", Integer.toString(rung)), -1, null));
+        sendOrQueue(entry, new Message("rate", name, Map.of("rung", Integer.toString(rendition)), -1, null));
     }
 
     @Override
-    public void setHasActiveSessions(String server, boolean sessions) {
-        ServerEntry b = servers.computeIfAbsent(server, ServerEntry::new);
-        b.hasSessions = sessions;
+    public void setHasActiveSessions(String serverId, boolean sessions) {
+        ServerEntry entry = servers.computeIfAbsent(serverId, ServerEntry::new);
+        entry.hasSessions = sessions;
         if (sessions) {
-            b.lastReceivedAt = clock.now();
-            connectIfNone(b);
+            entry.lastReceivedAt = clock.now();
+            connectIfNone(entry);
         }
     }
 
-    // ---- Lines.
+    // ---- Connections.
 
-    /** Lines to all servers, for tests. */
+    /** The number of connections to all servers, for tests. */
     public int countConnections() {
-        return servers.values().stream().mapToInt(b -> b.connections.size()).sum();
+        return servers.values().stream()
+                .mapToInt(entry -> entry.connections.size())
+                .sum();
     }
 
-    /** The line for a set-up: a free one, the longest in use first, else a new one, else the least burdened. */
-    private Connection selectConnection(ServerEntry b) {
+    /**
+     * The connection for a set-up: the oldest without a pending set-up, else a new one, else the one with the fewest;
+     * null where none can be opened.
+     */
+    private Connection selectConnection(ServerEntry entry) {
         long now = clock.now();
         Connection best = null;
-        for (Connection l : List.copyOf(b.connections)) {
-            if (l.nearIdleClose(now)) {
-                close(l);
-            } else if (l.retired || l.unconfirmed || l.isDead()) {
+        for (Connection connection : List.copyOf(entry.connections)) {
+            if (connection.nearIdleClose(now)) {
+                close(connection);
+            } else if (connection.retired || connection.unconfirmed || connection.isDead()) {
                 continue;
             } else if (best == null
-                    || l.pending.size() < best.pending.size()
-                    || l.connected && !best.connected && l.pending.size() == best.pending.size()) {
-                best = l;
+                    || connection.pending.size() < best.pending.size()
+                    || connection.connected && !best.connected && connection.pending.size() == best.pending.size()) {
+                best = connection;
             }
         }
-        if (best == null && b.connections.size() > maxConnectionsPerServer) {
-            Connection newest = b.connections.get(b.connections.size() - 1); // none is above doubt
+        if (best == null && entry.connections.size() > maxConnectionsPerServer) {
+            // All are retired, unconfirmed or dead.
+            Connection newest = entry.connections.get(entry.connections.size() - 1);
             best = newest.isDead() ? null : newest;
         }
-        return best == null || !best.pending.isEmpty() && b.connections.size() < maxConnectionsPerServer
-                ? openConnection(b)
+        return best == null || !best.pending.isEmpty() && entry.connections.size() < maxConnectionsPerServer
+                ? openConnection(entry)
                 : best;
     }
 
-    private Connection openConnection(ServerEntry b) {
-        if (b.address == null || connectionCount >= options.maxConnections() && !closeLeastNeeded(false)) {
+    /** Opens a connection, closing another one where the limit is reached; null where that is not possible. */
+    private Connection openConnection(ServerEntry entry) {
+        if (entry.address == null || connectionCount >= options.maxConnections() && !closeLeastNeeded(false)) {
             return null;
         }
-        Connection l = new Connection(b);
-        b.connections.add(l);
+        Connection connection = new Connection(entry);
+        entry.connections.add(connection);
         connectionCount++;
-        l.connect();
-        return l.ended ? null : l;
+        connection.connect();
+        return connection.ended ? null : connection;
     }
 
-    private void connectIfNone(ServerEntry b) {
-        if (b.connections.isEmpty()
-                && b.address != null
-                && mayProbe(b)
+    private void connectIfNone(ServerEntry entry) {
+        if (entry.connections.isEmpty()
+                && entry.address != null
+                && mayProbe(entry)
                 && (connectionCount < options.maxConnections() || closeLeastNeeded(true))) {
-            b.lastAttemptAt = clock.now();
-            openConnection(b);
+            entry.lastAttemptAt = clock.now();
+            openConnection(entry);
         }
     }
 
-    /** Accepting or connecting failed for want of descriptors: lets one go that is idle. */
+    /** Closes an idle connection, if there is one: accepting or connecting has failed for lack of descriptors. */
     public void closeIdleConnection() {
         closeLeastNeeded(false);
     }
 
     /**
-     * Ends the line that is missed least: the longest unused one of a server without sessions, then one of several,
-     * then, unless {@code kept}, the only one of a server with sessions; none with a set-up out or not up yet.
+     * Closes the connection that is needed least, the longest unused of its kind: first one to a server without
+     * sessions, then one of several to a server, then, unless {@code keepOnlyConnections}, the only one to a server
+     * with sessions. Connections with pending set-ups and those still connecting are kept. Returns whether one was
+     * closed.
      */
-    private boolean closeLeastNeeded(boolean kept) {
-        Connection least = null;
-        for (ServerEntry b : servers.values()) {
-            for (Connection l : b.connections) {
-                if (l.connected
-                        && l.pending.isEmpty()
-                        && !(kept && l.closePriority() == 2)
-                        && (least == null
-                                || l.closePriority() < least.closePriority()
-                                || l.closePriority() == least.closePriority() && l.lastUsedAt < least.lastUsedAt)) {
-                    least = l;
+    private boolean closeLeastNeeded(boolean keepOnlyConnections) {
+        Connection candidate = null;
+        for (ServerEntry entry : servers.values()) {
+            for (Connection connection : entry.connections) {
+                if (connection.connected
+                        && connection.pending.isEmpty()
+                        && !(keepOnlyConnections && connection.closePriority() == 2)
+                        && (candidate == null
+                                || connection.closePriority() < candidate.closePriority()
+                                || connection.closePriority() == candidate.closePriority()
+                                        && connection.lastUsedAt < candidate.lastUsedAt)) {
+                    candidate = connection;
                 }
             }
         }
-        if (least != null) {
-            LOG.debug("line ended to make room: id={} lines={}", least.server.id, connectionCount);
-            close(least);
+        if (candidate != null) {
+            LOG.debug("connection closed to free a descriptor: id={} lines={}", candidate.entry.id, connectionCount);
+            close(candidate);
         }
-        return least != null;
+        return candidate != null;
     }
 
     /**
-     * Where there are more servers with sessions than lines, those without one take turns: an end that could not be
-     * sent comes on the next line that is opened.
+     * Where servers with sessions outnumber the connections allowed, those without a connection get one in turn: an end
+     * of session that a server could not send arrives on its next connection.
      */
     private void rotateConnections() {
         if (connectionCount < options.maxConnections()) {
             return;
         }
-        List<ServerEntry> without = servers.values().stream()
-                .filter(b -> b.hasSessions && b.address != null && b.connections.isEmpty())
-                .sorted(Comparator.comparingLong(b -> b.lastAttemptAt))
+        List<ServerEntry> unconnected = servers.values().stream()
+                .filter(entry -> entry.hasSessions && entry.address != null && entry.connections.isEmpty())
+                .sorted(Comparator.comparingLong(entry -> entry.lastAttemptAt))
                 .limit(MAX_ROTATIONS_PER_CHECK)
                 .toList();
-        for (ServerEntry b : without) {
+        for (ServerEntry entry : unconnected) {
             if (closeLeastNeeded(false)) {
-                b.lastAttemptAt = clock.now();
-                openConnection(b);
+                entry.lastAttemptAt = clock.now();
+                openConnection(entry);
             }
         }
     }
 
-    // ---- Whether a process is there.
+    // ---- Detection of servers that are gone.
 
-    private void markSuspect(ServerEntry b) {
-        if (b.suspectSince < 0) {
-            b.suspectSince = clock.now();
-            finder.suspicionChanged(b.id, true);
+    private void markSuspect(ServerEntry entry) {
+        if (entry.suspectSince < 0) {
+            entry.suspectSince = clock.now();
+            probeCoordinator.suspicionChanged(entry.id, true);
         }
     }
 
-    private void clearSuspicion(ServerEntry b) {
-        if (b.suspectSince >= 0) {
-            b.suspectSince = -1;
-            finder.suspicionChanged(b.id, false);
+    private void clearSuspicion(ServerEntry entry) {
+        if (entry.suspectSince >= 0) {
+            entry.suspectSince = -1;
+            probeCoordinator.suspicionChanged(entry.id, false);
         }
     }
 
-    /** Whether a line may be begun to find out; does what others' words say of it. */
-    private boolean mayProbe(ServerEntry b) {
-        if (b.suspectSince < 0) {
+    /** Whether a connection may be opened to probe the server; acts on what other brokers found out about it. */
+    private boolean mayProbe(ServerEntry entry) {
+        if (entry.suspectSince < 0) {
             return true;
         }
-        switch (finder.decide(
+        switch (probeCoordinator.decide(
                 clock.now(),
-                b.id,
-                new ProbeCoordinator.Suspicion(b.suspectSince, b.lastReceivedAt, b.lastAttemptAt, b.connectFailures))) {
+                entry.id,
+                new ProbeCoordinator.Suspicion(
+                        entry.suspectSince, entry.lastReceivedAt, entry.lastAttemptAt, entry.connectFailures))) {
             case DOWN -> {
                 LOG.info(
-                        "edge server down as others found, too: id={} ms={}",
-                        b.id,
-                        (clock.now() - b.suspectSince) / 1000);
-                serverLost(b);
+                        "edge server down, as other brokers found: id={} ms={}",
+                        entry.id,
+                        (clock.now() - entry.suspectSince) / 1000);
+                serverLost(entry);
                 return false;
             }
             case WAIT -> {
@@ -475,66 +526,74 @@
         }
     }
 
-    /** The process is gone: so are its sessions. */
-    private void serverLost(ServerEntry b) {
-        b.connectFailures = 0;
-        close(b);
-        clearSuspicion(b);
-        broker.serverLost(clock.now(), this, b.id, clock.now());
+    /** The server's process is gone: its sessions are over. */
+    private void serverLost(ServerEntry entry) {
+        entry.connectFailures = 0;
+        close(entry);
+        clearSuspicion(entry);
+        broker.serverLost(clock.now(), this, entry.id, clock.now());
     }
 
-    /** One line is kept up where sessions stand; a server that ends each at once is not tried all the time. */
-    private void keepConnected(ServerEntry b) {
-        if (b.hasSessions && b.connections.isEmpty()) {
-            if (clock.now() - b.lastAttemptAt >= RECONNECT_INTERVAL_US) {
-                connectIfNone(b);
+    /**
+     * Reconnects to a server with active sessions; with a delay, so that a server that closes each connection at once
+     * is not contacted in a tight loop.
+     */
+    private void keepConnected(ServerEntry entry) {
+        if (entry.hasSessions && entry.connections.isEmpty()) {
+            if (clock.now() - entry.lastAttemptAt >= RECONNECT_INTERVAL_US) {
+                connectIfNone(entry);
             } else {
-                scheduleReconnect(b);
+                scheduleReconnect(entry);
             }
         }
     }
 
-    private void scheduleReconnect(ServerEntry b) {
-        deadlines.schedule(clock.now() + RECONNECT_INTERVAL_US, t -> {
-            if (b.hasSessions
-                    && servers.get(b.id) == b
-                    && b.address != null
-                    && b.connections.stream().allMatch(l -> l.unconfirmed)) {
-                if (mayProbe(b)) {
-                    b.lastAttemptAt = clock.now();
-                    openConnection(b);
-                } else if (b.suspectSince >= 0) {
-                    scheduleReconnect(b);
+    private void scheduleReconnect(ServerEntry entry) {
+        timers.schedule(clock.now() + RECONNECT_INTERVAL_US, t -> {
+            if (entry.hasSessions
+                    && servers.get(entry.id) == entry
+                    && entry.address != null
+                    && entry.connections.stream().allMatch(c -> c.unconfirmed)) {
+                if (mayProbe(entry)) {
+                    entry.lastAttemptAt = clock.now();
+                    openConnection(entry);
+                } else if (entry.suspectSince >= 0) {
+                    scheduleReconnect(entry);
                 }
             }
         });
     }
 
-    private void close(ServerEntry b) {
-        List.copyOf(b.connections).forEach(this::close);
+    private void close(ServerEntry entry) {
+        List.copyOf(entry.connections).forEach(this::close);
     }
 
-    /** Ends the line; what was out on it is over. */
-    private void close(Connection l) {
-        l.server.connections.remove(l);
-        l.end(Outcome.RESET);
+    /** Closes the connection and ends its pending set-ups. */
+    private void close(Connection connection) {
+        connection.entry.connections.remove(connection);
+        connection.end(Outcome.RESET);
     }
 
-    /** Every half second: lines that the server would soon close as idle are ended or renewed, those stuck dropped. */
+    /**
+     * Periodic check: replaces connections that the server would soon close as idle, and closes those that are stuck.
+     */
     private void checkConnections(long due) {
         long now = clock.now();
-        deadlines.schedule(now + CHECK_INTERVAL_US, this::checkConnections);
-        for (ServerEntry b : List.copyOf(servers.values())) {
-            for (Connection l : List.copyOf(b.connections)) {
-                if (l.nearIdleClose(now) || l.retired && l.pending.isEmpty() && now - l.lastUsedAt > STUCK_TIMEOUT_US) {
-                    close(l);
-                } else if (l.decoder.hasPartialLine() && now - l.lastUsedAt > STUCK_TIMEOUT_US) {
-                    LOG.warn("line to edge server dropped: id={} why=message not finished", b.id);
-                    close(l);
+        timers.schedule(now + CHECK_INTERVAL_US, this::checkConnections);
+        for (ServerEntry entry : List.copyOf(servers.values())) {
+            for (Connection connection : List.copyOf(entry.connections)) {
+                if (connection.nearIdleClose(now)
+                        || connection.retired
+                                && connection.pending.isEmpty()
+                                && now - connection.lastUsedAt > STUCK_TIMEOUT_US) {
+                    close(connection);
+                } else if (connection.decoder.hasPartialLine() && now - connection.lastUsedAt > STUCK_TIMEOUT_US) {
+                    LOG.warn("connection to edge server dropped: id={} why=message not finished", entry.id);
+                    close(connection);
                 }
             }
-            if (b.hasSessions) {
-                connectIfNone(b);
+            if (entry.hasSessions) {
+                connectIfNone(entry);
             }
         }
         rotateConnections();
@@ -542,27 +601,27 @@
     }
 
     /**
-     * A server that has sessions but said nothing for longer than its reports may take is tried with one more line.
-     * Where no server reports any more, only one is tried at a time, until one does not come up: reports can stay out
-     * everywhere, and every broker of a large fleet would shake hands with every server over it.
+     * Probes a server that has sessions but has been silent for longer than its reports may take, with one more
+     * connection. Where no server reports any more, only one is probed at a time until one cannot be reached: reports
+     * may be missing everywhere, and every broker of a large fleet would otherwise connect to every server.
      */
     private void probeSilentServers(long now) {
         if (options.reportInterval() <= 0) {
             return;
         }
         long limit = options.reportInterval() + options.reportDelay() + 500_000;
-        List<ServerEntry> held =
-                servers.values().stream().filter(b -> b.hasSessions).toList();
-        List<ServerEntry> silent = held.stream()
-                .filter(b -> now - b.lastReceivedAt > limit
-                        && !b.connections.isEmpty()
-                        && b.connections.stream().allMatch(l -> l.connected && l.pending.isEmpty()))
-                .sorted(Comparator.comparingLong(b -> b.lastReceivedAt))
+        List<ServerEntry> withSessions =
+                servers.values().stream().filter(entry -> entry.hasSessions).toList();
+        List<ServerEntry> silent = withSessions.stream()
+                .filter(entry -> now - entry.lastReceivedAt > limit
+                        && !entry.connections.isEmpty()
+                        && entry.connections.stream().allMatch(c -> c.connected && c.pending.isEmpty()))
+                .sorted(Comparator.comparingLong(entry -> entry.lastReceivedAt))
                 .toList();
         if (silent.isEmpty()) {
             return;
         }
-        if (held.size() >= MIN_SERVERS_FOR_COMMON_SILENCE
+        if (withSessions.size() >= MIN_SERVERS_FOR_COMMON_SILENCE
                 && now - lastNoteAt > limit / 2
                 && now - lastConnectFailureAt > limit) {
             if (now - lastSilenceProbeAt <= limit) {
@@ -570,56 +629,58 @@
             }
             lastSilenceProbeAt = now;
             silent = silent.subList(0, 1);
-            LOG.info("no edge server reports: held={} ms={}", held.size(), (now - lastNoteAt) / 1000);
+            LOG.info("no edge server reports: held={} ms={}", withSessions.size(), (now - lastNoteAt) / 1000);
         }
-        for (ServerEntry b : silent) {
-            markSuspect(b);
-            if (!mayProbe(b)) {
+        for (ServerEntry entry : silent) {
+            markSuspect(entry);
+            if (!mayProbe(entry)) {
                 continue;
             }
-            LOG.info("edge server silent: id={} ms={}", b.id, (now - b.lastReceivedAt) / 1000);
-            b.lastReceivedAt = now;
-            b.lastAttemptAt = now;
-            if (b.connections.size() > maxConnectionsPerServer) {
-                close(b.connections.get(0)); // silent through two of these
+            LOG.info("edge server silent: id={} ms={}", entry.id, (now - entry.lastReceivedAt) / 1000);
+            entry.lastReceivedAt = now;
+            entry.lastAttemptAt = now;
+            if (entry.connections.size() > maxConnectionsPerServer) {
+                close(entry.connections.get(0)); // silent through two probes
             }
-            // The others stay: what a server is just writing on one would be lost with it, an end of a session too.
-            b.connections.forEach(l -> l.unconfirmed = true);
-            openConnection(b);
+            // The others stay open: whatever the server is sending on one, such as an end of session, would be lost.
+            entry.connections.forEach(c -> c.unconfirmed = true);
+            openConnection(entry);
         }
     }
 
+    /** One connection to an edge server and the set-ups assigned to it. */
     private final class Connection extends ByteHandler {
-        final ServerEntry server;
+        final ServerEntry entry;
         final Map<String, PendingSetUp> pending = new LinkedHashMap<>();
         private final LineDecoder decoder = new LineDecoder(MAX_LINE_BYTES);
         Channel channel;
         boolean connected;
         boolean ended;
-        boolean retired; // silent after a set-up, not used for another
-        boolean unconfirmed; // silent for long, and a newer line was begun: not used until it speaks
+        boolean retired; // silent after a set-up: not used for another one
+        boolean unconfirmed; // silent for long and a newer connection was opened: not used until something arrives
         final long openedAt = clock.now();
         long lastUsedAt = openedAt;
         private long lastReceivedAt = openedAt;
 
-        Connection(ServerEntry box) {
-            this.server = box;
+        Connection(ServerEntry entry) {
+            this.entry = entry;
         }
 
-        /** What goes first where room is needed. */
+        /** The order in which connections are closed to free descriptors, the lowest first. */
         int closePriority() {
-            return !server.hasSessions ? 0 : server.connections.size() > 1 ? 1 : 2;
+            return !entry.hasSessions ? 0 : entry.connections.size() > 1 ? 1 : 2;
         }
 
         /**
-         * Whether the connection is down and its close is still to be told. When a process dies, the system resets all
-         * lines to it at once and they are told one after the other: what the first one's set-ups do next must not go
-         * out on the others.
+         * Whether the connection is down and {@link #onClosed} is still to be called. When a process dies, the system
+         * resets all its connections at once, but they are reported one after the other: further attempts of the first
+         * one's set-ups must not be sent on the others.
          */
         boolean isDead() {
             return connected && !channel.isActive();
         }
 
+        /** Whether the connection is idle and the server is about to close it. */
         boolean nearIdleClose(long now) {
             return connected
                     && pending.isEmpty()
@@ -627,16 +688,18 @@
                             > options.idleTimeout() - Math.min(IDLE_CLOSE_MARGIN_US, options.idleTimeout() / 4);
         }
 
-        /** Whether nothing has come since the set-up went out, or only part of a message. */
-        boolean isStuck(PendingSetUp p) {
+        /** Whether nothing has arrived since the set-up was sent, or only part of a message. */
+        boolean isStuck(PendingSetUp attempt) {
             return decoder.hasPartialLine()
-                    || p.written && p.handedOverAt > lastReceivedAt && clock.now() - p.handedOverAt > STUCK_TIMEOUT_US;
+                    || attempt.written
+                            && attempt.handedOverAt > lastReceivedAt
+                            && clock.now() - attempt.handedOverAt > STUCK_TIMEOUT_US;
         }
 
         void connect() {
-            ChannelFuture coming = net.connect(server.address, (int) (options.connectTimeout() / 1000), () -> this);
-            channel = coming.channel();
-            net.whenDone(coming, done -> {
+            ChannelFuture connecting = net.connect(entry.address, (int) (options.connectTimeout() / 1000), () -> this);
+            channel = connecting.channel();
+            net.whenDone(connecting, done -> {
                 if (ended) {
                     channel.close();
                 } else if (done.isSuccess()) {
@@ -649,104 +712,116 @@
 
         private void onConnected() {
             connected = true;
-            server.connectFailures = 0;
-            if (server.suspectSince >= 0) {
-                finder.probeFinished(server.id, true);
-                clearSuspicion(server);
+            entry.connectFailures = 0;
+            if (entry.suspectSince >= 0) {
+                probeCoordinator.probeFinished(entry.id, true);
+                clearSuspicion(entry);
             }
             lastUsedAt = clock.now();
-            for (Message m = server.queuedMessages.poll(); m != null; m = server.queuedMessages.poll()) {
-                send(m);
+            for (Message message = entry.queuedMessages.poll();
+                    message != null;
+                    message = entry.queuedMessages.poll()) {
+                send(message);
             }
             writePending();
         }
 
         /**
-         * Hands over what has not left yet, one set-up at a time while the server reads. What may not go there any more, as
-         * the server was told to drain while it waited, comes to nothing.
+         * Hands the pending set-ups over to the channel, one at a time while the server reads. One that the server no
+         * longer accepts, because it began to drain in the meantime, is ended as not sent.
          */
         void writePending() {
-            for (Map.Entry<String, PendingSetUp> e : List.copyOf(pending.entrySet())) {
+            for (Map.Entry<String, PendingSetUp> nameAndSetUp : List.copyOf(pending.entrySet())) {
                 if (!connected || isDead()) {
-                    return; // its end is told, or will be, with all that is open
+                    return; // closing the connection ends whatever is still pending
                 }
-                PendingSetUp p = e.getValue();
-                if (p.handedOver || pending.get(e.getKey()) != p) {
+                PendingSetUp attempt = nameAndSetUp.getValue();
+                if (attempt.handedOver || pending.get(nameAndSetUp.getKey()) != attempt) {
                     continue;
                 }
-                if (!broker.acceptsSetUp(clock.now(), server.id)) {
-                    pending.remove(e.getKey());
-                    broker.trace().add(clock.now(), e.getKey(), "held-back", "drain");
-                    reportNotSent(server.id, e.getKey());
+                if (!broker.acceptsSetUp(clock.now(), entry.id)) {
+                    pending.remove(nameAndSetUp.getKey());
+                    broker.trace().add(clock.now(), nameAndSetUp.getKey(), "held-back", "drain");
+                    reportNotSent(entry.id, nameAndSetUp.getKey());
                 } else if (Net.hasUnwrittenBytes(channel)) {
-                    return; // goes on once that is written
+                    return; // continued once that is written
                 } else {
-                    writeSetUp(p);
+                    writeSetUp(attempt);
                 }
             }
         }
 
-        private void failed(Throwable why) {
-            if (why instanceof ChannelException) { // no socket could be opened: nothing was tried
-                LOG.warn("no socket for a line: id={} lines={} why={}", server.id, connectionCount, why.toString());
-                server.connections.remove(this);
+        private void failed(Throwable cause) {
+            if (cause instanceof ChannelException) { // no socket could be opened, so the server was not contacted
+                LOG.warn(
+                        "no socket for a connection: id={} lines={} why={}",
+                        entry.id,
+                        connectionCount,
+                        cause.toString());
+                entry.connections.remove(this);
                 end(Outcome.MOOT);
                 closeLeastNeeded(false);
-                scheduleReconnect(server);
+                scheduleReconnect(entry);
                 return;
             }
-            boolean refused = why instanceof java.net.ConnectException
-                    && !(why instanceof io.netty.channel.ConnectTimeoutException);
-            LOG.info("edge server not reached: id={} refused={} waiting={}", server.id, refused, pending.size());
-            server.connections.remove(this);
+            boolean refused = cause instanceof java.net.ConnectException
+                    && !(cause instanceof io.netty.channel.ConnectTimeoutException);
+            LOG.info("edge server not reached: id={} refused={} waiting={}", entry.id, refused, pending.size());
+            entry.connections.remove(this);
             end(Outcome.CONNECT_FAILED);
-            finder.probeFinished(server.id, false);
-            if (!server.hasSessions || !server.connections.stream().allMatch(l -> l.unconfirmed)) {
-                return; // another line is up or on its way, and tells more
+            probeCoordinator.probeFinished(entry.id, false);
+            if (!entry.hasSessions || !entry.connections.stream().allMatch(c -> c.unconfirmed)) {
+                return; // another connection is open or being opened, and proves more
             }
             lastConnectFailureAt = clock.now();
-            markSuspect(server);
-            if (++server.connectFailures >= MAX_CONNECT_FAILURES) {
-                serverLost(server);
+            markSuspect(entry);
+            if (++entry.connectFailures >= MAX_CONNECT_FAILURES) {
+                serverLost(entry);
             } else {
-                scheduleReconnect(server);
+                scheduleReconnect(entry);
             }
         }
 
-        /** No more of this line: what never left in full did not run, the rest may have. */
-        void end(Outcome unwritten) {
+        /**
+         * Closes the channel and ends the pending set-ups. One that was written completely may have run; any other did
+         * not, and ends as {@code outcomeIfUnwritten}, or as not sent where that is RESET.
+         */
+        void end(Outcome outcomeIfUnwritten) {
             connectionCount -= ended ? 0 : 1;
             ended = true;
             connected = false;
-            if (channel != null && channel.isRegistered()) { // else it never had a socket
+            if (channel != null && channel.isRegistered()) { // otherwise it never had a socket
                 channel.close();
             }
-            Map<String, PendingSetUp> left = new LinkedHashMap<>(pending);
+            Map<String, PendingSetUp> unfinished = new LinkedHashMap<>(pending);
             pending.clear();
-            left.forEach((name, p) -> {
-                Outcome end = p.written ? Outcome.RESET : unwritten == Outcome.RESET ? Outcome.MOOT : unwritten;
-                broker.trace().add(clock.now(), name, end.name(), server.id);
-                broker.ended(clock.now(), server.id, name, end, LoadReport.NONE);
+            unfinished.forEach((name, attempt) -> {
+                Outcome end = attempt.written
+                        ? Outcome.RESET
+                        : outcomeIfUnwritten == Outcome.RESET ? Outcome.MOOT : outcomeIfUnwritten;
+                broker.trace().add(clock.now(), name, end.name(), entry.id);
+                broker.ended(clock.now(), entry.id, name, end, LoadReport.NONE);
             });
         }
 
-        void writeSetUp(PendingSetUp p) {
+        void writeSetUp(PendingSetUp attempt) {
             lastUsedAt = clock.now();
-            p.handedOverAt = lastUsedAt;
-            p.handedOver = true;
-            writePendingAfter(
-                    channel.writeAndFlush(Net.toByteBuf(p.bytes)).addListener(done -> p.written |= done.isSuccess()));
+            attempt.handedOverAt = lastUsedAt;
+            attempt.handedOver = true;
+            writePendingAfter(channel.writeAndFlush(Net.toByteBuf(attempt.bytes))
+                    .addListener(done -> attempt.written |= done.isSuccess()));
         }
 
-        void send(Message m) {
+        void send(Message message) {
             lastUsedAt = clock.now();
-            writePendingAfter(channel.writeAndFlush(Net.toByteBuf(m.encode().getBytes(StandardCharsets.UTF_8))));
+            writePendingAfter(
+                    channel.writeAndFlush(Net.toByteBuf(message.encode().getBytes(StandardCharsets.UTF_8))));
         }
 
-        /** Once it is written late, what waited for it goes out. */
-        private void writePendingAfter(ChannelFuture writing) {
-            if (!writing.isDone()) {
-                writing.addListener(done -> writePending());
+        /** If the write is not done yet, continues with the pending set-ups once it is. */
+        private void writePendingAfter(ChannelFuture write) {
+            if (!write.isDone()) {
+                write.addListener(done -> writePending());
             }
         }
 
@@ -757,9 +832,9 @@
             }
             lastUsedAt = clock.now();
             lastReceivedAt = lastUsedAt;
-            server.lastReceivedAt = lastUsedAt;
+            entry.lastReceivedAt = lastUsedAt;
             unconfirmed = false;
-            clearSuspicion(server);
+            clearSuspicion(entry);
             decoder.add(bytes);
             try {
                 for (String line = decoder.next(); line != null && !ended; line = decoder.next()) {
@@ -769,12 +844,12 @@
                 }
             } catch (LineDecoder.InvalidLineException | Message.MalformedMessageException e) {
                 LOG.warn(
-                        "edge server's message malformed: id={} open={} why={}",
-                        server.id,
+                        "malformed message from edge server: id={} open={} why={}",
+                        entry.id,
                         pending.size(),
                         e.getMessage());
-                close(this); // at once: nothing that follows can be told apart
-                keepConnected(server);
+                close(this); // at once: message boundaries can no longer be trusted
+                keepConnected(entry);
             }
         }
 
@@ -784,60 +859,67 @@
                 return;
             }
             LOG.info(
-                    "line to edge server closed: id={} reset={} open={} sessions={}",
-                    server.id,
+                    "connection to edge server closed: id={} reset={} open={} sessions={}",
+                    entry.id,
                     reset,
                     pending.size(),
-                    server.hasSessions);
-            if (reset && server.hasSessions && server.connections.stream().allMatch(l -> l == this || l.isDead())) {
-                markSuspect(server);
+                    entry.hasSessions);
+            if (reset && entry.hasSessions && entry.connections.stream().allMatch(c -> c == this || c.isDead())) {
+                markSuspect(entry);
             }
             close(this);
-            keepConnected(server);
+            keepConnected(entry);
         }
 
-        /** Writing has no bearing on reading here: what the server tells is what frees it. */
+        /** Reading continues while writes are blocked: what the server sends is what unblocks it. */
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {}
     }
 
-    // ---- From the servers.
+    // ---- Messages from the servers.
 
-    private void handleMessage(Connection line, Message m) throws Message.MalformedMessageException {
+    private void handleMessage(Connection connection, Message message) throws Message.MalformedMessageException {
         long now = clock.now();
-        String server = line.server.id;
-        if (!m.type().equals("note")) {
-            broker.trace().add(now, m.id(), m.type(), server);
-            LOG.debug("from server: id={} session={} type={} cause={}", server, m.id(), m.type(), m.cause());
-        }
-        switch (m.type()) {
+        String serverId = connection.entry.id;
+        if (!message.type().equals("note")) {
+            broker.trace().add(now, message.id(), message.type(), serverId);
+            LOG.debug(
+                    "message from edge server: id={} session={} type={} cause={}",
+                    serverId,
+                    message.id(),
+                    message.type(),
+                    message.cause());
+        }
+        switch (message.type()) {
             case "answer" -> {
-                if (line.pending.containsKey(m.id())) { // else a second copy, or what nobody has asked for
-                    if (m.sdp() == null) {
-                        throw new Message.MalformedMessageException("answer without a description");
+                if (connection.pending.containsKey(message.id())) { // otherwise a duplicate, or never asked for
+                    if (message.sdp() == null) {
+                        throw new Message.MalformedMessageException(
+                                "answer without an sdp: expected a session description");
                     }
-                    line.pending.remove(m.id());
-                    broker.setUpAnswered(now, server, m.id(), m.sdp());
+                    connection.pending.remove(message.id());
+                    broker.setUpAnswered(now, serverId, message.id(), message.sdp());
                 }
             }
             case "release" -> {
-                boolean first = line.pending.remove(m.id()) != null;
+                boolean beforeAnswer = connection.pending.remove(message.id()) != null;
                 broker.ended(
                         now,
-                        server,
-                        m.id(),
-                        first ? outcomeBeforeAnswer(m.cause()) : outcomeAfterAnswer(m.cause()),
-                        parseLoadReport(m.fields().get("load")));
+                        serverId,
+                        message.id(),
+                        beforeAnswer ? outcomeBeforeAnswer(message.cause()) : outcomeAfterAnswer(message.cause()),
+                        parseLoadReport(message.fields().get("load")));
             }
             case "note" -> {
                 lastNoteAt = now;
-                handleNote(now, server, m);
+                handleNote(now, serverId, message);
             }
-            case "ping" -> line.send(new Message("pong", m.id(), Map.of(), 1, null));
-            default -> {} // progress and what is free mean nothing
+            case "ping" -> connection.send(new Message("pong", message.id(), Map.of(), 1, null));
+            default -> {} // progress and free capacity are not used
         }
     }
 
+    /** What a release with this cause means for a set-up that is not answered yet. */
     private static Outcome outcomeBeforeAnswer(int cause) {
         return switch (cause) {
             case 34 -> Outcome.FULL;
@@ -847,6 +929,7 @@
         };
     }
 
+    /** What a release with this cause means for an active session. */
     private static Outcome outcomeAfterAnswer(int cause) {
         return switch (cause) {
             case 16 -> Outcome.OK;
@@ -855,9 +938,9 @@
         };
     }
 
-    private void handleNote(long now, String server, Message m) {
-        Metric topic =
-                switch (m.fields().getOrDefault("note", "")) {
+    private void handleNote(long now, String serverId, Message message) {
+        Metric metric =
+                switch (message.fields().getOrDefault("note", "")) {
                     case "fill" -> Metric.DELIVERED;
                     case "grade" -> Metric.RENDITION;
                     case "local" -> Metric.LINK;
@@ -865,16 +948,16 @@
                     default -> null;
                 };
         try {
-            double value = Double.parseDouble(m.fields().getOrDefault("value", ""));
-            if (topic != null && value >= 0 && value <= MAX_FIGURE) {
-                broker.metricReceived(now, server, m.id(), topic, value);
+            double value = Double.parseDouble(message.fields().getOrDefault("value", ""));
+            if (metric != null && value >= 0 && value <= MAX_FIGURE) {
+                broker.metricReceived(now, serverId, message.id(), metric, value);
             }
         } catch (NumberFormatException e) {
-            LOG.warn("edge server's note without a figure: id={}", server);
+            LOG.warn("note from edge server without a number: id={}", serverId);
         }
     }
 
-    /** A report as {@code x0:12;x1:40}; none unless every field of the settings is there. */
+    /** Parses a load report such as {@code x0:12;x1:40}; none unless it has every field of the settings. */
     private LoadReport parseLoadReport(String load) {
         if (load == null) {
             return LoadReport.NONE;
@@ -885,7 +968,7 @@
             try {
                 if (colon > 0) {
                     double value = Double.parseDouble(pair.substring(colon + 1).strip());
-                    if (!(value > -1 && value <= MAX_FIGURE)) { // a noisy figure may lie a little under nothing
+                    if (!(value > -1 && value <= MAX_FIGURE)) { // measurement noise may put a value slightly below 0
                         return LoadReport.NONE;
                     }
                     values.put(pair.substring(0, colon).strip(), Math.max(0, value));
@@ -894,17 +977,17 @@
                 return LoadReport.NONE;
             }
         }
-        List<Double> out = new ArrayList<>();
+        List<Double> ordered = new ArrayList<>();
         for (String field : options.reportFields()) {
             if (!values.containsKey(field)) {
                 if (!incompleteReportLogged) {
-                    LOG.warn("load report lacks a field of the settings: field={} report={}", field, load);
+                    LOG.warn("load report lacks a field that the settings name: field={} report={}", field, load);
                     incompleteReportLogged = true;
                 }
                 return LoadReport.NONE;
             }
-            out.add(values.get(field));
+            ordered.add(values.get(field));
         }
-        return new LoadReport(out);
+        return new LoadReport(ordered);
     }
 }
--- a/src/main/java/dockshed/edge/LineDecoder.java
+++ b/src/main/java/dockshed/edge/LineDecoder.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Takes lines, ended by a line feed, out of a stream of bytes, however the stream was cut. */
+/** Splits a stream of bytes, however it is divided into reads, into lines of UTF-8 text that end in a line feed. */
 final class LineDecoder {
-    /** A line that never seems to end, or that is no text. */
+    /** A line that is too long or not valid UTF-8; the stream is of no further use. */
     static final class InvalidLineException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -17,55 +17,57 @@
         }
     }
 
-    private final CharsetDecoder text = StandardCharsets.UTF_8.newDecoder();
-    private final int limit;
-    private byte[] held = new byte[1024];
-    private int from;
-    private int to;
-    private int scanned;
+    private final CharsetDecoder utf8 = StandardCharsets.UTF_8.newDecoder();
+    private final int maxBytes;
+    private byte[] buffer = new byte[1024];
+    private int readIndex;
+    private int writeIndex;
+    private int scanIndex; // where the search for the next line feed continues
 
-    LineDecoder(int limit) {
-        this.limit = limit;
+    /** {@code maxBytes} is the longest line accepted, without its line feed. */
+    LineDecoder(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     void add(byte[] bytes) {
-        if (to + bytes.length > held.length) {
-            byte[] kept = Arrays.copyOfRange(held, from, to);
-            held = kept.length + bytes.length > held.length
-                    ? new byte[Math.max(held.length * 2, kept.length + bytes.length)]
-                    : held;
-            System.arraycopy(kept, 0, held, 0, kept.length);
-            scanned -= from;
-            from = 0;
-            to = kept.length;
+        if (writeIndex + bytes.length > buffer.length) {
+            byte[] kept = Arrays.copyOfRange(buffer, readIndex, writeIndex);
+            buffer = kept.length + bytes.length > buffer.length
+                    ? new byte[Math.max(buffer.length * 2, kept.length + bytes.length)]
+                    : buffer;
+            System.arraycopy(kept, 0, buffer, 0, kept.length);
+            scanIndex -= readIndex;
+            readIndex = 0;
+            writeIndex = kept.length;
         }
-        System.arraycopy(bytes, 0, held, to, bytes.length);
-        to += bytes.length;
+        System.arraycopy(bytes, 0, buffer, writeIndex, bytes.length);
+        writeIndex += bytes.length;
     }
 
-    /** The next whole line without its end, or null. */
+    /** The next complete line without its line end, or null where more bytes are needed. */
     String next() throws InvalidLineException {
-        while (scanned < to && held[scanned] != '\n') {
-            scanned++;
+        while (scanIndex < writeIndex && buffer[scanIndex] != '\n') {
+            scanIndex++;
         }
-        if (scanned - from > limit) {
-            throw new InvalidLineException("line too long");
+        if (scanIndex - readIndex > maxBytes) {
+            throw new InvalidLineException("line exceeds the limit");
         }
-        if (scanned == to) {
+        if (scanIndex == writeIndex) {
             return null;
         }
-        int end = scanned > from && held[scanned - 1] == '\r' ? scanned - 1 : scanned;
-        try { // bytes put in the place of others would go to a viewer as if the server had sent them
-            String line = text.decode(ByteBuffer.wrap(held, from, end - from)).toString();
-            from = ++scanned;
+        int lineEnd = scanIndex > readIndex && buffer[scanIndex - 1] == '\r' ? scanIndex - 1 : scanIndex;
+        try { // replacement characters would go to a viewer as if the server had sent them
+            String line = utf8.decode(ByteBuffer.wrap(buffer, readIndex, lineEnd - readIndex))
+                    .toString();
+            readIndex = ++scanIndex;
             return line;
         } catch (CharacterCodingException e) {
-            throw new InvalidLineException("line is no text");
+            throw new InvalidLineException("line is not valid UTF-8");
         }
     }
 
-    /** Whether a line has begun and is not whole. */
+    /** Whether part of a line has arrived. */
     boolean hasPartialLine() {
-        return to > from;
+        return writeIndex > readIndex;
     }
 }
--- a/src/main/java/dockshed/edge/Message.java
+++ b/src/main/java/dockshed/edge/Message.java
@@ -4,11 +4,16 @@
 import java.util.Map;
 
 /**
- * A message between broker and edge server: one JSON object a line. {@code cause} is -1 and {@code sdp} null where
- * they are absent; values of {@code fields} are kept as they are written.
+ * A message between broker and edge server, sent as one JSON object per line.
+ *
+ * @param type   what the message is, such as {@code setup} or {@code answer}
+ * @param id     of the session that the message is about
+ * @param fields further values by name; numbers, booleans and null as written in the JSON text
+ * @param cause  why a session or attempt ends; -1 if absent
+ * @param sdp    the session description; null if absent
  */
 record Message(String type, String id, Map<String, String> fields, int cause, String sdp) {
-    /** A line that is no such message. */
+    /** A line is not a message of this form. */
     static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -17,20 +22,22 @@
         }
     }
 
+    /** Parses one line without its line end. Unknown members are ignored. */
     static Message parse(String line) throws MalformedMessageException {
         return new JsonReader(line).readMessage();
     }
 
+    /** The message as one line of JSON, with its line feed. */
     String encode() {
         StringBuilder out = new StringBuilder(96 + (sdp == null ? 0 : sdp.length()));
         out.append("{\"type\":");
-        quote(out, type);
-        quote(out.append(",\"id\":"), id);
+        appendQuoted(out, type);
+        appendQuoted(out.append(",\"id\":"), id);
         out.append(",\"fields\":{");
         String comma = "";
-        for (Map.Entry<String, String> f : fields.entrySet()) {
-            quote(out.append(comma), f.getKey());
-            quote(out.append(':'), f.getValue());
+        for (Map.Entry<String, String> field : fields.entrySet()) {
+            appendQuoted(out.append(comma), field.getKey());
+            appendQuoted(out.append(':'), field.getValue());
             comma = ",";
         }
         out.append('}');
@@ -38,12 +45,13 @@
             out.append(",\"cause\":").append(cause);
         }
         if (sdp != null) {
-            quote(out.append(",\"sdp\":"), sdp);
+            appendQuoted(out.append(",\"sdp\":"), sdp);
         }
         return out.append("}\n").toString();
     }
 
-    private static void quote(StringBuilder out, String text) {
+    /** Appends a JSON string; surrogates are escaped so that unpaired ones survive UTF-8. */
+    private static void appendQuoted(StringBuilder out, String text) {
         out.append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -64,183 +72,187 @@
         out.append('"');
     }
 
-    /** Reads JSON as far as messages need it: objects, strings, numbers; other values are passed over. */
+    /** A JSON parser for what messages need: objects, strings and numbers; other values are skipped. */
     private static final class JsonReader {
+        /** Deeper values are refused, as skipping them recurses. */
         private static final int MAX_NESTING_DEPTH = 16;
 
-        private final String in;
-        private int at;
+        private final String input;
+        private int position;
 
         JsonReader(String in) {
-            this.in = in;
+            this.input = in;
         }
 
+        /** Reads the whole input as one message. */
         Message readMessage() throws MalformedMessageException {
-            String[] text = new String[3];
+            String[] strings = new String[3];
             int[] cause = {-1};
             Map<String, String> fields = new LinkedHashMap<>();
-            object(key -> {
+            readObject(key -> {
                 switch (key) {
-                    case "type" -> text[0] = string();
-                    case "id" -> text[1] = string();
-                    case "sdp" -> text[2] = peek() == '"' ? string() : skip(null);
-                    case "cause" -> cause[0] = whole(scalar());
+                    case "type" -> strings[0] = readString();
+                    case "id" -> strings[1] = readString();
+                    case "sdp" -> strings[2] = peek() == '"' ? readString() : skipValue(null);
+                    case "cause" -> cause[0] = parseCause(readScalar());
                     case "fields" ->
-                        object(name -> {
+                        readObject(name -> {
                             if (peek() == '{' || peek() == '[') {
-                                skip(null);
+                                skipValue(null);
                             } else {
-                                fields.put(name, scalar());
+                                fields.put(name, readScalar());
                             }
                         });
-                    default -> skip(null);
+                    default -> skipValue(null);
                 }
             });
-            space();
-            if (at != in.length()) {
-                throw new MalformedMessageException("text after the object");
+            skipSpace();
+            if (position != input.length()) {
+                throw new MalformedMessageException("expected the end of the line after the object, got more text");
             }
-            if (text[0] == null || text[1] == null) {
-                throw new MalformedMessageException("type or id is missing");
+            if (strings[0] == null || strings[1] == null) {
+                throw new MalformedMessageException("member 'type' or 'id' is missing");
             }
-            return new Message(text[0], text[1], fields, cause[0], text[2]);
+            return new Message(strings[0], strings[1], fields, cause[0], strings[2]);
         }
 
+        /** Reads the value of one member of an object. */
         private interface MemberReader {
             void read(String key) throws MalformedMessageException;
         }
 
-        private void object(MemberReader each) throws MalformedMessageException {
+        private void readObject(MemberReader memberReader) throws MalformedMessageException {
             expect('{');
             if (peek() == '}') {
-                at++;
+                position++;
                 return;
             }
             while (true) {
                 peek();
-                String key = string();
+                String key = readString();
                 expect(':');
                 peek();
-                each.read(key);
+                memberReader.read(key);
                 if (peek() == '}') {
-                    at++;
+                    position++;
                     return;
                 }
                 expect(',');
             }
         }
 
-        private String skip(Object nothing) throws MalformedMessageException {
-            skip(0);
+        /** Skips a value and returns null, for use as an expression; the argument only selects this overload. */
+        private String skipValue(Object ignored) throws MalformedMessageException {
+            skipValue(0);
             return null;
         }
 
-        private void skip(int depth) throws MalformedMessageException {
+        private void skipValue(int depth) throws MalformedMessageException {
             if (depth > MAX_NESTING_DEPTH) {
-                throw new MalformedMessageException("nested too deep");
+                throw new MalformedMessageException("values nested deeper than the limit");
             }
             if (peek() == '{') {
-                object(key -> skip(depth + 1));
+                readObject(key -> skipValue(depth + 1));
             } else if (peek() == '[') {
-                at++;
+                position++;
                 if (peek() == ']') {
-                    at++;
+                    position++;
                     return;
                 }
-                skip(depth + 1);
+                skipValue(depth + 1);
                 while (peek() == ',') {
-                    at++;
-                    skip(depth + 1);
+                    position++;
+                    skipValue(depth + 1);
                 }
                 expect(']');
             } else {
-                scalar();
+                readScalar();
             }
         }
 
-        /** A string's text; a number, true, false or null as written. */
-        private String scalar() throws MalformedMessageException {
+        /** The text of a string; a number, true, false or null as written. */
+        private String readScalar() throws MalformedMessageException {
             if (peek() == '"') {
-                return string();
+                return readString();
             }
-            int start = at;
-            while (at < in.length() && ",}] \t\r\n".indexOf(in.charAt(at)) < 0) {
-                at++;
+            int start = position;
+            while (position < input.length() && ",}] \t\r\n".indexOf(input.charAt(position)) < 0) {
+                position++;
             }
-            String word = in.substring(start, at);
+            String word = input.substring(start, position);
             if (!word.matches("true|false|null|-?[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?")) {
-                throw new MalformedMessageException("no value at " + start);
+                throw new MalformedMessageException("expected a value at position " + start);
             }
             return word;
         }
 
-        private static int whole(String number) throws MalformedMessageException {
+        private static int parseCause(String number) throws MalformedMessageException {
             try {
                 return Math.max(0, (int) Double.parseDouble(number));
             } catch (NumberFormatException e) {
-                throw new MalformedMessageException("cause is no number");
+                throw new MalformedMessageException("member 'cause' is not a number");
             }
         }
 
-        private String string() throws MalformedMessageException {
+        private String readString() throws MalformedMessageException {
             expect('"');
             StringBuilder out = new StringBuilder();
-            while (at < in.length()) {
-                char c = in.charAt(at++);
-                if (c == '"') {
+            while (position < input.length()) {
+                char next = input.charAt(position++);
+                if (next == '"') {
                     return out.toString();
                 }
-                if (c < ' ') {
+                if (next < ' ') {
                     throw new MalformedMessageException("control character in a string");
                 }
-                if (c != '\\') {
-                    out.append(c);
+                if (next != '\\') {
+                    out.append(next);
                     continue;
                 }
-                char e = at < in.length() ? in.charAt(at++) : ' ';
-                switch (e) {
-                    case '"', '\\', '/' -> out.append(e);
+                char escape = position < input.length() ? input.charAt(position++) : ' ';
+                switch (escape) {
+                    case '"', '\\', '/' -> out.append(escape);
                     case 'b' -> out.append('\b');
                     case 'f' -> out.append('\f');
                     case 'n' -> out.append('\n');
                     case 'r' -> out.append('\r');
                     case 't' -> out.append('\t');
-                    case 'u' -> out.append(unicode());
-                    default -> throw new MalformedMessageException("unknown escape");
+                    case 'u' -> out.append(readHexEscape());
+                    default -> throw new MalformedMessageException("unknown escape sequence in a string");
                 }
             }
-            throw new MalformedMessageException("string without an end");
+            throw new MalformedMessageException("string without a closing quote");
         }
 
-        private char unicode() throws MalformedMessageException {
+        private char readHexEscape() throws MalformedMessageException {
             int code = 0;
             for (int i = 0; i < 4; i++) {
-                int digit = at < in.length() ? Character.digit(in.charAt(at++), 16) : -1;
+                int digit = position < input.length() ? Character.digit(input.charAt(position++), 16) : -1;
                 if (digit < 0) {
-                    throw new MalformedMessageException("bad unicode escape");
+                    throw new MalformedMessageException("expected four hex digits after \\u");
                 }
                 code = code * 16 + digit;
             }
             return (char) code;
         }
 
-        private void space() {
-            while (at < in.length() && " \t\r\n".indexOf(in.charAt(at)) >= 0) {
-                at++;
+        private void skipSpace() {
+            while (position < input.length() && " \t\r\n".indexOf(input.charAt(position)) >= 0) {
+                position++;
             }
         }
 
-        /** The next character that is no space, left in place; 0 at the end. */
+        /** Skips space and returns the next character without consuming it; 0 at the end of the input. */
         private char peek() {
-            space();
-            return at < in.length() ? in.charAt(at) : 0;
+            skipSpace();
+            return position < input.length() ? input.charAt(position) : 0;
         }
 
-        private void expect(char c) throws MalformedMessageException {
-            if (peek() != c) {
-                throw new MalformedMessageException("no '" + c + "' at " + at);
+        private void expect(char expected) throws MalformedMessageException {
+            if (peek() != expected) {
+                throw new MalformedMessageException("expected '" + expected + "' at position " + position);
             }
-            at++;
+            position++;
         }
     }
 }
--- a/src/main/java/dockshed/eureka/EurekaClient.java
+++ b/src/main/java/dockshed/eureka/EurekaClient.java
@@ -23,11 +23,11 @@
     private final HlsConfig.Eureka config;
     private final Net net;
     private final Clock clock;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final Consumer<List<ListedServer>> listener;
     private final EurekaRegistry registry = new EurekaRegistry();
-    private boolean whole;
-    private boolean reached = true;
+    private boolean fullListReceived;
+    private boolean reachable = true;
 
     /** {@code listener} hears the whole list whenever it may have changed. */
     public EurekaClient(
@@ -39,7 +39,7 @@
         this.config = config;
         this.net = net;
         this.clock = clock;
-        this.deadlines = deadlines;
+        this.timers = deadlines;
         this.listener = listener;
     }
 
@@ -48,7 +48,7 @@
     }
 
     private void fetch(long due) {
-        boolean delta = whole;
+        boolean delta = fullListReceived;
         TimerQueue.Timer[] late = {null};
         HttpFetch f = HttpFetch.get(
                 net,
@@ -60,17 +60,17 @@
                 new HttpFetch.Listener() {
                     @Override
                     public void onResponse(HttpStyleMessage answer) {
-                        deadlines.cancel(late[0]);
+                        timers.cancel(late[0]);
                         listReceived(delta, answer);
                     }
 
                     @Override
                     public void onFailure(boolean ran, String why) {
-                        deadlines.cancel(late[0]);
+                        timers.cancel(late[0]);
                         fetchFailed(why);
                     }
                 });
-        late[0] = deadlines.schedule(clock.now() + RESPONSE_TIMEOUT_US, t -> {
+        late[0] = timers.schedule(clock.now() + RESPONSE_TIMEOUT_US, t -> {
             f.cancel();
             fetchFailed("no answer in time");
         });
@@ -87,15 +87,15 @@
                 registry.applyFull(answer.bodyText());
             }
             listener.accept(registry.servers(config.app()));
-            if (!whole || !reached) {
+            if (!fullListReceived || !reachable) {
                 LOG.info("Eureka's list taken: whole={}", !delta);
             }
-            whole = true;
-            reached = true;
+            fullListReceived = true;
+            reachable = true;
             scheduleNext();
         } catch (EurekaRegistry.UnusableAnswerException e) {
             LOG.warn("Eureka's answer does not fit: delta={} why={}", delta, e.getMessage());
-            whole = false;
+            fullListReceived = false;
             if (delta) {
                 fetch(clock.now()); // all of it, at once
             } else {
@@ -106,14 +106,14 @@
 
     /** The last list stands. */
     private void fetchFailed(String why) {
-        if (reached) {
+        if (reachable) {
             LOG.warn("Eureka out of reach, the last list stands: why={}", why);
         }
-        reached = false;
+        reachable = false;
         scheduleNext();
     }
 
     private void scheduleNext() {
-        deadlines.schedule(clock.now() + config.pollInterval(), this::fetch);
+        timers.schedule(clock.now() + config.pollInterval(), this::fetch);
     }
 }
--- a/src/main/java/dockshed/eureka/EurekaRegistry.java
+++ b/src/main/java/dockshed/eureka/EurekaRegistry.java
@@ -52,19 +52,20 @@
                 next.put(key(instance), instance);
             }
         }
-        check(all, next);
+        checkHashCode(all, next);
         instances = next;
     }
 
-    private static void check(JsonObject all, Map<String, JsonObject> instances) throws UnusableAnswerException {
+    private static void checkHashCode(JsonObject all, Map<String, JsonObject> instances)
+            throws UnusableAnswerException {
         String told = text(all, "apps__hashcode", "");
-        if (!told.equals(hash(instances))) {
-            throw new UnusableAnswerException("hash code " + told + " is not " + hash(instances));
+        if (!told.equals(hashCodeOf(instances))) {
+            throw new UnusableAnswerException("hash code " + told + " is not " + hashCodeOf(instances));
         }
     }
 
     /** How many instances have each status, the statuses in order: {@code DOWN_1_UP_7_}. */
-    private static String hash(Map<String, JsonObject> instances) {
+    private static String hashCodeOf(Map<String, JsonObject> instances) {
         TreeMap<String, Integer> counts = new TreeMap<>();
         instances.values().forEach(i -> counts.merge(text(i, "status", "UNKNOWN"), 1, Integer::sum));
         StringBuilder out = new StringBuilder();
@@ -132,8 +133,8 @@
             throw new UnusableAnswerException("no applications");
         }
         try {
-            for (JsonElement app : each(all.get("application"))) {
-                for (JsonElement i : each(app.getAsJsonObject().get("instance"))) {
+            for (JsonElement app : asList(all.get("application"))) {
+                for (JsonElement i : asList(app.getAsJsonObject().get("instance"))) {
                     out.add(i.getAsJsonObject());
                 }
             }
@@ -144,7 +145,7 @@
     }
 
     /** A list of one may stand there as the one itself, and an empty one not at all. */
-    private static Iterable<JsonElement> each(JsonElement list) {
+    private static Iterable<JsonElement> asList(JsonElement list) {
         if (list == null || list.isJsonNull()) {
             return List.of();
         }
--- a/src/main/java/dockshed/load/EstimatedLoads.java
+++ b/src/main/java/dockshed/load/EstimatedLoads.java
@@ -23,22 +23,22 @@
     /** Over this a box's own word is no share of a link but another unit. */
     static final double MAX_REPORTED_SHARE = 20;
 
-    private record Change(long at, double kb) {}
+    private record Change(long at, double deltaKb) {}
 
-    private record Standing(Box box, SessionClass cls, double kb) {}
+    private record ActiveSession(ServerLoad server, SessionClass sessionClass, double rateKb) {}
 
-    private static final class Box {
-        final LinkedHashMap<String, Standing> sessions = new LinkedHashMap<>();
+    private static final class ServerLoad {
+        final LinkedHashMap<String, ActiveSession> sessions = new LinkedHashMap<>();
         final ArrayDeque<Change> changes = new ArrayDeque<>();
-        double own;
-        double said; // kB asked there at saidAt, as the box said
-        long saidAt = Long.MIN_VALUE;
+        double ownKb;
+        double reportedKb; // kB asked there at saidAt, as the box said
+        long reportedAt = Long.MIN_VALUE;
 
         /** What own sessions asked at a time not long past. */
-        double ownAt(long at) {
-            double kb = own;
+        double ownKbAt(long at) {
+            double kb = ownKb;
             for (Change c : changes) {
-                kb -= c.at() > at ? c.kb() : 0;
+                kb -= c.at() > at ? c.deltaKb() : 0;
             }
             return Math.max(0, kb);
         }
@@ -46,10 +46,10 @@
 
     private final Settings settings;
     private final Map<String, SessionClass> classes = new HashMap<>();
-    private final Map<String, Server> listed = new HashMap<>();
-    private final Map<String, Double> links = new HashMap<>();
-    private final LinkedHashMap<String, Box> boxes = new LinkedHashMap<>();
-    private final Map<String, Standing> byName = new HashMap<>();
+    private final Map<String, Server> listedServers = new HashMap<>();
+    private final Map<String, Double> linkKb = new HashMap<>();
+    private final LinkedHashMap<String, ServerLoad> servers = new LinkedHashMap<>();
+    private final Map<String, ActiveSession> sessions = new HashMap<>();
 
     public EstimatedLoads(Settings settings) {
         this.settings = settings;
@@ -58,100 +58,102 @@
 
     /** The boxes as now listed, all of them: how much each link carries is told by the list alone. */
     public void updateServers(List<Server> servers) {
-        listed.clear();
-        links.clear();
-        servers.forEach(s -> listed.put(s.id(), s));
+        listedServers.clear();
+        linkKb.clear();
+        servers.forEach(s -> listedServers.put(s.id(), s));
         boolean alike = servers.stream().mapToDouble(Server::weight).distinct().count() < 2;
         double streams =
                 servers.stream().mapToInt(s -> settings.streams(s.kind())).sum();
         for (Server s : servers) {
             // The module's own measure: by weight, or by streams where all weights are alike.
             double unit = settings.ladder().weightKb() * s.weight();
-            links.put(s.id(), Math.max(1, alike ? unit * settings.streams(s.kind()) * servers.size() / streams : unit));
+            linkKb.put(
+                    s.id(), Math.max(1, alike ? unit * settings.streams(s.kind()) * servers.size() / streams : unit));
         }
     }
 
     /** A session stands at a box, on a rung. */
     public void sessionStarted(long now, String server, String name, String className, int rung) {
         SessionClass cls = classes.get(className);
-        if (cls == null || byName.containsKey(name)) {
+        if (cls == null || sessions.containsKey(name)) {
             return;
         }
-        Standing s = new Standing(boxes.computeIfAbsent(server, id -> new Box()), cls, kb(cls, rung));
-        byName.put(name, s);
-        s.box().sessions.put(name, s);
-        change(now, s.box(), s.kb());
+        ActiveSession s =
+                new ActiveSession(servers.computeIfAbsent(server, id -> new ServerLoad()), cls, rateKb(cls, rung));
+        sessions.put(name, s);
+        s.server().sessions.put(name, s);
+        addChange(now, s.server(), s.rateKb());
     }
 
     public void renditionChanged(long now, String name, int rung) {
-        Standing was = byName.get(name);
+        ActiveSession was = sessions.get(name);
         if (was != null) {
-            Standing is = new Standing(was.box(), was.cls(), kb(was.cls(), rung));
-            byName.put(name, is);
-            is.box().sessions.put(name, is);
-            change(now, is.box(), is.kb() - was.kb());
+            ActiveSession is = new ActiveSession(was.server(), was.sessionClass(), rateKb(was.sessionClass(), rung));
+            sessions.put(name, is);
+            is.server().sessions.put(name, is);
+            addChange(now, is.server(), is.rateKb() - was.rateKb());
         }
     }
 
     public void sessionEnded(long now, String name) {
-        Standing s = byName.remove(name);
+        ActiveSession s = sessions.remove(name);
         if (s != null) {
-            s.box().sessions.remove(name);
-            change(now, s.box(), -s.kb());
-            boxes.values().removeIf(b -> b.sessions.isEmpty() && now - b.saidAt > REPORT_VALIDITY_US);
+            s.server().sessions.remove(name);
+            addChange(now, s.server(), -s.rateKb());
+            servers.values().removeIf(b -> b.sessions.isEmpty() && now - b.reportedAt > REPORT_VALIDITY_US);
         }
     }
 
     /** A box said what share of its link is asked. */
     public void serverReported(long now, String server, double share) {
-        if (share >= 0 && share <= MAX_REPORTED_SHARE && listed.containsKey(server)) {
-            Box b = boxes.computeIfAbsent(server, id -> new Box());
-            b.said = share * gives(now, server);
-            b.saidAt = now;
+        if (share >= 0 && share <= MAX_REPORTED_SHARE && listedServers.containsKey(server)) {
+            ServerLoad b = servers.computeIfAbsent(server, id -> new ServerLoad());
+            b.reportedKb = share * availableLinkKb(now, server);
+            b.reportedAt = now;
         }
     }
 
-    private double kb(SessionClass cls, int rung) {
+    private double rateKb(SessionClass cls, int rung) {
         List<Double> rates = settings.ladder().rates();
         return rates.get(Math.max(0, Math.min(rung, rates.size() - 1))) * cls.scale();
     }
 
-    private void change(long now, Box b, double kb) {
-        b.own += kb;
+    private void addChange(long now, ServerLoad b, double kb) {
+        b.ownKb += kb;
         b.changes.add(new Change(now, kb));
         while (b.changes.size() > MAX_CHANGES
                 || b.changes.peekFirst().at() < now - settings.limits().reportDelay() - REPORT_VALIDITY_US) {
             b.changes.removeFirst();
         }
         if (b.sessions.isEmpty()) {
-            b.own = 0; // what rounding left
+            b.ownKb = 0; // what rounding left
         }
     }
 
     /** What the link gives now: a box that has just started gives less. */
-    private double gives(long now, String server) {
-        Server s = listed.get(server);
-        double link = links.getOrDefault(server, Math.max(1, settings.ladder().weightKb()));
+    private double availableLinkKb(long now, String server) {
+        Server s = listedServers.get(server);
+        double link = linkKb.getOrDefault(server, Math.max(1, settings.ladder().weightKb()));
         return s == null || s.upSince() <= 0 ? link : link * settings.rules().warmth(now, s.upSince());
     }
 
     /** The share of the box's link that was asked at a time at most the lag of notes ago. */
     public double linkShare(long now, String server, long at) {
-        Box b = boxes.get(server);
+        ServerLoad b = servers.get(server);
         if (b == null) {
             return 0;
         }
-        double own = b.ownAt(at);
-        double all = b.saidAt > now - REPORT_VALIDITY_US
-                ? Math.max(own, b.said + own - b.ownAt(b.saidAt))
+        double own = b.ownKbAt(at);
+        double all = b.reportedAt > now - REPORT_VALIDITY_US
+                ? Math.max(own, b.reportedKb + own - b.ownKbAt(b.reportedAt))
                 : own * settings.brokers();
-        return all / gives(now, server);
+        return all / availableLinkKb(now, server);
     }
 
     /** The boxes with own sessions, each with one of these: whose reading it may be told as. */
     public Map<String, String> sessionByServer() {
         Map<String, String> out = new LinkedHashMap<>();
-        boxes.forEach((id, b) -> {
+        servers.forEach((id, b) -> {
             if (!b.sessions.isEmpty()) {
                 out.put(id, b.sessions.keySet().iterator().next());
             }
@@ -161,6 +163,6 @@
 
     /** Names held, for tests and the log. */
     public List<String> sessionNames() {
-        return new ArrayList<>(byName.keySet());
+        return new ArrayList<>(sessions.keySet());
     }
 }
--- a/src/main/java/dockshed/load/LoadReporter.java
+++ b/src/main/java/dockshed/load/LoadReporter.java
@@ -14,18 +14,18 @@
     static final long DEFAULT_INTERVAL_US = 1_000_000;
 
     private final Broker broker;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final EstimatedLoads loads;
-    private final long every;
-    private final long late;
-    private boolean waiting;
+    private final long intervalUs;
+    private final long reportDelayUs;
+    private boolean reportScheduled;
 
     public LoadReporter(Broker broker, TimerQueue deadlines, Settings settings) {
         this.broker = broker;
-        this.deadlines = deadlines;
+        this.timers = deadlines;
         loads = new EstimatedLoads(settings);
-        every = settings.limits().reportInterval() > 0 ? settings.limits().reportInterval() : DEFAULT_INTERVAL_US;
-        late = settings.limits().reportDelay();
+        intervalUs = settings.limits().reportInterval() > 0 ? settings.limits().reportInterval() : DEFAULT_INTERVAL_US;
+        reportDelayUs = settings.limits().reportDelay();
     }
 
     public void updateServers(List<Server> servers) {
@@ -36,9 +36,9 @@
     public void sessionStarted(long now, String server, String name, String className, int rung) {
         loads.sessionStarted(now, server, name, className, rung);
         broker.metricReceived(now, server, name, Metric.LINK, loads.linkShare(now, server, now));
-        if (!waiting) {
-            waiting = true;
-            deadlines.schedule(now + every, this::tell);
+        if (!reportScheduled) {
+            reportScheduled = true;
+            timers.schedule(now + intervalUs, this::reportAll);
         }
     }
 
@@ -59,13 +59,13 @@
     }
 
     /** Readings that are not a set-up's count as late as the settings say, so they are of that time. */
-    private void tell(long now) {
+    private void reportAll(long now) {
         loads.sessionByServer()
                 .forEach((server, name) -> broker.metricReceived(
-                        now, server, name, Metric.LINK, loads.linkShare(now, server, now - late)));
-        waiting = !loads.sessionByServer().isEmpty();
-        if (waiting) {
-            deadlines.schedule(now + every, this::tell);
+                        now, server, name, Metric.LINK, loads.linkShare(now, server, now - reportDelayUs)));
+        reportScheduled = !loads.sessionByServer().isEmpty();
+        if (reportScheduled) {
+            timers.schedule(now + intervalUs, this::reportAll);
         }
     }
 }
--- a/src/main/java/dockshed/load/OrcaReport.java
+++ b/src/main/java/dockshed/load/OrcaReport.java
@@ -16,7 +16,7 @@
     /** Longer than any report of sense: what is longer is passed over unread. */
     static final int MAX_HEADER_CHARS = 4096;
 
-    private static final List<String> FIELDS = List.of(
+    private static final List<String> LINK_FIELDS = List.of(
             "utilization.link", "named_metrics.link_utilization", "named_metrics.link", "application_utilization");
 
     private OrcaReport() {}
@@ -27,33 +27,33 @@
             return OptionalDouble.empty();
         }
         if (header.startsWith("JSON ")) {
-            return json(header.substring(5));
+            return parseJson(header.substring(5));
         }
-        return header.startsWith("TEXT ") ? text(header.substring(5)) : OptionalDouble.empty();
+        return header.startsWith("TEXT ") ? parseText(header.substring(5)) : OptionalDouble.empty();
     }
 
-    private static OptionalDouble text(String pairs) {
-        for (String field : FIELDS) {
+    private static OptionalDouble parseText(String pairs) {
+        for (String field : LINK_FIELDS) {
             for (String pair : pairs.split(",")) {
                 int equals = pair.indexOf('=');
                 if (equals > 0 && pair.substring(0, equals).strip().equals(field)) {
-                    return number(pair.substring(equals + 1).strip());
+                    return parseUtilization(pair.substring(equals + 1).strip());
                 }
             }
         }
         return OptionalDouble.empty();
     }
 
-    private static OptionalDouble json(String body) {
+    private static OptionalDouble parseJson(String body) {
         try {
             JsonElement read = JsonParser.parseString(body);
-            for (String field : FIELDS) {
+            for (String field : LINK_FIELDS) {
                 JsonElement at = read;
                 for (String part : field.split("\\.")) {
                     at = at instanceof JsonObject o ? o.get(part) : null;
                 }
                 if (at != null && at.isJsonPrimitive()) {
-                    return number(at.getAsString());
+                    return parseUtilization(at.getAsString());
                 }
             }
         } catch (JsonParseException e) {
@@ -62,7 +62,7 @@
         return OptionalDouble.empty();
     }
 
-    private static OptionalDouble number(String text) {
+    private static OptionalDouble parseUtilization(String text) {
         if (!text.matches("[0-9]{1,9}(\\.[0-9]{1,18})?([eE]-?[0-9]{1,2})?")) {
             return OptionalDouble.empty(); // a sign, NaN or Infinity is no utilization
         }
--- a/src/main/java/dockshed/names/Dns.java
+++ b/src/main/java/dockshed/names/Dns.java
@@ -60,36 +60,36 @@
     }
 
     static Answer parse(byte[] packet) throws MalformedMessageException {
-        return new Reader(packet).answer();
+        return new Reader(packet).readAnswer();
     }
 
     private static final class Reader {
-        private final byte[] in;
-        private int at;
+        private final byte[] packet;
+        private int position;
 
         Reader(byte[] in) {
-            this.in = in;
+            this.packet = in;
         }
 
-        Answer answer() throws MalformedMessageException {
-            int id = u16();
-            int flags = u16();
+        Answer readAnswer() throws MalformedMessageException {
+            int id = readU16();
+            int flags = readU16();
             if ((flags & 0x8000) == 0) {
                 throw new MalformedMessageException("not an answer");
             }
-            int questions = u16();
-            int records = u16() + u16() + u16();
+            int questions = readU16();
+            int records = readU16() + readU16() + readU16();
             if (questions != 1) {
                 throw new MalformedMessageException("questions: " + questions);
             }
-            String question = name();
-            int type = u16();
-            u16();
+            String question = readName();
+            int type = readU16();
+            readU16();
             List<Record> out = new ArrayList<>();
             boolean cut = (flags & 0x0200) != 0;
-            for (int i = 0; i < records && !(cut && at >= in.length); i++) {
+            for (int i = 0; i < records && !(cut && position >= packet.length); i++) {
                 try {
-                    out.add(record());
+                    out.add(readRecord());
                 } catch (MalformedMessageException e) {
                     if (!cut) {
                         throw e;
@@ -100,20 +100,21 @@
             return new Answer(id, flags & 15, cut, question, type, out);
         }
 
-        private Record record() throws MalformedMessageException {
-            String name = name();
-            int type = u16();
-            u16();
-            u16();
-            u16();
-            int length = u16();
-            int end = at + length;
-            if (end > in.length) {
+        private Record readRecord() throws MalformedMessageException {
+            String name = readName();
+            int type = readU16();
+            readU16();
+            readU16();
+            readU16();
+            int length = readU16();
+            int end = position + length;
+            if (end > packet.length) {
                 throw new MalformedMessageException("record beyond the end");
             }
             Record r =
                     switch (type) {
-                        case SRV -> new Record(name, type, u16(), u16(), u16(), name(), null, List.of(), 0);
+                        case SRV ->
+                            new Record(name, type, readU16(), readU16(), readU16(), readName(), null, List.of(), 0);
                         case A -> {
                             if (length != 4) {
                                 throw new MalformedMessageException("address of " + length + " bytes");
@@ -125,60 +126,61 @@
                                     0,
                                     0,
                                     null,
-                                    u8() + "." + u8() + "." + u8() + "." + u8(),
+                                    readU8() + "." + readU8() + "." + readU8() + "." + readU8(),
                                     List.of(),
                                     0);
                         }
                         case TXT -> {
                             List<String> texts = new ArrayList<>();
-                            while (at < end) {
-                                int size = u8();
-                                if (at + size > end) {
+                            while (position < end) {
+                                int size = readU8();
+                                if (position + size > end) {
                                     throw new MalformedMessageException("text beyond its record");
                                 }
-                                texts.add(new String(in, at, size, StandardCharsets.UTF_8));
-                                at += size;
+                                texts.add(new String(packet, position, size, StandardCharsets.UTF_8));
+                                position += size;
                             }
                             yield new Record(name, type, 0, 0, 0, null, null, texts, 0);
                         }
                         case SOA -> {
-                            name();
-                            name();
-                            yield new Record(name, type, 0, 0, 0, null, null, List.of(), (long) u16() << 16 | u16());
+                            readName();
+                            readName();
+                            yield new Record(
+                                    name, type, 0, 0, 0, null, null, List.of(), (long) readU16() << 16 | readU16());
                         }
                         default -> new Record(name, type, 0, 0, 0, null, null, List.of(), 0);
                     };
-            if (at > end) {
+            if (position > end) {
                 throw new MalformedMessageException("record longer than it says");
             }
-            at = end;
+            position = end;
             return r;
         }
 
         /** A name, followed through its pointers, which must lead backwards; in lower case. */
-        private String name() throws MalformedMessageException {
+        private String readName() throws MalformedMessageException {
             StringBuilder out = new StringBuilder();
-            int here = at;
-            int least = at;
+            int here = position;
+            int least = position;
             boolean jumped = false;
             while (true) {
-                if (here >= in.length) {
+                if (here >= packet.length) {
                     throw new MalformedMessageException("name beyond the end");
                 }
-                int length = in[here] & 0xff;
+                int length = packet[here] & 0xff;
                 if (length == 0) {
                     if (!jumped) {
-                        at = here + 1;
+                        position = here + 1;
                     }
                     return out.toString();
                 }
                 if (length >= 0xc0) {
-                    if (here + 1 >= in.length) {
+                    if (here + 1 >= packet.length) {
                         throw new MalformedMessageException("name beyond the end");
                     }
-                    int to = (length & 0x3f) << 8 | in[here + 1] & 0xff;
+                    int to = (length & 0x3f) << 8 | packet[here + 1] & 0xff;
                     if (!jumped) {
-                        at = here + 2;
+                        position = here + 2;
                     }
                     jumped = true;
                     if (to >= least) {
@@ -188,24 +190,25 @@
                     here = to;
                     continue;
                 }
-                if (length > 63 || here + 1 + length > in.length || out.length() + length > 255) {
+                if (length > 63 || here + 1 + length > packet.length || out.length() + length > 255) {
                     throw new MalformedMessageException("bad label");
                 }
                 out.append(out.length() == 0 ? "" : ".")
-                        .append(new String(in, here + 1, length, StandardCharsets.US_ASCII).toLowerCase(Locale.ROOT));
+                        .append(new String(packet, here + 1, length, StandardCharsets.US_ASCII)
+                                .toLowerCase(Locale.ROOT));
                 here += 1 + length;
             }
         }
 
-        private int u8() throws MalformedMessageException {
-            if (at >= in.length) {
+        private int readU8() throws MalformedMessageException {
+            if (position >= packet.length) {
                 throw new MalformedMessageException("ends early");
             }
-            return in[at++] & 0xff;
+            return packet[position++] & 0xff;
         }
 
-        private int u16() throws MalformedMessageException {
-            return u8() << 8 | u8();
+        private int readU16() throws MalformedMessageException {
+            return readU8() << 8 | readU8();
         }
     }
 }
--- a/src/main/java/dockshed/names/DnsDiscovery.java
+++ b/src/main/java/dockshed/names/DnsDiscovery.java
@@ -38,26 +38,26 @@
     }
 
     /** A query that is out: to whom, when, and the question by name; null for the whole list. */
-    private record PendingQuery(InetSocketAddress to, long at, EdgeServerListUpdater.Question of) {}
+    private record PendingQuery(InetSocketAddress sentTo, long sentAt, EdgeServerListUpdater.Question question) {}
 
     private final EdgeServerList list = new EdgeServerList();
-    private final EdgeServerListUpdater survey = new EdgeServerListUpdater(list, SERVICE_NAME);
+    private final EdgeServerListUpdater updater = new EdgeServerListUpdater(list, SERVICE_NAME);
     private final Listener listener;
     private final Clock clock;
-    private final TimerQueue deadlines;
-    private InetSocketAddress server;
+    private final TimerQueue timers;
+    private InetSocketAddress nameServer;
     private final Random random;
-    private final Map<Integer, PendingQuery> asked = new HashMap<>(); // by query number
+    private final Map<Integer, PendingQuery> pendingQueries = new HashMap<>(); // by query number
     private Channel channel;
-    private boolean confirmed;
-    private boolean reached = true;
-    private long answeredAt;
+    private boolean listConfirmed;
+    private boolean reachable = true;
+    private long lastAnswerAt;
 
     public DnsDiscovery(Listener listener, Clock clock, TimerQueue deadlines, InetSocketAddress server, long seed) {
         this.listener = listener;
         this.clock = clock;
-        this.deadlines = deadlines;
-        this.server = server;
+        this.timers = deadlines;
+        this.nameServer = server;
         random = new Random(seed);
     }
 
@@ -69,12 +69,12 @@
 
     /** Begins to ask the name server, from a port of the address given. */
     public void start(Net net, InetSocketAddress from) {
-        answeredAt = clock.now();
+        lastAnswerAt = clock.now();
         ChannelFuture bound = net.bindDatagrams(from, new SimpleChannelInboundHandler<DatagramPacket>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                 try {
-                    answer(Dns.parse(Net.toBytes(packet.content())), packet.sender());
+                    handleAnswer(Dns.parse(Net.toBytes(packet.content())), packet.sender());
                 } catch (Dns.MalformedMessageException e) {
                     LOG.warn("name server's answer malformed: why={}", e.getMessage());
                 }
@@ -88,7 +88,7 @@
         channel = bound.channel();
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                ask(clock.now());
+                queryList(clock.now());
             } else {
                 LOG.error(
                         "name server cannot be asked: from={} why={}",
@@ -100,65 +100,69 @@
 
     /** The name server has another address from now on: it is asked at once, and the numbers go on. */
     public void changeServer(InetSocketAddress to) {
-        if (to.equals(server)) {
+        if (to.equals(nameServer)) {
             return;
         }
-        LOG.info("name server moved: from={} to={} number={}", server, to, list.serial());
-        server = to;
-        survey.reset(); // what one server began the other does not finish
-        asked.values().removeIf(q -> q.of() != null); // one that is being shut down may say that it knows nobody
+        LOG.info("name server moved: from={} to={} number={}", nameServer, to, list.serial());
+        nameServer = to;
+        updater.reset(); // what one server began the other does not finish
+        pendingQueries
+                .values()
+                .removeIf(q -> q.question() != null); // one that is being shut down may say that it knows nobody
         if (channel != null && channel.isActive()) {
-            query(null);
+            sendQuery(null);
         }
     }
 
-    private void ask(long due) {
+    private void queryList(long due) {
         long now = clock.now();
-        deadlines.schedule(now + QUERY_INTERVAL_US, this::ask);
-        asked.values().removeIf(q -> now - q.at() > 10 * ANSWER_TIMEOUT_US);
-        boolean was = reached;
-        reached = now - answeredAt < 2 * ANSWER_TIMEOUT_US;
-        if (was != reached) {
-            LOG.warn("name server {}", reached ? "reached again" : "out of reach: the last list stands");
+        timers.schedule(now + QUERY_INTERVAL_US, this::queryList);
+        pendingQueries.values().removeIf(q -> now - q.sentAt() > 10 * ANSWER_TIMEOUT_US);
+        boolean was = reachable;
+        reachable = now - lastAnswerAt < 2 * ANSWER_TIMEOUT_US;
+        if (was != reachable) {
+            LOG.warn("name server {}", reachable ? "reached again" : "out of reach: the last list stands");
         }
-        query(null);
-        askMore(now);
+        sendQuery(null);
+        queryOpenQuestions(now);
     }
 
     /** What the list lacks, a few at a time. */
-    private void askMore(long now) {
-        for (EdgeServerListUpdater.Question q = survey.nextQuestion(now); q != null; q = survey.nextQuestion(now)) {
-            query(q);
+    private void queryOpenQuestions(long now) {
+        for (EdgeServerListUpdater.Question q = updater.nextQuestion(now); q != null; q = updater.nextQuestion(now)) {
+            sendQuery(q);
         }
     }
 
-    private void query(EdgeServerListUpdater.Question of) {
+    private void sendQuery(EdgeServerListUpdater.Question of) {
         int id = random.nextInt(1 << 16);
-        asked.put(id, new PendingQuery(server, clock.now(), of));
+        pendingQueries.put(id, new PendingQuery(nameServer, clock.now(), of));
         byte[] query = of == null ? Dns.query(id, SERVICE_NAME, Dns.SRV) : Dns.query(id, of.target(), of.type());
-        channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(query), server));
+        channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(query), nameServer));
     }
 
-    private void answer(Answer a, InetSocketAddress from) throws Dns.MalformedMessageException {
-        PendingQuery q = asked.get(a.id());
-        if (q == null || !q.to().equals(from)) {
+    private void handleAnswer(Answer a, InetSocketAddress from) throws Dns.MalformedMessageException {
+        PendingQuery q = pendingQueries.get(a.id());
+        if (q == null || !q.sentTo().equals(from)) {
             LOG.debug("name server's answer to no query: from={} id={}", from, a.id());
             return;
         }
-        String name = q.of() == null ? SERVICE_NAME : q.of().target();
-        if (!a.question().equals(name) || a.type() != (q.of() == null ? Dns.SRV : q.of().type())) {
+        String name = q.question() == null ? SERVICE_NAME : q.question().target();
+        if (!a.question().equals(name)
+                || a.type() != (q.question() == null ? Dns.SRV : q.question().type())) {
             throw new Dns.MalformedMessageException("answers another question than was asked: " + a.question());
         }
-        asked.remove(a.id());
-        if (a.responseCode() != 0 && (q.of() == null || a.responseCode() != Dns.NXDOMAIN)) {
+        pendingQueries.remove(a.id());
+        if (a.responseCode() != 0 && (q.question() == null || a.responseCode() != Dns.NXDOMAIN)) {
             return; // its own trouble: asked again
         }
-        answeredAt = clock.now();
+        lastAnswerAt = clock.now();
         long before = list.serial();
-        List<Server> changes = q.of() == null ? survey.applyListAnswer(a) : survey.applyRecordAnswer(q.of(), a);
-        boolean whole = survey.isSettled();
-        if (changes != null && (!changes.isEmpty() || whole && (list.serial() != before || !confirmed))) {
-            confirmed |= whole;
+        List<Server> changes =
+                q.question() == null ? updater.applyListAnswer(a) : updater.applyRecordAnswer(q.question(), a);
+        boolean whole = updater.isSettled();
+        if (changes != null && (!changes.isEmpty() || whole && (list.serial() != before || !listConfirmed))) {
+            listConfirmed |= whole;
             LOG.info(
                     "list of edge servers: number={} before={} changed={}{}",
                     list.serial(),
@@ -167,6 +171,6 @@
                     a.truncated() ? " cut" : "");
             listener.onUpdate(ListScope.CHANGES, changes, list.addresses());
         }
-        askMore(clock.now());
+        queryOpenQuestions(clock.now());
     }
 }
--- a/src/main/java/dockshed/names/EdgeServerListUpdater.java
+++ b/src/main/java/dockshed/names/EdgeServerListUpdater.java
@@ -34,28 +34,28 @@
 
     /** What an answer to the list says of a target: its SRV record, and the others as far as they are known. */
     private static final class Target {
-        final Record service;
+        final Record srv;
         Record address;
-        Record text;
+        Record txt;
 
         Target(Record service) {
-            this.service = service;
+            this.srv = service;
         }
     }
 
     private final EdgeServerList list;
-    private final String service;
+    private final String serviceName;
     private final Map<String, Target> targets = new LinkedHashMap<>();
-    private final Set<Question> needed = new LinkedHashSet<>();
-    private final Set<Question> refreshed = new LinkedHashSet<>();
-    private final Map<Question, Long> out = new HashMap<>();
-    private long number = -1;
+    private final Set<Question> neededQuestions = new LinkedHashSet<>();
+    private final Set<Question> refreshQuestions = new LinkedHashSet<>();
+    private final Map<Question, Long> openQuestions = new HashMap<>();
+    private long serial = -1;
     private boolean complete;
-    private int budget;
+    private int refreshesLeft;
 
     EdgeServerListUpdater(EdgeServerList list, String service) {
         this.list = list;
-        this.service = service;
+        this.serviceName = service;
     }
 
     /** An answer to the question for the whole list: what changes by it; null where it is of no use or older than known. */
@@ -66,38 +66,38 @@
             throw new Dns.MalformedMessageException("list without a serial");
         }
         if (undated) {
-            told = Math.max(number, list.serial()); // what was cut off may be the serial
+            told = Math.max(serial, list.serial()); // what was cut off may be the serial
         }
-        budget = MAX_REFRESHES_PER_LIST;
-        if (told < list.serial() || told == number && complete && isSettled()) {
+        refreshesLeft = MAX_REFRESHES_PER_LIST;
+        if (told < list.serial() || told == serial && complete && isSettled()) {
             return told < list.serial() ? null : List.of();
         }
-        boolean news = told != number;
+        boolean news = told != serial;
         if (news) {
-            number = told;
+            serial = told;
             complete = false; // until one that is not cut has told all of it
-            needed.clear();
-            refreshed.clear();
+            neededQuestions.clear();
+            refreshQuestions.clear();
         }
         Map<String, Record> addresses = EdgeServerList.byName(a.records(), Dns.A);
         Map<String, Record> texts = EdgeServerList.byName(a.records(), Dns.TXT);
         Set<String> named = new HashSet<>();
         for (Record r : a.records()) {
-            if (r.type() != Dns.SRV || !r.name().equals(service) || targets.size() >= MAX_TARGETS) {
+            if (r.type() != Dns.SRV || !r.name().equals(serviceName) || targets.size() >= MAX_TARGETS) {
                 continue;
             }
             Target was = targets.get(r.target());
             Target t = new Target(r);
             t.address = addresses.getOrDefault(r.target(), was == null ? null : was.address);
-            t.text = texts.getOrDefault(r.target(), was == null ? null : was.text);
+            t.txt = texts.getOrDefault(r.target(), was == null ? null : was.txt);
             targets.put(r.target(), t);
             named.add(r.target());
             boolean known = list.get(id(r.target())) != null;
             if (t.address == null && !known) {
-                need(needed, r.target(), Dns.A);
+                enqueue(neededQuestions, r.target(), Dns.A);
             }
-            if (!texts.containsKey(r.target()) && (known ? news || was == null : t.text == null)) {
-                need(known ? refreshed : needed, r.target(), Dns.TXT);
+            if (!texts.containsKey(r.target()) && (known ? news || was == null : t.txt == null)) {
+                enqueue(known ? refreshQuestions : neededQuestions, r.target(), Dns.TXT);
             }
         }
         List<ListedServer> listings = new ArrayList<>();
@@ -114,7 +114,7 @@
         }
         if (a.truncated()) {
             if (news) {
-                absent(named);
+                enqueueAbsent(named);
             }
             return list.merge(told, listings);
         }
@@ -123,15 +123,15 @@
         return list.replaceAll(told, listings);
     }
 
-    private void need(Set<Question> among, String target, int type) {
+    private void enqueue(Set<Question> among, String target, int type) {
         Question q = new Question(target, type);
-        if (!out.containsKey(q)) {
+        if (!openQuestions.containsKey(q)) {
             among.add(q);
         }
     }
 
     /** Of the servers that a cut answer does not name: whether they have an address still. */
-    private void absent(Set<String> named) {
+    private void enqueueAbsent(Set<String> named) {
         String suffix = named.stream()
                 .map(n -> n.split("\\.", 3))
                 .filter(l -> l.length == 3)
@@ -141,14 +141,14 @@
         for (ListedServer l : list.all()) {
             String target = l.server().id() + "." + l.server().zone() + suffix;
             if (!suffix.isEmpty() && !named.contains(target)) {
-                need(refreshed, target, Dns.A);
+                enqueue(refreshQuestions, target, Dns.A);
             }
         }
     }
 
     /** An answer to a question by name: what changes by it. */
     List<Server> applyRecordAnswer(Question q, Answer a) throws Dns.MalformedMessageException {
-        out.remove(q);
+        openQuestions.remove(q);
         Record r = EdgeServerList.byName(a.records(), q.type()).get(q.target());
         Target t = targets.get(q.target());
         if (r == null && q.type() == Dns.A) { // one that is gone has no records
@@ -161,59 +161,59 @@
         if (q.type() == Dns.A) {
             t.address = r;
         } else {
-            t.text = r != null ? r : new Record(q.target(), Dns.TXT, 0, 0, 0, null, null, List.of(), 0);
+            t.txt = r != null ? r : new Record(q.target(), Dns.TXT, 0, 0, 0, null, null, List.of(), 0);
         }
         ListedServer l = listing(t);
-        return l == null ? List.of() : list.merge(number, List.of(l));
+        return l == null ? List.of() : list.merge(serial, List.of(l));
     }
 
     /** The next question to be put now, or null. */
     Question nextQuestion(long now) {
-        for (Map.Entry<Question, Long> e : out.entrySet()) {
+        for (Map.Entry<Question, Long> e : openQuestions.entrySet()) {
             if (now - e.getValue() > QUESTION_TIMEOUT_US) {
                 e.setValue(now);
                 return e.getKey();
             }
         }
-        if (out.size() >= MAX_OPEN_QUESTIONS) {
+        if (openQuestions.size() >= MAX_OPEN_QUESTIONS) {
             return null;
         }
         Question q = null;
-        if (!needed.isEmpty()) {
-            q = needed.iterator().next();
-            needed.remove(q);
-        } else if (!refreshed.isEmpty() && budget > 0) {
-            budget--;
-            q = refreshed.iterator().next();
-            refreshed.remove(q);
+        if (!neededQuestions.isEmpty()) {
+            q = neededQuestions.iterator().next();
+            neededQuestions.remove(q);
+        } else if (!refreshQuestions.isEmpty() && refreshesLeft > 0) {
+            refreshesLeft--;
+            q = refreshQuestions.iterator().next();
+            refreshQuestions.remove(q);
         }
         if (q != null) {
-            out.put(q, now);
+            openQuestions.put(q, now);
         }
         return q;
     }
 
     /** Whether nothing of the last list, as far as it was shown, is still to be asked for or answered. */
     boolean isSettled() {
-        return number >= 0 && needed.isEmpty() && refreshed.isEmpty() && out.isEmpty();
+        return serial >= 0 && neededQuestions.isEmpty() && refreshQuestions.isEmpty() && openQuestions.isEmpty();
     }
 
     /** Another server is asked from now on: what was out is put to it as its list wants. */
     void reset() {
-        out.clear();
-        needed.clear();
-        refreshed.clear();
-        number = -1;
+        openQuestions.clear();
+        neededQuestions.clear();
+        refreshQuestions.clear();
+        serial = -1;
         complete = false;
     }
 
     /** What is known of the target as a server of the list; null while it lacks what it can't do without. */
     private ListedServer listing(Target t) throws Dns.MalformedMessageException {
-        ListedServer known = list.get(id(t.service.target()));
-        if (known == null && (t.address == null || t.text == null)) {
+        ListedServer known = list.get(id(t.srv.target()));
+        if (known == null && (t.address == null || t.txt == null)) {
             return null;
         }
-        return EdgeServerList.toListedServer(t.service, t.address, t.text, known);
+        return EdgeServerList.toListedServer(t.srv, t.address, t.txt, known);
     }
 
     private static String id(String target) {
--- a/src/main/java/dockshed/net/ByteHandler.java
+++ b/src/main/java/dockshed/net/ByteHandler.java
@@ -13,7 +13,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ByteHandler.class);
 
     /** Whether the connection was broken off rather than closed. */
-    private boolean broken;
+    private boolean brokenOff;
 
     protected abstract void onBytes(ChannelHandlerContext ctx, byte[] bytes);
 
@@ -67,7 +67,7 @@
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        onClosed(ctx, broken);
+        onClosed(ctx, brokenOff);
     }
 
     /** A peer that does not read what it is sent is not read from either, until it has caught up. */
@@ -79,7 +79,7 @@
     @Override
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            broken = true;
+            brokenOff = true;
             onConnectionBroken();
             ctx.close();
         } else {
--- a/src/main/java/dockshed/net/GracefulShutdown.java
+++ b/src/main/java/dockshed/net/GracefulShutdown.java
@@ -34,8 +34,8 @@
     private final long releaseAt;
     private final long failAt;
     private final long haltAt;
-    private boolean ends;
-    private boolean failed;
+    private boolean releaseStarted;
+    private boolean failStarted;
     private long quietSince = -1; // -1: something is unanswered, or was when last asked
 
     /** {@code told}: when SIGTERM came; {@code longest}: the longest time that a viewer waits. */
@@ -58,8 +58,8 @@
         if (now < releaseAt) {
             return Step.WAIT;
         }
-        if (!ends) {
-            ends = true;
+        if (!releaseStarted) {
+            releaseStarted = true;
             return Step.TELL;
         }
         if (now >= haltAt) {
@@ -67,10 +67,10 @@
         }
         if (unanswered > 0) {
             quietSince = -1;
-            if (now < failAt || failed) {
+            if (now < failAt || failStarted) {
                 return Step.WAIT;
             }
-            failed = true;
+            failStarted = true;
             return Step.FAIL;
         }
         if (quietSince < 0) {
--- a/src/main/java/dockshed/net/HttpFetch.java
+++ b/src/main/java/dockshed/net/HttpFetch.java
@@ -19,7 +19,7 @@
 
     private final Listener listener;
     private Channel channel;
-    private boolean over;
+    private boolean finished;
     private boolean written;
 
     private HttpFetch(Listener listener) {
@@ -49,8 +49,8 @@
         f.channel = coming.channel();
         net.whenDone(coming, done -> {
             if (!done.isSuccess()) {
-                f.broken(false, "not connected: " + done.cause().getMessage());
-            } else if (!f.over) {
+                f.fail(false, "not connected: " + done.cause().getMessage());
+            } else if (!f.finished) {
                 f.channel.writeAndFlush(Net.toByteBuf(request)).addListener(w -> f.written |= w.isSuccess());
             }
         });
@@ -59,12 +59,12 @@
 
     /** Ends it without a word. */
     public void cancel() {
-        over = true;
+        finished = true;
         channel.close();
     }
 
-    private void broken(boolean ran, String why) {
-        if (!over) {
+    private void fail(boolean ran, String why) {
+        if (!finished) {
             cancel();
             listener.onFailure(ran, why);
         }
@@ -79,7 +79,7 @@
 
         @Override
         protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
-            if (over) {
+            if (finished) {
                 return;
             }
             decoder.add(bytes, 0, bytes.length);
@@ -96,13 +96,13 @@
                     listener.onResponse(m);
                 }
             } catch (HttpStyleMessage.MalformedMessageException e) {
-                broken(true, e.getMessage());
+                fail(true, e.getMessage());
             }
         }
 
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
-            broken(written, "connection closed before the whole answer");
+            fail(written, "connection closed before the whole answer");
         }
     }
 }
--- a/src/main/java/dockshed/net/LoopClock.java
+++ b/src/main/java/dockshed/net/LoopClock.java
@@ -10,7 +10,7 @@
 
 /** Unix time in microseconds that never goes back, and one wake-up on the event loop. */
 public final class LoopClock implements Clock {
-    private static final long START_UNIX_US = micros(Instant.now());
+    private static final long START_UNIX_US = toMicros(Instant.now());
     private static final long START_NANOS = System.nanoTime();
 
     /** Microseconds: answers go out 10 ms before viewers' time is up, and are lost half a second after it. */
@@ -19,15 +19,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(LoopClock.class);
 
     private final EventLoop loop;
-    private LongConsumer due;
-    private ScheduledFuture<?> armed;
-    private long armedFor = Long.MAX_VALUE;
+    private LongConsumer wakeUpAction;
+    private ScheduledFuture<?> scheduled;
+    private long scheduledFor = Long.MAX_VALUE;
 
     public LoopClock(EventLoop loop) {
         this.loop = loop;
     }
 
-    private static long micros(Instant t) {
+    private static long toMicros(Instant t) {
         return t.getEpochSecond() * 1_000_000 + t.getNano() / 1000;
     }
 
@@ -37,27 +37,27 @@
     }
 
     public void onWakeUp(LongConsumer what) {
-        due = what;
+        wakeUpAction = what;
     }
 
     /** Asks for a wake-up at a time, unless one is coming sooner. */
     public void wakeAt(long at) {
-        if (at >= armedFor) {
+        if (at >= scheduledFor) {
             return;
         }
-        if (armed != null) {
-            armed.cancel(false);
+        if (scheduled != null) {
+            scheduled.cancel(false);
         }
-        armedFor = at;
-        armed = loop.schedule(
+        scheduledFor = at;
+        scheduled = loop.schedule(
                 () -> {
-                    armed = null;
-                    armedFor = Long.MAX_VALUE;
+                    scheduled = null;
+                    scheduledFor = Long.MAX_VALUE;
                     long now = now();
                     if (now - at > LATE_WARNING_US) {
                         LOG.warn("loop late: ms={}", (now - at) / 1000);
                     }
-                    due.accept(now);
+                    wakeUpAction.accept(now);
                 },
                 Math.max(0, at - now()),
                 TimeUnit.MICROSECONDS);
--- a/src/main/java/dockshed/net/Net.java
+++ b/src/main/java/dockshed/net/Net.java
@@ -47,7 +47,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Net.class);
 
     private final NioEventLoopGroup group;
-    private final Set<Channel> open = new HashSet<>(); // connections, of the loop's thread
+    private final Set<Channel> openChannels = new HashSet<>(); // connections, of the loop's thread
 
     /** The broker's. */
     public Net() {
@@ -125,10 +125,10 @@
 
     /** Netty would accept nobody for a second after a failure; viewers would wait for as long. */
     static final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
-        private final Runnable full;
+        private final Runnable onDescriptorShortage;
 
         AcceptErrorHandler(Runnable full) {
-            this.full = full;
+            this.onDescriptorShortage = full;
         }
 
         @Override
@@ -138,7 +138,7 @@
             }
             LOG.warn("connection not accepted: why={}", cause.toString());
             ctx.channel().config().setAutoRead(false);
-            full.run();
+            onDescriptorShortage.run();
             ctx.channel()
                     .eventLoop()
                     .schedule(
@@ -172,12 +172,12 @@
 
     /** Connections that are open, those accepted and those begun here; on the loop's thread. */
     public int connectionCount() {
-        return open.size();
+        return openChannels.size();
     }
 
     /** Whether something written to a connection has not been handed to the system yet. */
     public boolean hasUnwrittenBytes() {
-        return open.stream().anyMatch(Net::hasUnwrittenBytes);
+        return openChannels.stream().anyMatch(Net::hasUnwrittenBytes);
     }
 
     /** The same of one connection. */
@@ -190,8 +190,8 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel ch) {
-                open.add(ch);
-                ch.closeFuture().addListener(closed -> open.remove(ch));
+                openChannels.add(ch);
+                ch.closeFuture().addListener(closed -> openChannels.remove(ch));
                 ch.pipeline().addLast(handler.get());
             }
         };
--- a/src/main/java/dockshed/net/Signals.java
+++ b/src/main/java/dockshed/net/Signals.java
@@ -13,24 +13,24 @@
     private static final Logger LOG = LoggerFactory.getLogger(Signals.class);
 
     /** What a SIGHUP runs; whether one came before that was known. */
-    private static Runnable hungUp;
+    private static Runnable hangUpAction;
 
-    private static boolean early;
+    private static boolean hangUpPending;
 
     private final Net net;
     private final Clock clock;
-    private final TimerQueue deadlines;
+    private final TimerQueue timers;
     private final Broker broker;
-    private final long longest;
-    private GracefulShutdown end;
+    private final long longestClientDeadlineUs;
+    private GracefulShutdown shutdown;
 
     /** {@code longest}: the longest time that a viewer waits. */
     public Signals(Net net, Clock clock, TimerQueue deadlines, Broker broker, long longest) {
         this.net = net;
         this.clock = clock;
-        this.deadlines = deadlines;
+        this.timers = deadlines;
         this.broker = broker;
-        this.longest = longest;
+        this.longestClientDeadlineUs = longest;
     }
 
     /** {@code leaving}: run as the planned end begins, on no loop's thread. */
@@ -55,8 +55,8 @@
         SignalHandler inherited = Signal.handle(new Signal("HUP"), signal -> {
             Runnable what;
             synchronized (Signals.class) {
-                what = hungUp;
-                early |= what == null;
+                what = hangUpAction;
+                hangUpPending |= what == null;
             }
             if (what != null) {
                 what.run();
@@ -72,9 +72,9 @@
     public static void onHangUp(Runnable what) {
         boolean waits;
         synchronized (Signals.class) {
-            hungUp = what;
-            waits = early;
-            early = false;
+            hangUpAction = what;
+            waits = hangUpPending;
+            hangUpPending = false;
         }
         if (waits) {
             what.run();
@@ -82,20 +82,20 @@
     }
 
     private void begin(long told) {
-        end = new GracefulShutdown(told, longest);
+        shutdown = new GracefulShutdown(told, longestClientDeadlineUs);
         LOG.info("planned end begun: unanswered={} standing={}", broker.unansweredRequests(), broker.activeSessions());
-        look(told);
+        runNextStep(told);
     }
 
-    private void look(long due) {
+    private void runNextStep(long due) {
         long now = clock.now();
         boolean unwritten = net.hasUnwrittenBytes();
-        switch (end.nextStep(now, broker.unansweredRequests(), unwritten)) {
+        switch (shutdown.nextStep(now, broker.unansweredRequests(), unwritten)) {
             case WAIT -> {}
             case TELL -> {
                 LOG.info(
                         "planned end: ms={} unanswered={} standing={} {}",
-                        (now - end.signalledAt()) / 1000,
+                        (now - shutdown.signalledAt()) / 1000,
                         broker.unansweredRequests(),
                         broker.activeSessions(),
                         broker.counts());
@@ -108,11 +108,13 @@
             case TELL_AGAIN -> broker.releaseAll(now);
             case HALT -> {
                 if (unwritten) {
-                    LOG.warn("planned end: not everything could be written: ms={}", (now - end.signalledAt()) / 1000);
+                    LOG.warn(
+                            "planned end: not everything could be written: ms={}",
+                            (now - shutdown.signalledAt()) / 1000);
                 }
                 Runtime.getRuntime().halt(0);
             }
         }
-        deadlines.schedule(now + STEP_INTERVAL_US, this::look);
+        timers.schedule(now + STEP_INTERVAL_US, this::runNextStep);
     }
 }
--- a/src/main/java/dockshed/peers/UdpPeers.java
+++ b/src/main/java/dockshed/peers/UdpPeers.java
@@ -18,23 +18,23 @@
     static final int MAX_DATAGRAM_BYTES = 256;
     private static final Logger LOG = LoggerFactory.getLogger(UdpPeers.class);
 
-    private final List<InetSocketAddress> each;
-    private final InetSocketAddress all;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final List<InetSocketAddress> brokers;
+    private final InetSocketAddress allBrokersAddress;
+    private final Map<InetSocketAddress, Integer> numberByAddress = new HashMap<>();
     private Channel channel;
 
     /** {@code all} may be null: then each is written to. */
     public UdpPeers(List<InetSocketAddress> each, InetSocketAddress all) {
-        this.each = List.copyOf(each);
-        this.all = all;
+        this.brokers = List.copyOf(each);
+        this.allBrokersAddress = all;
         for (int i = 0; i < each.size(); i++) {
-            numbers.putIfAbsent(each.get(i), i);
+            numberByAddress.putIfAbsent(each.get(i), i);
         }
     }
 
     /** The number of the broker that sends from there; -1: none does. */
     public int brokerNumber(InetSocketAddress sender) {
-        return numbers.getOrDefault(sender, -1);
+        return numberByAddress.getOrDefault(sender, -1);
     }
 
     @Override
@@ -65,9 +65,11 @@
             LOG.warn("datagram not sent: bytes={}", message.length);
             return;
         }
-        List<InetSocketAddress> to = all != null
-                ? List.of(all)
-                : each.stream().filter(a -> !a.equals(channel.localAddress())).toList();
+        List<InetSocketAddress> to = allBrokersAddress != null
+                ? List.of(allBrokersAddress)
+                : brokers.stream()
+                        .filter(a -> !a.equals(channel.localAddress()))
+                        .toList();
         for (InetSocketAddress a : to) {
             channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), a));
         }
@@ -76,8 +78,8 @@
     /** To one of them; dropped where the system takes no more: a later one tells more anyway. */
     @Override
     public void send(int to, byte[] message) {
-        if (channel != null && message.length <= MAX_DATAGRAM_BYTES && to >= 0 && to < each.size()) {
-            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), each.get(to)));
+        if (channel != null && message.length <= MAX_DATAGRAM_BYTES && to >= 0 && to < brokers.size()) {
+            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), brokers.get(to)));
         }
     }
 }
