--- a/src/main/java/dockshed/net/ByteHandler.java
+++ b/src/main/java/dockshed/net/ByteHandler.java
@@ -8,34 +8,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection's events: bytes, the end, and whether the peer keeps up with what is written to it. */
+/**
+ * Handles the events of one connection: received bytes, its end, and back-pressure from a peer that reads slowly. All
+ * methods are called on the event loop.
+ */
 public abstract class ByteHandler extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(ByteHandler.class);
 
-    /** Whether the connection was broken off rather than closed. */
+    /** Whether the connection failed with an I/O error, such as a reset, rather than being closed. */
     private boolean brokenOff;
 
+    /** Bytes were received. */
     protected abstract void onBytes(ChannelHandlerContext ctx, byte[] bytes);
 
-    /** Whether what still comes is only to be let past, unread. */
-    protected boolean discardsInput(int count) {
+    /** Whether the {@code byteCount} bytes just received, and not yet passed on, are to be discarded. */
+    protected boolean discardsInput(int byteCount) {
         return false;
     }
 
+    /** The connection is closed; {@code reset}: by an I/O error rather than in order. */
     protected abstract void onClosed(ChannelHandlerContext ctx, boolean reset);
 
-    /** All that had come has been given to {@link #onBytes}; {@code ended}: nothing more will come. */
+    /** All bytes received so far were passed to {@link #onBytes}; {@code ended}: the peer has closed its output. */
     protected void onReadComplete(ChannelHandlerContext ctx, boolean ended) {}
 
-    /** The peer has ended its output, and may have closed the connection; by default it is closed here, too. */
+    /** The peer has closed its output, or the whole connection; by default the connection is closed here, too. */
     protected void onInputEnded(ChannelHandlerContext ctx) {
         ctx.close();
     }
 
-    /** The connection has just been found broken off; {@link #onClosed} follows, after what else is waiting to be done. */
+    /** The connection has failed with an I/O error; {@link #onClosed} follows later, after tasks already queued. */
     protected void onConnectionBroken() {}
 
-    /** What follows an internal error while the connection itself is whole. */
+    /** An internal error occurred while the connection itself is intact; by default it is closed. */
     protected void onInternalError(ChannelHandlerContext ctx) {
         ctx.close();
     }
@@ -57,7 +62,7 @@
         onReadComplete(ctx, Net.inputEnded(ctx.channel()));
     }
 
-    /** Comes only where {@link Net} was asked to leave a connection open whose peer has ended its output. */
+    /** Fired only where {@link Net} was asked to keep a connection open after the peer has closed its output. */
     @Override
     public final void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event == ChannelInputShutdownEvent.INSTANCE) {
@@ -70,7 +75,7 @@
         onClosed(ctx, brokenOff);
     }
 
-    /** A peer that does not read what it is sent is not read from either, until it has caught up. */
+    /** While a peer does not read what it is sent, nothing is read from it either. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         ctx.channel().config().setAutoRead(ctx.channel().isWritable());
@@ -84,7 +89,7 @@
             ctx.close();
         } else {
             LOG.error(
-                    "connection ends after an internal error: remote={}",
+                    "connection closed after an internal error: remote={}",
                     ctx.channel().remoteAddress(),
                     cause);
             onInternalError(ctx);
--- a/src/main/java/dockshed/net/Clock.java
+++ b/src/main/java/dockshed/net/Clock.java
@@ -1,6 +1,7 @@
 package dockshed.net;
 
-/** Tells the time: Unix time in microseconds. */
+/** A source of the current time. */
 public interface Clock {
+    /** Unix time in microseconds. */
     long now();
 }
--- a/src/main/java/dockshed/net/GracefulShutdown.java
+++ b/src/main/java/dockshed/net/GracefulShutdown.java
@@ -1,12 +1,19 @@
 package dockshed.net;
 
 /**
- * What is due when, from SIGTERM on; no I/O. Viewers still come for a while and are served as ever, and sessions play on
- * for as long as the program may stay. Then nothing new is taken and each session is told its end, whether requests are
- * unanswered or not; those go on until they are answered or shortly before the program would be killed. It halts once
- * nothing that was written waits any more, and nothing more came to be written for a while.
+ * The schedule of a shutdown after SIGTERM; performs no I/O. The broker first goes on serving: viewers still arrive for
+ * a while, and active sessions play on for as long as the process may run. Then it accepts nothing new and notifies
+ * each session of its end, whether or not requests are unanswered; those continue until they are answered or until
+ * shortly before the process would be killed. It halts once everything is written and nothing more was written for a
+ * while.
+ *
+ * <p>Times are microseconds of the caller's clock.
  */
 final class GracefulShutdown {
+    /**
+     * What to do now. WAIT: nothing. TELL: accept nothing new and notify all sessions of their end. TELL_AGAIN: notify
+     * sessions that were set up since. FAIL: fail the requests still unanswered. HALT: end the process.
+     */
     enum Step {
         WAIT,
         TELL,
@@ -15,19 +22,21 @@
         HALT
     }
 
-    /** New connections come for 0.4 s at most, and requests for 0.2 s more; some slack on top. */
+    /**
+     * New connections arrive for up to 0.4 s after SIGTERM, and requests on them for another 0.2 s; plus some slack.
+     */
     static final long MIN_SERVING_US = 800_000;
-    /** Viewers' time counts up to this, and SIGKILL comes no sooner than that and the grace after SIGTERM. */
+    /** Longest client deadline taken into account: SIGKILL follows SIGTERM no sooner than that plus the grace. */
     private static final long MAX_CLIENT_DEADLINE_US = 3_000_000;
 
     private static final long KILL_GRACE_US = 700_000;
-    /** What is kept of that: to tell every viewer and server, on a processor that others use too. */
+    /** Before SIGKILL: time to notify every viewer and server, on a processor shared with others. */
     private static final long RELEASE_MARGIN_US = 250_000;
-    /** Before SIGKILL: to tell those still unanswered; to have halted. */
+    /** Before SIGKILL: time to fail the requests still unanswered. */
     private static final long FAIL_MARGIN_US = 100_000;
-
+    /** Before SIGKILL: time by which the process has halted. */
     private static final long HALT_MARGIN_US = 20_000;
-    /** So long nothing may have come or waited: what a viewer still sends, unread, would reset its connection. */
+    /** Nothing may be written for this long before a halt: input of a viewer left unread would reset its connection. */
     private static final long QUIET_PERIOD_US = 50_000;
 
     private final long signalledAt;
@@ -36,24 +45,32 @@
     private final long haltAt;
     private boolean releaseStarted;
     private boolean failStarted;
-    private long quietSince = -1; // -1: something is unanswered, or was when last asked
+    private long quietSince = -1; // -1: requests were unanswered at the last call
 
-    /** {@code told}: when SIGTERM came; {@code longest}: the longest time that a viewer waits. */
-    GracefulShutdown(long told, long longest) {
-        this.signalledAt = told;
-        long killed = told
+    /**
+     * {@code signalledAt}: when SIGTERM arrived; {@code longestClientDeadline}: the longest time that a viewer waits.
+     */
+    GracefulShutdown(long signalledAt, long longestClientDeadline) {
+        this.signalledAt = signalledAt;
+        long killedAt = signalledAt
                 + Math.max(
-                        MIN_SERVING_US + RELEASE_MARGIN_US, Math.min(longest, MAX_CLIENT_DEADLINE_US) + KILL_GRACE_US);
-        releaseAt = killed - RELEASE_MARGIN_US;
-        failAt = killed - FAIL_MARGIN_US;
-        haltAt = killed - HALT_MARGIN_US;
+                        MIN_SERVING_US + RELEASE_MARGIN_US,
+                        Math.min(longestClientDeadline, MAX_CLIENT_DEADLINE_US) + KILL_GRACE_US);
+        releaseAt = killedAt - RELEASE_MARGIN_US;
+        failAt = killedAt - FAIL_MARGIN_US;
+        haltAt = killedAt - HALT_MARGIN_US;
     }
 
     long signalledAt() {
         return signalledAt;
     }
 
-    /** The next step; asked again and again, each step but WAIT having been carried out. */
+    /**
+     * The next step. To be called repeatedly, after the step returned before was carried out.
+     *
+     * @param unanswered number of requests without an answer
+     * @param unwritten  whether bytes wait to be written to any connection
+     */
     Step nextStep(long now, int unanswered, boolean unwritten) {
         if (now < releaseAt) {
             return Step.WAIT;
@@ -75,7 +92,7 @@
         }
         if (quietSince < 0) {
             quietSince = now;
-            return Step.TELL_AGAIN; // those answered since the first time
+            return Step.TELL_AGAIN; // sessions set up since the first time
         }
         if (unwritten) {
             quietSince = now;
--- a/src/main/java/dockshed/net/HttpFetch.java
+++ b/src/main/java/dockshed/net/HttpFetch.java
@@ -7,14 +7,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** One GET over HTTP/1.1 on a connection of its own. */
+/** One HTTP/1.1 GET request on a connection of its own. */
 public final class HttpFetch {
-    /** What came of it; exactly one of these is called, unless the fetch is cancelled first. */
+    /** Receives the result: exactly one of these is called, unless the request is cancelled first. */
     public interface Listener {
-        void onResponse(HttpStyleMessage answer);
+        /** A complete response, whatever its status. */
+        void onResponse(HttpStyleMessage response);
 
-        /** {@code ran}: the request may have reached the server. */
-        void onFailure(boolean ran, String why);
+        /** There is no usable response; {@code maybeProcessed}: the request may have reached the server. */
+        void onFailure(boolean maybeProcessed, String why);
     }
 
     private final Listener listener;
@@ -26,15 +27,22 @@
         this.listener = listener;
     }
 
+    /**
+     * Sends the request.
+     *
+     * @param headers       in addition to Host and Connection
+     * @param connectMillis limit for connecting; the caller limits the rest by {@link #cancel}
+     * @param maxBytes      size of the largest response accepted
+     */
     public static HttpFetch get(
             Net net,
             InetSocketAddress to,
             String path,
             Map<String, String> headers,
             int connectMillis,
-            int limit,
+            int maxBytes,
             Listener listener) {
-        HttpFetch f = new HttpFetch(listener);
+        HttpFetch fetch = new HttpFetch(listener);
         StringBuilder head = new StringBuilder("GET ")
                 .append(path)
                 .append(" HTTP/1.1\r\nHost: ")
@@ -45,36 +53,39 @@
         headers.forEach(
                 (name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
         byte[] request = head.append("\r\n").toString().getBytes(StandardCharsets.UTF_8);
-        ChannelFuture coming = net.connect(to, connectMillis, () -> f.new Handler(limit));
-        f.channel = coming.channel();
-        net.whenDone(coming, done -> {
+        ChannelFuture connecting = net.connect(to, connectMillis, () -> fetch.new Handler(maxBytes));
+        fetch.channel = connecting.channel();
+        net.whenDone(connecting, done -> {
             if (!done.isSuccess()) {
-                f.fail(false, "not connected: " + done.cause().getMessage());
-            } else if (!f.finished) {
-                f.channel.writeAndFlush(Net.toByteBuf(request)).addListener(w -> f.written |= w.isSuccess());
+                fetch.fail(false, "not connected: " + done.cause().getMessage());
+            } else if (!fetch.finished) {
+                fetch.channel
+                        .writeAndFlush(Net.toByteBuf(request))
+                        .addListener(write -> fetch.written |= write.isSuccess());
             }
         });
-        return f;
+        return fetch;
     }
 
-    /** Ends it without a word. */
+    /** Closes the connection without calling the listener. */
     public void cancel() {
         finished = true;
         channel.close();
     }
 
-    private void fail(boolean ran, String why) {
+    /** Cancels and reports a failure, unless the request is finished. */
+    private void fail(boolean maybeProcessed, String why) {
         if (!finished) {
             cancel();
-            listener.onFailure(ran, why);
+            listener.onFailure(maybeProcessed, why);
         }
     }
 
     private final class Handler extends ByteHandler {
         private final HttpStyleMessageDecoder decoder;
 
-        Handler(int limit) {
-            decoder = new HttpStyleMessageDecoder(limit);
+        Handler(int maxBytes) {
+            decoder = new HttpStyleMessageDecoder(maxBytes);
         }
 
         @Override
@@ -84,16 +95,17 @@
             }
             decoder.add(bytes, 0, bytes.length);
             try {
-                HttpStyleMessage m = decoder.next();
-                while (m != null && m.status() >= 100 && m.status() < 200) {
-                    m = decoder.next(); // interim answers
+                HttpStyleMessage message = decoder.next();
+                while (message != null && message.status() >= 100 && message.status() < 200) {
+                    message = decoder.next(); // interim responses
                 }
-                if (m != null && (!m.startLine().startsWith("HTTP/1.") || m.status() < 0)) {
-                    throw new HttpStyleMessage.MalformedMessageException("no HTTP answer");
+                if (message != null && (!message.startLine().startsWith("HTTP/1.") || message.status() < 0)) {
+                    throw new HttpStyleMessage.MalformedMessageException(
+                            "expected an HTTP/1.x response with a status code");
                 }
-                if (m != null) {
+                if (message != null) {
                     cancel();
-                    listener.onResponse(m);
+                    listener.onResponse(message);
                 }
             } catch (HttpStyleMessage.MalformedMessageException e) {
                 fail(true, e.getMessage());
@@ -102,7 +114,7 @@
 
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
-            fail(written, "connection closed before the whole answer");
+            fail(written, "connection closed before the response was complete");
         }
     }
 }
--- a/src/main/java/dockshed/net/HttpStyleMessage.java
+++ b/src/main/java/dockshed/net/HttpStyleMessage.java
@@ -6,11 +6,13 @@
 import java.util.Map;
 
 /**
- * A message of the form that RTSP and HTTP share: a first line, headers, an empty line, a body. Header names are
- * kept in lower case; of equal ones the last counts.
+ * A message in the format that RTSP and HTTP/1.1 share: a start line, headers, an empty line and a body.
+ *
+ * @param startLine the request line or status line
+ * @param headers   values by header name in lower case; of headers with the same name the last one is kept
  */
 public record HttpStyleMessage(String startLine, Map<String, String> headers, byte[] body) {
-    /** What cannot be read; the connection that brought it is of no further use. */
+    /** Input is not a message of this format; the connection that it came on is of no further use. */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -19,33 +21,35 @@
         }
     }
 
+    /** The value of a header, its name given in lower case; null if absent. */
     public String header(String name) {
         return headers.get(name);
     }
 
-    public String header(String name, String absent) {
-        return headers.getOrDefault(name, absent);
+    public String header(String name, String defaultValue) {
+        return headers.getOrDefault(name, defaultValue);
     }
 
+    /** The body, decoded as UTF-8. */
     public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    /** The part of the first line at this place, or an empty text. */
+    /** One of the up to three parts of the start line, counted from 0; an empty text if there is none. */
     public String startLinePart(int index) {
         String[] words = startLine.split(" ", 3);
         return index < words.length ? words[index] : "";
     }
 
-    /** The status code of an answer; -1 where there is none. */
+    /** The status code of a response; -1 if the start line has none. */
     public int status() {
         String code = startLinePart(1);
         return code.length() == 3 && code.chars().allMatch(c -> c >= '0' && c <= '9') ? Integer.parseInt(code) : -1;
     }
 
-    /** Lays a message out for the wire; Content-Length is added. */
-    public static byte[] encode(String first, Map<String, String> headers, byte[] body) {
-        StringBuilder head = new StringBuilder(first).append("\r\n");
+    /** Encodes a message as sent over a connection; adds the Content-Length header. */
+    public static byte[] encode(String startLine, Map<String, String> headers, byte[] body) {
+        StringBuilder head = new StringBuilder(startLine).append("\r\n");
         headers.forEach(
                 (name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
         head.append("Content-Length: ").append(body.length).append("\r\n\r\n");
@@ -56,6 +60,7 @@
         return out;
     }
 
+    /** Parses a start line and headers. */
     static HttpStyleMessage parse(String head, byte[] body) throws MalformedMessageException {
         String[] lines = head.split("\r?\n", -1);
         return new HttpStyleMessage(lines[0], fields(lines), body);
@@ -69,7 +74,7 @@
             }
             int colon = lines[i].indexOf(':');
             if (colon < 1 || lines[i].charAt(colon - 1) <= ' ' || lines[i].charAt(0) <= ' ') {
-                throw new MalformedMessageException("header line without a name");
+                throw new MalformedMessageException("expected a header line 'name: value', got one without a name");
             }
             headers.put(
                     lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
--- a/src/main/java/dockshed/net/HttpStyleMessageDecoder.java
+++ b/src/main/java/dockshed/net/HttpStyleMessageDecoder.java
@@ -6,32 +6,33 @@
 import java.util.Arrays;
 
 /**
- * Takes {@link HttpStyleMessage} messages out of a stream of bytes, however the stream was cut. A body is as long as its
- * Content-Length says or comes in chunks; a message without either has none.
+ * Decodes a stream of bytes, however it is divided into reads, into {@link HttpStyleMessage}s. A body is as long as its
+ * Content-Length says or is sent in chunks; a message without either has none. Trailers of a chunked body are ignored.
  */
 public final class HttpStyleMessageDecoder {
     private final int maxBytes;
     private byte[] buffer = new byte[1024];
     private int readIndex;
     private int writeIndex;
-    private int scanIndex;
-    private HttpStyleMessage head; // read already, its body still to come
-    private int bodyLength; // of that body; -1: chunked
+    private int scanIndex; // where the search for the end of the head continues
+    private HttpStyleMessage head; // of the message whose body is being read; null: a head is next
+    private int bodyLength; // of that message; -1: chunked
     private final ByteArrayOutputStream chunkedBody = new ByteArrayOutputStream();
-    private int chunkRemaining = -1; // bytes left of the chunk in hand, with its line end; -1: a size line is next
+    private int chunkRemaining = -1; // bytes of the current chunk, with its line end; -1: a size line is next
     private boolean inTrailer;
 
-    /** {@code limit}: bytes that a message may have in all. */
-    public HttpStyleMessageDecoder(int limit) {
-        this.maxBytes = limit;
+    /** {@code maxBytes} is the size of the largest message accepted, head and body together. */
+    public HttpStyleMessageDecoder(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
+    /** Appends received bytes; {@link #next} then returns the messages that are complete. */
     public void add(byte[] bytes, int offset, int count) {
         if (writeIndex + count > buffer.length) {
             int kept = writeIndex - readIndex;
-            byte[] room = kept + count > buffer.length ? new byte[Math.max(buffer.length * 2, kept + count)] : buffer;
-            System.arraycopy(buffer, readIndex, room, 0, kept);
-            buffer = room;
+            byte[] target = kept + count > buffer.length ? new byte[Math.max(buffer.length * 2, kept + count)] : buffer;
+            System.arraycopy(buffer, readIndex, target, 0, kept);
+            buffer = target;
             scanIndex -= readIndex;
             readIndex = 0;
             writeIndex = kept;
@@ -40,12 +41,16 @@
         writeIndex += count;
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** Whether part of a message has arrived. */
     public boolean hasPartialMessage() {
         return head != null || writeIndex > readIndex;
     }
 
-    /** The next whole message, or null. */
+    /**
+     * The next complete message, or null where more bytes are needed.
+     *
+     * @throws MalformedMessageException if the stream is not such messages; the decoder is of no further use then
+     */
     public HttpStyleMessage next() throws MalformedMessageException {
         if (head == null && !readHead()) {
             return null;
@@ -56,18 +61,20 @@
         if (writeIndex - readIndex < bodyLength) {
             return null;
         }
-        HttpStyleMessage whole = new HttpStyleMessage(
+        HttpStyleMessage complete = new HttpStyleMessage(
                 head.startLine(), head.headers(), Arrays.copyOfRange(buffer, readIndex, readIndex + bodyLength));
         readIndex += bodyLength;
-        return finish(whole);
+        return finish(complete);
     }
 
-    private HttpStyleMessage finish(HttpStyleMessage whole) {
+    /** Prepares for the next message and returns the one that is complete. */
+    private HttpStyleMessage finish(HttpStyleMessage complete) {
         head = null;
         scanIndex = readIndex;
-        return whole;
+        return complete;
     }
 
+    /** Reads the start line and headers of the next message; false where more bytes are needed. */
     private boolean readHead() throws MalformedMessageException {
         while (readIndex < writeIndex
                 && scanIndex <= readIndex
@@ -111,6 +118,7 @@
         return Integer.parseInt(value);
     }
 
+    /** Reads what has arrived of a chunked body; null where more bytes are needed. */
     private HttpStyleMessage readChunks() throws MalformedMessageException {
         while (true) {
             if (chunkRemaining > 0) {
@@ -138,11 +146,11 @@
             readIndex = lineEnd + 1;
             if (inTrailer) {
                 if (line.isEmpty()) {
-                    HttpStyleMessage whole =
+                    HttpStyleMessage complete =
                             new HttpStyleMessage(head.startLine(), head.headers(), chunkedBody.toByteArray());
                     chunkedBody.reset();
                     inTrailer = false;
-                    return finish(whole);
+                    return finish(complete);
                 }
                 continue;
             }
--- a/src/main/java/dockshed/net/LoopClock.java
+++ b/src/main/java/dockshed/net/LoopClock.java
@@ -8,12 +8,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Unix time in microseconds that never goes back, and one wake-up on the event loop. */
+/** Unix time in microseconds that never goes backwards, and a single wake-up timer on the event loop. */
 public final class LoopClock implements Clock {
     private static final long START_UNIX_US = toMicros(Instant.now());
     private static final long START_NANOS = System.nanoTime();
 
-    /** Microseconds: answers go out 10 ms before viewers' time is up, and are lost half a second after it. */
+    /**
+     * A wake-up later than this is logged: answers are sent 10 ms before a viewer's deadline, and are lost if sent half
+     * a second after it.
+     */
     private static final long LATE_WARNING_US = 100_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(LoopClock.class);
@@ -27,8 +30,8 @@
         this.loop = loop;
     }
 
-    private static long toMicros(Instant t) {
-        return t.getEpochSecond() * 1_000_000 + t.getNano() / 1000;
+    private static long toMicros(Instant instant) {
+        return instant.getEpochSecond() * 1_000_000 + instant.getNano() / 1000;
     }
 
     @Override
@@ -36,11 +39,12 @@
         return START_UNIX_US + (System.nanoTime() - START_NANOS) / 1000;
     }
 
-    public void onWakeUp(LongConsumer what) {
-        wakeUpAction = what;
+    /** Sets the action of the wake-up; it is given the current time. */
+    public void onWakeUp(LongConsumer action) {
+        wakeUpAction = action;
     }
 
-    /** Asks for a wake-up at a time, unless one is coming sooner. */
+    /** Schedules the wake-up for a time, unless it is already scheduled for an earlier one. */
     public void wakeAt(long at) {
         if (at >= scheduledFor) {
             return;
@@ -55,7 +59,7 @@
                     scheduledFor = Long.MAX_VALUE;
                     long now = now();
                     if (now - at > LATE_WARNING_US) {
-                        LOG.warn("loop late: ms={}", (now - at) / 1000);
+                        LOG.warn("event loop late: ms={}", (now - at) / 1000);
                     }
                     wakeUpAction.accept(now);
                 },
--- a/src/main/java/dockshed/net/Net.java
+++ b/src/main/java/dockshed/net/Net.java
@@ -33,28 +33,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one event loop and the sockets on it. */
+/** An event loop of a single thread, and the sockets on it. The broker has one, which owns all its state. */
 public final class Net {
-    /** Bytes that may wait on a connection before its reader is seen as slow, and may be left for it to catch up. */
+    /** Unwritten bytes of a connection below which its peer has caught up again, and above which it counts as slow. */
     private static final WriteBufferWaterMark WRITE_BUFFER_BYTES = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
 
-    /** Times that one connection is read before the others have their turn: Netty's own figure. */
+    /** Reads of one connection before the others get their turn; Netty's own default. */
     private static final int MAX_READS_PER_TURN = 16;
 
-    /** Milliseconds after which a connection that could not be accepted is tried again. */
+    /** Pause of accepting after a connection could not be accepted. */
     private static final int ACCEPT_RETRY_DELAY_MS = 20;
 
     private static final Logger LOG = LoggerFactory.getLogger(Net.class);
 
     private final NioEventLoopGroup group;
-    private final Set<Channel> openChannels = new HashSet<>(); // connections, of the loop's thread
+    private final Set<Channel> openChannels = new HashSet<>(); // connections; only used on the event loop
 
-    /** The broker's. */
+    /** The event loop of the broker. */
     public Net() {
         group = new NioEventLoopGroup(1);
     }
 
-    /** Another part's, on a thread of that name. */
+    /** The event loop of another component, on a daemon thread of this name. */
     public Net(String name) {
         group = new NioEventLoopGroup(1, new DefaultThreadFactory(name, true));
     }
@@ -63,10 +63,14 @@
         return group.next();
     }
 
-    /** Runs something on the loop and waits for it. */
-    public <T> T callOnLoop(Callable<T> what) {
+    /**
+     * Runs a task on the event loop, waits for it and returns its result; not to be called on the event loop.
+     *
+     * @throws IllegalStateException if the task fails or the wait is interrupted
+     */
+    public <T> T callOnLoop(Callable<T> task) {
         try {
-            return loop().submit(what).get();
+            return loop().submit(task).get();
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause());
         } catch (InterruptedException e) {
@@ -75,60 +79,72 @@
         }
     }
 
-    /** Does what follows from a connection's coming up or failing, on the loop's thread even if no socket was opened. */
-    public void whenDone(ChannelFuture coming, Consumer<Future<? super Void>> what) {
-        coming.addListener(done -> {
+    /** Calls back once connecting has succeeded or failed; on the event loop, even where no socket could be opened. */
+    public void whenDone(ChannelFuture connecting, Consumer<Future<? super Void>> task) {
+        connecting.addListener(done -> {
             if (loop().inEventLoop()) {
-                what.accept(done);
+                task.accept(done);
             } else {
-                loop().execute(() -> what.accept(done));
+                loop().execute(() -> task.accept(done));
             }
         });
     }
 
-    public ChannelFuture listen(InetSocketAddress at, Supplier<ChannelHandler> handler) {
-        return listen(at, handler, () -> {}, false);
+    /** Accepts connections at an address, each with a handler of its own. */
+    public ChannelFuture listen(InetSocketAddress address, Supplier<ChannelHandler> handler) {
+        return listen(address, handler, () -> {}, false);
     }
 
     /**
-     * {@code full} is run where a connection could not be accepted, for want of a descriptor: it may let one go.
-     * {@code halfClosed}: a peer that has ended its output can still be answered, see {@link ByteHandler#onInputEnded}; a
-     * connection is then read until nothing is left, so that an end that has come already is known of what came before it.
+     * Accepts connections at an address.
+     *
+     * @param handler              creates the handler of each connection
+     * @param onDescriptorShortage run when a connection could not be accepted for lack of descriptors: it may free one
+     * @param allowHalfClosure     a peer that has closed its output can still be answered, see {@link
+     *                             ByteHandler#onInputEnded}; a connection is then read until nothing is left, so that a
+     *                             close that has already arrived is known when the bytes before it are handled
      */
     public ChannelFuture listen(
-            InetSocketAddress at, Supplier<ChannelHandler> handler, Runnable full, boolean halfClosed) {
-        ServerBootstrap b = new ServerBootstrap()
+            InetSocketAddress address,
+            Supplier<ChannelHandler> handler,
+            Runnable onDescriptorShortage,
+            boolean allowHalfClosure) {
+        ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group, group)
                 .channel(NioServerSocketChannel.class)
-                .handler(new AcceptErrorHandler(full))
+                .handler(new AcceptErrorHandler(onDescriptorShortage))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 512)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.SO_KEEPALIVE, true) // a phone that vanished lets its descriptor go
+                .childOption(ChannelOption.SO_KEEPALIVE, true) // frees the descriptor of a phone that vanished
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_BYTES)
                 .childHandler(initializer(handler));
-        if (halfClosed) {
-            b.childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+        if (allowHalfClosure) {
+            bootstrap
+                    .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                     .childOption(
                             ChannelOption.RCVBUF_ALLOCATOR,
                             new AdaptiveRecvByteBufAllocator()
                                     .respectMaybeMoreData(false)
                                     .maxMessagesPerRead(MAX_READS_PER_TURN));
         }
-        return b.bind(at);
+        return bootstrap.bind(address);
     }
 
-    /** Whether the last read of a connection came to the end of what its peer says. */
-    static boolean inputEnded(Channel ch) {
-        return ch.unsafe().recvBufAllocHandle().lastBytesRead() < 0;
+    /** Whether the last read of a connection found that its peer has closed its output. */
+    static boolean inputEnded(Channel channel) {
+        return channel.unsafe().recvBufAllocHandle().lastBytesRead() < 0;
     }
 
-    /** Netty would accept nobody for a second after a failure; viewers would wait for as long. */
+    /**
+     * Handles failures to accept a connection. Netty itself stops accepting for a second after one, and viewers would
+     * wait that long.
+     */
     static final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
         private final Runnable onDescriptorShortage;
 
-        AcceptErrorHandler(Runnable full) {
-            this.onDescriptorShortage = full;
+        AcceptErrorHandler(Runnable onDescriptorShortage) {
+            this.onDescriptorShortage = onDescriptorShortage;
         }
 
         @Override
@@ -150,6 +166,7 @@
         }
     }
 
+    /** Opens a connection. */
     public ChannelFuture connect(InetSocketAddress to, int timeoutMillis, Supplier<ChannelHandler> handler) {
         return new Bootstrap()
                 .group(group)
@@ -161,52 +178,56 @@
                 .connect(to);
     }
 
-    public ChannelFuture bindDatagrams(InetSocketAddress at, ChannelHandler handler) {
+    /** Opens a UDP socket for datagrams of up to 9000 bytes. */
+    public ChannelFuture bindDatagrams(InetSocketAddress address, ChannelHandler handler) {
         return new Bootstrap()
                 .group(group)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(9000))
                 .handler(handler)
-                .bind(at);
+                .bind(address);
     }
 
-    /** Connections that are open, those accepted and those begun here; on the loop's thread. */
+    /** The number of open connections, accepted and outgoing; to be called on the event loop. */
     public int connectionCount() {
         return openChannels.size();
     }
 
-    /** Whether something written to a connection has not been handed to the system yet. */
+    /** Whether any connection has bytes that the operating system has not taken yet. */
     public boolean hasUnwrittenBytes() {
         return openChannels.stream().anyMatch(Net::hasUnwrittenBytes);
     }
 
-    /** The same of one connection. */
-    public static boolean hasUnwrittenBytes(Channel ch) {
-        ChannelOutboundBuffer out = ch.unsafe().outboundBuffer();
-        return out != null && !out.isEmpty();
+    /** Whether one connection has bytes that the operating system has not taken yet. */
+    public static boolean hasUnwrittenBytes(Channel channel) {
+        ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
+        return outbound != null && !outbound.isEmpty();
     }
 
     private ChannelInitializer<Channel> initializer(Supplier<ChannelHandler> handler) {
         return new ChannelInitializer<>() {
             @Override
-            protected void initChannel(Channel ch) {
-                openChannels.add(ch);
-                ch.closeFuture().addListener(closed -> openChannels.remove(ch));
-                ch.pipeline().addLast(handler.get());
+            protected void initChannel(Channel channel) {
+                openChannels.add(channel);
+                channel.closeFuture().addListener(closed -> openChannels.remove(channel));
+                channel.pipeline().addLast(handler.get());
             }
         };
     }
 
+    /** Reads all remaining bytes of the buffer; does not release it. */
     public static byte[] toBytes(ByteBuf buf) {
-        byte[] out = new byte[buf.readableBytes()];
-        buf.readBytes(out);
-        return out;
+        byte[] bytes = new byte[buf.readableBytes()];
+        buf.readBytes(bytes);
+        return bytes;
     }
 
+    /** Wraps the bytes without copying them. */
     public static ByteBuf toByteBuf(byte[] bytes) {
         return Unpooled.wrappedBuffer(bytes);
     }
 
+    /** Stops the event loop; returns before it has stopped. */
     public void close() {
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/dockshed/net/Signals.java
+++ b/src/main/java/dockshed/net/Signals.java
@@ -7,14 +7,18 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The signals: SIGTERM begins the planned end, whose steps {@link GracefulShutdown} names; SIGHUP runs what it is given. */
+/**
+ * Handles signals: SIGTERM starts a graceful shutdown, called planned end in log lines, by the schedule of {@link
+ * GracefulShutdown}; SIGHUP runs a given action.
+ */
 public final class Signals {
     private static final long STEP_INTERVAL_US = 10_000;
     private static final Logger LOG = LoggerFactory.getLogger(Signals.class);
 
-    /** What a SIGHUP runs; whether one came before that was known. */
+    /** Run at each SIGHUP; null until it is set. */
     private static Runnable hangUpAction;
 
+    /** Whether a SIGHUP arrived before the action was set. */
     private static boolean hangUpPending;
 
     private final Net net;
@@ -24,25 +28,25 @@
     private final long longestClientDeadlineUs;
     private GracefulShutdown shutdown;
 
-    /** {@code longest}: the longest time that a viewer waits. */
-    public Signals(Net net, Clock clock, TimerQueue deadlines, Broker broker, long longest) {
+    /** {@code longestClientDeadlineUs} is the longest time that a viewer waits for an answer. */
+    public Signals(Net net, Clock clock, TimerQueue timers, Broker broker, long longestClientDeadlineUs) {
         this.net = net;
         this.clock = clock;
-        this.timers = deadlines;
+        this.timers = timers;
         this.broker = broker;
-        this.longestClientDeadlineUs = longest;
+        this.longestClientDeadlineUs = longestClientDeadlineUs;
     }
 
-    /** {@code leaving}: run as the planned end begins, on no loop's thread. */
+    /** {@code leaving} is run when the shutdown starts, on a thread of its own rather than an event loop. */
     public void installShutdownHook(Runnable leaving) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            long told = clock.now(); // the stay counts from here, however late the loop hears of it
+                            long signalledAt = clock.now(); // the schedule starts here, however late the loop runs
                             leaving.run();
-                            net.loop().execute(() -> begin(told));
+                            net.loop().execute(() -> begin(signalledAt));
                             try {
-                                Thread.sleep(Long.MAX_VALUE); // the loop ends the process
+                                Thread.sleep(Long.MAX_VALUE); // the event loop halts the process
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
@@ -50,41 +54,42 @@
                         "planned-end"));
     }
 
-    /** From now on a SIGHUP no longer ends the program; one that comes before {@link #onHangUp} waits for it. */
+    /**
+     * From now on a SIGHUP does not end the process; one that arrives before {@link #onHangUp} waits for its action.
+     */
     public static void captureHangUps() {
         SignalHandler inherited = Signal.handle(new Signal("HUP"), signal -> {
-            Runnable what;
+            Runnable action;
             synchronized (Signals.class) {
-                what = hangUpAction;
-                hangUpPending |= what == null;
+                action = hangUpAction;
+                hangUpPending |= action == null;
             }
-            if (what != null) {
-                what.run();
+            if (action != null) {
+                action.run();
             }
         });
-        if (inherited == SignalHandler.SIG_IGN) { // the JVM then leaves it ignored
-            LOG.warn(
-                    "SIGHUP was ignored when the program was started, and stays so: a new configuration needs a restart");
+        if (inherited == SignalHandler.SIG_IGN) { // the JVM leaves an ignored signal ignored
+            LOG.warn("SIGHUP was ignored when the process started and still is: a new configuration needs a restart");
         }
     }
 
-    /** Runs something at each SIGHUP; not on the loop's thread, so that reading a file holds nobody up. */
-    public static void onHangUp(Runnable what) {
-        boolean waits;
+    /** Sets what each SIGHUP runs; not on the event loop, so that reading a file delays no viewer. */
+    public static void onHangUp(Runnable action) {
+        boolean pending;
         synchronized (Signals.class) {
-            hangUpAction = what;
-            waits = hangUpPending;
+            hangUpAction = action;
+            pending = hangUpPending;
             hangUpPending = false;
         }
-        if (waits) {
-            what.run();
+        if (pending) {
+            action.run();
         }
     }
 
-    private void begin(long told) {
-        shutdown = new GracefulShutdown(told, longestClientDeadlineUs);
+    private void begin(long signalledAt) {
+        shutdown = new GracefulShutdown(signalledAt, longestClientDeadlineUs);
         LOG.info("planned end begun: unanswered={} standing={}", broker.unansweredRequests(), broker.activeSessions());
-        runNextStep(told);
+        runNextStep(signalledAt);
     }
 
     private void runNextStep(long due) {
@@ -102,15 +107,15 @@
                 broker.releaseAll(now);
             }
             case FAIL -> {
-                LOG.warn("planned end: failed for want of time: requests={}", broker.unansweredRequests());
+                LOG.warn(
+                        "planned end: out of time, unanswered requests failed: requests={}",
+                        broker.unansweredRequests());
                 broker.failAll(now);
             }
             case TELL_AGAIN -> broker.releaseAll(now);
             case HALT -> {
                 if (unwritten) {
-                    LOG.warn(
-                            "planned end: not everything could be written: ms={}",
-                            (now - shutdown.signalledAt()) / 1000);
+                    LOG.warn("planned end: halting with unwritten data: ms={}", (now - shutdown.signalledAt()) / 1000);
                 }
                 Runtime.getRuntime().halt(0);
             }
--- a/src/main/java/dockshed/net/package-info.java
+++ b/src/main/java/dockshed/net/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The event loop, clock, signals, graceful shutdown, and the message decoder that RTSP and HTTP share.
+ * The event loop and its sockets, the clock, signals and graceful shutdown, and the decoder of messages in the format
+ * that RTSP and HTTP share.
  */
 package dockshed.net;
