--- a/src/main/java/dockshed/names/Dns.java
+++ b/src/main/java/dockshed/names/Dns.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The part of RFC 1035 and RFC 2782 that the fleet's list needs. */
+/** DNS messages, as far as the list of edge servers needs RFC 1035 and RFC 2782. */
 final class Dns {
     static final int A = 1;
     static final int SOA = 6;
     static final int TXT = 16;
     static final int SRV = 33;
-    /** The response code of a name that has no records (RFC 1035, 4.1.1). */
+    /** The response code for a name that does not exist (RFC 1035, 4.1.1). */
     static final int NXDOMAIN = 3;
 
-    /** Bytes that are no answer that can be used. */
+    /** A datagram is not a DNS answer that can be used. */
     static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** A record; of {@code priority} to {@code serial} only what belongs to its type is set. */
+    /** A resource record; of {@code priority} to {@code serial} only those of its type are set. */
     record Record(
             String name,
             int type,
@@ -36,29 +36,38 @@
             List<String> texts,
             long serial) {}
 
-    /** {@code code}: the response code; {@code cut}: the answer did not fit. */
+    /**
+     * An answer with the records of all its sections.
+     *
+     * @param id        of the query
+     * @param truncated whether the answer did not fit into the datagram; only the complete records are listed
+     * @param question  the name asked for, in lower case
+     * @param type      the record type asked for
+     */
     record Answer(int id, int responseCode, boolean truncated, String question, int type, List<Record> records) {}
 
     private Dns() {}
 
+    /** Encodes a query for the records of a name. */
     static byte[] query(int id, String name, int type) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream query = new ByteArrayOutputStream();
         for (int part : new int[] {id, 0x0100, 1, 0, 0, 0}) {
-            out.write(part >> 8);
-            out.write(part);
+            query.write(part >> 8);
+            query.write(part);
         }
         for (String label : name.split("\\.")) {
             byte[] bytes = label.getBytes(StandardCharsets.US_ASCII);
             if (bytes.length == 0 || bytes.length > 63) {
-                throw new IllegalArgumentException("name with a bad label: " + name);
+                throw new IllegalArgumentException("expected labels of 1 to 63 bytes, got name " + name);
             }
-            out.write(bytes.length);
-            out.writeBytes(bytes);
+            query.write(bytes.length);
+            query.writeBytes(bytes);
         }
-        out.writeBytes(new byte[] {0, 0, (byte) type, 0, 1});
-        return out.toByteArray();
+        query.writeBytes(new byte[] {0, 0, (byte) type, 0, 1});
+        return query.toByteArray();
     }
 
+    /** Parses an answer with exactly one question. */
     static Answer parse(byte[] packet) throws MalformedMessageException {
         return new Reader(packet).readAnswer();
     }
@@ -75,29 +84,29 @@
             int id = readU16();
             int flags = readU16();
             if ((flags & 0x8000) == 0) {
-                throw new MalformedMessageException("not an answer");
+                throw new MalformedMessageException("expected an answer, got a query");
             }
             int questions = readU16();
             int records = readU16() + readU16() + readU16();
             if (questions != 1) {
-                throw new MalformedMessageException("questions: " + questions);
+                throw new MalformedMessageException("expected one question, got " + questions);
             }
             String question = readName();
             int type = readU16();
             readU16();
-            List<Record> out = new ArrayList<>();
-            boolean cut = (flags & 0x0200) != 0;
-            for (int i = 0; i < records && !(cut && position >= packet.length); i++) {
+            List<Record> parsed = new ArrayList<>();
+            boolean truncated = (flags & 0x0200) != 0;
+            for (int i = 0; i < records && !(truncated && position >= packet.length); i++) {
                 try {
-                    out.add(readRecord());
+                    parsed.add(readRecord());
                 } catch (MalformedMessageException e) {
-                    if (!cut) {
+                    if (!truncated) {
                         throw e;
                     }
-                    break; // cut within a record: those before it are whole
+                    break; // truncated within a record: those before it are complete
                 }
             }
-            return new Answer(id, flags & 15, cut, question, type, out);
+            return new Answer(id, flags & 15, truncated, question, type, parsed);
         }
 
         private Record readRecord() throws MalformedMessageException {
@@ -109,15 +118,16 @@
             int length = readU16();
             int end = position + length;
             if (end > packet.length) {
-                throw new MalformedMessageException("record beyond the end");
+                throw new MalformedMessageException("record extends beyond the end of the datagram");
             }
-            Record r =
+            Record record =
                     switch (type) {
                         case SRV ->
                             new Record(name, type, readU16(), readU16(), readU16(), readName(), null, List.of(), 0);
                         case A -> {
                             if (length != 4) {
-                                throw new MalformedMessageException("address of " + length + " bytes");
+                                throw new MalformedMessageException(
+                                        "expected an address of 4 bytes, got " + length + " bytes");
                             }
                             yield new Record(
                                     name,
@@ -135,7 +145,7 @@
                             while (position < end) {
                                 int size = readU8();
                                 if (position + size > end) {
-                                    throw new MalformedMessageException("text beyond its record");
+                                    throw new MalformedMessageException("text extends beyond its record");
                                 }
                                 texts.add(new String(packet, position, size, StandardCharsets.UTF_8));
                                 position += size;
@@ -151,58 +161,61 @@
                         default -> new Record(name, type, 0, 0, 0, null, null, List.of(), 0);
                     };
             if (position > end) {
-                throw new MalformedMessageException("record longer than it says");
+                throw new MalformedMessageException("record data extends beyond its stated length");
             }
             position = end;
-            return r;
+            return record;
         }
 
-        /** A name, followed through its pointers, which must lead backwards; in lower case. */
+        /**
+         * Reads a name in lower case and follows its compression pointers. Each pointer must lead further back than the
+         * one before, so that a loop is refused.
+         */
         private String readName() throws MalformedMessageException {
-            StringBuilder out = new StringBuilder();
-            int here = position;
-            int least = position;
+            StringBuilder name = new StringBuilder();
+            int offset = position;
+            int lowestOffset = position;
             boolean jumped = false;
             while (true) {
-                if (here >= packet.length) {
-                    throw new MalformedMessageException("name beyond the end");
+                if (offset >= packet.length) {
+                    throw new MalformedMessageException("name extends beyond the end of the datagram");
                 }
-                int length = packet[here] & 0xff;
+                int length = packet[offset] & 0xff;
                 if (length == 0) {
                     if (!jumped) {
-                        position = here + 1;
+                        position = offset + 1;
                     }
-                    return out.toString();
+                    return name.toString();
                 }
                 if (length >= 0xc0) {
-                    if (here + 1 >= packet.length) {
-                        throw new MalformedMessageException("name beyond the end");
+                    if (offset + 1 >= packet.length) {
+                        throw new MalformedMessageException("name extends beyond the end of the datagram");
                     }
-                    int to = (length & 0x3f) << 8 | packet[here + 1] & 0xff;
+                    int target = (length & 0x3f) << 8 | packet[offset + 1] & 0xff;
                     if (!jumped) {
-                        position = here + 2;
+                        position = offset + 2;
                     }
                     jumped = true;
-                    if (to >= least) {
-                        throw new MalformedMessageException("pointer that does not lead back");
+                    if (target >= lowestOffset) {
+                        throw new MalformedMessageException("compression pointer does not lead further back");
                     }
-                    least = to;
-                    here = to;
+                    lowestOffset = target;
+                    offset = target;
                     continue;
                 }
-                if (length > 63 || here + 1 + length > packet.length || out.length() + length > 255) {
-                    throw new MalformedMessageException("bad label");
+                if (length > 63 || offset + 1 + length > packet.length || name.length() + length > 255) {
+                    throw new MalformedMessageException("label or name too long");
                 }
-                out.append(out.length() == 0 ? "" : ".")
-                        .append(new String(packet, here + 1, length, StandardCharsets.US_ASCII)
+                name.append(name.length() == 0 ? "" : ".")
+                        .append(new String(packet, offset + 1, length, StandardCharsets.US_ASCII)
                                 .toLowerCase(Locale.ROOT));
-                here += 1 + length;
+                offset += 1 + length;
             }
         }
 
         private int readU8() throws MalformedMessageException {
             if (position >= packet.length) {
-                throw new MalformedMessageException("ends early");
+                throw new MalformedMessageException("datagram ends within a field");
             }
             return packet[position++] & 0xff;
         }
--- a/src/main/java/dockshed/names/DnsDiscovery.java
+++ b/src/main/java/dockshed/names/DnsDiscovery.java
@@ -20,24 +20,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The list of edge servers: what the configuration knows of it, then the name server's answers, asked for again and
- * again. While the name server is out of reach the last list stands.
+ * Keeps the list of edge servers up to date: first as the configuration has it, then from a name server (DNS over UDP)
+ * that is queried periodically. While the name server is unreachable the last list stays in force.
  */
 public final class DnsDiscovery {
     static final String SERVICE_NAME = "_work._tcp.fleet.local";
     static final long QUERY_INTERVAL_US = 250_000;
-    /** An answer that has not come by then is no longer waited for; it counts all the same if it comes late. */
+    /**
+     * The delay within which an answer is expected. After twice this time without any answer the name server counts as
+     * unreachable; a query is only forgotten after ten times, so that a late answer still counts.
+     */
     private static final long ANSWER_TIMEOUT_US = 1_000_000;
 
     /** The logger keeps its earlier name, by which operators filter log lines. */
     private static final Logger LOG = LoggerFactory.getLogger("dockshed.names.Names");
 
-    /** Hears of every piece of news; {@code addresses} holds all servers that are listed now. */
+    /** Receives the changes of the list. */
     public interface Listener {
+        /**
+         * {@code servers} are those that {@code scope} says; {@code addresses} holds every server that is listed now.
+         */
         void onUpdate(ListScope scope, List<Server> servers, Map<String, InetSocketAddress> addresses);
     }
 
-    /** A query that is out: to whom, when, and the question by name; null for the whole list. */
+    /** A query without an answer yet; {@code question} is null where it asks for the whole list. */
     private record PendingQuery(InetSocketAddress sentTo, long sentAt, EdgeServerListUpdater.Question question) {}
 
     private final EdgeServerList list = new EdgeServerList();
@@ -49,25 +55,25 @@
     private final Random random;
     private final Map<Integer, PendingQuery> pendingQueries = new HashMap<>(); // by query number
     private Channel channel;
-    private boolean listConfirmed;
+    private boolean listConfirmed; // by a complete answer of the name server
     private boolean reachable = true;
     private long lastAnswerAt;
 
-    public DnsDiscovery(Listener listener, Clock clock, TimerQueue deadlines, InetSocketAddress server, long seed) {
+    public DnsDiscovery(Listener listener, Clock clock, TimerQueue timers, InetSocketAddress nameServer, long seed) {
         this.listener = listener;
         this.clock = clock;
-        this.timers = deadlines;
-        this.nameServer = server;
+        this.timers = timers;
+        this.nameServer = nameServer;
         random = new Random(seed);
     }
 
-    /** An event that the configuration holds. */
-    public void applyConfigured(long number, ListScope scope, List<ListedServer> listings) {
-        List<Server> news = list.applyConfigured(number, scope, listings);
-        listener.onUpdate(scope, news, list.addresses());
+    /** Applies a change of the list that the configuration holds. */
+    public void applyConfigured(long number, ListScope scope, List<ListedServer> servers) {
+        List<Server> changes = list.applyConfigured(number, scope, servers);
+        listener.onUpdate(scope, changes, list.addresses());
     }
 
-    /** Begins to ask the name server, from a port of the address given. */
+    /** Starts to query the name server, from a port of the given local address. */
     public void start(Net net, InetSocketAddress from) {
         lastAnswerAt = clock.now();
         ChannelFuture bound = net.bindDatagrams(from, new SimpleChannelInboundHandler<DatagramPacket>() {
@@ -76,7 +82,7 @@
                 try {
                     handleAnswer(Dns.parse(Net.toBytes(packet.content())), packet.sender());
                 } catch (Dns.MalformedMessageException e) {
-                    LOG.warn("name server's answer malformed: why={}", e.getMessage());
+                    LOG.warn("malformed answer from name server: why={}", e.getMessage());
                 }
             }
 
@@ -91,24 +97,23 @@
                 queryList(clock.now());
             } else {
                 LOG.error(
-                        "name server cannot be asked: from={} why={}",
+                        "name server cannot be queried, no local socket: from={} why={}",
                         from,
                         done.cause().toString());
             }
         });
     }
 
-    /** The name server has another address from now on: it is asked at once, and the numbers go on. */
+    /** Switches to another address of the name server and queries it at once; serial numbers continue. */
     public void changeServer(InetSocketAddress to) {
         if (to.equals(nameServer)) {
             return;
         }
         LOG.info("name server moved: from={} to={} number={}", nameServer, to, list.serial());
         nameServer = to;
-        updater.reset(); // what one server began the other does not finish
-        pendingQueries
-                .values()
-                .removeIf(q -> q.question() != null); // one that is being shut down may say that it knows nobody
+        updater.reset(); // the new server does not continue what the old one began
+        // The old server may be shutting down and answer that it knows no such name.
+        pendingQueries.values().removeIf(q -> q.question() != null);
         if (channel != null && channel.isActive()) {
             sendQuery(null);
         }
@@ -118,57 +123,67 @@
         long now = clock.now();
         timers.schedule(now + QUERY_INTERVAL_US, this::queryList);
         pendingQueries.values().removeIf(q -> now - q.sentAt() > 10 * ANSWER_TIMEOUT_US);
-        boolean was = reachable;
+        boolean wasReachable = reachable;
         reachable = now - lastAnswerAt < 2 * ANSWER_TIMEOUT_US;
-        if (was != reachable) {
-            LOG.warn("name server {}", reachable ? "reached again" : "out of reach: the last list stands");
+        if (wasReachable != reachable) {
+            LOG.warn("name server {}", reachable ? "reached again" : "unreachable, the last list stays in force");
         }
         sendQuery(null);
         queryOpenQuestions(now);
     }
 
-    /** What the list lacks, a few at a time. */
+    /** Asks for records that the list lacks, a few at a time. */
     private void queryOpenQuestions(long now) {
-        for (EdgeServerListUpdater.Question q = updater.nextQuestion(now); q != null; q = updater.nextQuestion(now)) {
-            sendQuery(q);
+        for (EdgeServerListUpdater.Question question = updater.nextQuestion(now);
+                question != null;
+                question = updater.nextQuestion(now)) {
+            sendQuery(question);
         }
     }
 
-    private void sendQuery(EdgeServerListUpdater.Question of) {
+    /** Sends a query for the question, or for the whole list where it is null. */
+    private void sendQuery(EdgeServerListUpdater.Question question) {
         int id = random.nextInt(1 << 16);
-        pendingQueries.put(id, new PendingQuery(nameServer, clock.now(), of));
-        byte[] query = of == null ? Dns.query(id, SERVICE_NAME, Dns.SRV) : Dns.query(id, of.target(), of.type());
+        pendingQueries.put(id, new PendingQuery(nameServer, clock.now(), question));
+        byte[] query = question == null
+                ? Dns.query(id, SERVICE_NAME, Dns.SRV)
+                : Dns.query(id, question.target(), question.type());
         channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(query), nameServer));
     }
 
-    private void handleAnswer(Answer a, InetSocketAddress from) throws Dns.MalformedMessageException {
-        PendingQuery q = pendingQueries.get(a.id());
-        if (q == null || !q.sentTo().equals(from)) {
-            LOG.debug("name server's answer to no query: from={} id={}", from, a.id());
+    private void handleAnswer(Answer answer, InetSocketAddress from) throws Dns.MalformedMessageException {
+        PendingQuery query = pendingQueries.get(answer.id());
+        if (query == null || !query.sentTo().equals(from)) {
+            LOG.debug("name server's answer matches no query: from={} id={}", from, answer.id());
             return;
         }
-        String name = q.question() == null ? SERVICE_NAME : q.question().target();
-        if (!a.question().equals(name)
-                || a.type() != (q.question() == null ? Dns.SRV : q.question().type())) {
-            throw new Dns.MalformedMessageException("answers another question than was asked: " + a.question());
+        String name = query.question() == null ? SERVICE_NAME : query.question().target();
+        if (!answer.question().equals(name)
+                || answer.type()
+                        != (query.question() == null
+                                ? Dns.SRV
+                                : query.question().type())) {
+            throw new Dns.MalformedMessageException(
+                    "expected an answer to the question asked, got one to " + answer.question());
         }
-        pendingQueries.remove(a.id());
-        if (a.responseCode() != 0 && (q.question() == null || a.responseCode() != Dns.NXDOMAIN)) {
-            return; // its own trouble: asked again
+        pendingQueries.remove(answer.id());
+        if (answer.responseCode() != 0 && (query.question() == null || answer.responseCode() != Dns.NXDOMAIN)) {
+            return; // an error of the server: the next query asks again
         }
         lastAnswerAt = clock.now();
-        long before = list.serial();
-        List<Server> changes =
-                q.question() == null ? updater.applyListAnswer(a) : updater.applyRecordAnswer(q.question(), a);
-        boolean whole = updater.isSettled();
-        if (changes != null && (!changes.isEmpty() || whole && (list.serial() != before || !listConfirmed))) {
-            listConfirmed |= whole;
+        long serialBefore = list.serial();
+        List<Server> changes = query.question() == null
+                ? updater.applyListAnswer(answer)
+                : updater.applyRecordAnswer(query.question(), answer);
+        boolean settled = updater.isSettled();
+        if (changes != null && (!changes.isEmpty() || settled && (list.serial() != serialBefore || !listConfirmed))) {
+            listConfirmed |= settled;
             LOG.info(
                     "list of edge servers: number={} before={} changed={}{}",
                     list.serial(),
-                    before,
+                    serialBefore,
                     changes.size(),
-                    a.truncated() ? " cut" : "");
+                    answer.truncated() ? " cut" : "");
             listener.onUpdate(ListScope.CHANGES, changes, list.addresses());
         }
         queryOpenQuestions(clock.now());
--- a/src/main/java/dockshed/names/EdgeServerList.java
+++ b/src/main/java/dockshed/names/EdgeServerList.java
@@ -11,80 +11,82 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fleet as last told, and what each whole list changes in it. No I/O. */
+/** The list of edge servers as last received. Each method returns the changes that it made. Performs no I/O. */
 final class EdgeServerList {
-    /** Weights travel as ten times what they are. */
+    /** SRV records carry weights as whole numbers, in tenths. */
     private static final double WEIGHT_UNIT = 10;
 
     private final Map<String, ListedServer> current = new LinkedHashMap<>();
     private long serial = -1;
 
+    /** The serial number of the list; -1 before the first one. */
     long serial() {
         return serial;
     }
 
+    /** The addresses of all listed servers, by id. */
     Map<String, InetSocketAddress> addresses() {
-        Map<String, InetSocketAddress> out = new LinkedHashMap<>();
-        current.forEach((id, l) -> out.put(id, l.address()));
-        return out;
+        Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
+        current.forEach((id, listed) -> addresses.put(id, listed.address()));
+        return addresses;
     }
 
-    /** Takes an event from the configuration: the whole list, or what has changed. */
-    List<Server> applyConfigured(long number, ListScope scope, List<ListedServer> listings) {
-        serial = number;
+    /** Applies a list from the configuration: all servers if {@code scope} is DISK, otherwise those that changed. */
+    List<Server> applyConfigured(long newSerial, ListScope scope, List<ListedServer> servers) {
+        serial = newSerial;
         if (scope == ListScope.DISK) {
             current.clear();
         }
-        return apply(listings);
+        return apply(servers);
     }
 
-    private List<Server> apply(List<ListedServer> listings) {
-        List<Server> out = new ArrayList<>();
-        for (ListedServer l : listings) {
-            out.add(l.server());
-            if (l.server().state() == State.GONE) {
-                current.remove(l.server().id());
+    private List<Server> apply(List<ListedServer> servers) {
+        List<Server> changed = new ArrayList<>();
+        for (ListedServer listed : servers) {
+            changed.add(listed.server());
+            if (listed.server().state() == State.GONE) {
+                current.remove(listed.server().id());
             } else {
-                current.put(l.server().id(), l);
+                current.put(listed.server().id(), listed);
             }
         }
-        return out;
+        return changed;
     }
 
-    /** What a whole list of this number changes, or null where it is older than what is known. */
-    List<Server> replaceAll(long number, List<ListedServer> listings) {
-        if (number < serial) {
+    /** Applies a complete list with this serial number; returns null where it is older than the current one. */
+    List<Server> replaceAll(long newSerial, List<ListedServer> servers) {
+        if (newSerial < serial) {
             return null;
         }
-        serial = number;
+        serial = newSerial;
         Map<String, ListedServer> next = new LinkedHashMap<>();
-        listings.forEach(l -> next.put(l.server().id(), l));
+        servers.forEach(listed -> next.put(listed.server().id(), listed));
         List<ListedServer> changes = new ArrayList<>();
-        for (ListedServer was : List.copyOf(current.values())) {
-            if (!next.containsKey(was.server().id())) {
-                changes.add(remove(was));
+        for (ListedServer before : List.copyOf(current.values())) {
+            if (!next.containsKey(before.server().id())) {
+                changes.add(asGone(before));
             }
         }
-        for (ListedServer l : listings) {
-            if (!l.equals(current.get(l.server().id()))) {
-                changes.add(l);
+        for (ListedServer listed : servers) {
+            if (!listed.equals(current.get(listed.server().id()))) {
+                changes.add(listed);
             }
         }
         return apply(changes);
     }
 
-    /** What part of a list of this number changes; whoever it does not name stays. */
-    List<Server> merge(long number, List<ListedServer> listings) {
-        serial = Math.max(serial, number);
-        return apply(listings.stream()
-                .filter(l -> !l.equals(current.get(l.server().id())))
+    /** Applies part of a list with this serial number; servers that it does not name stay. */
+    List<Server> merge(long newSerial, List<ListedServer> servers) {
+        serial = Math.max(serial, newSerial);
+        return apply(servers.stream()
+                .filter(listed -> !listed.equals(current.get(listed.server().id())))
                 .toList());
     }
 
-    /** The server has no records any more. */
+    /** Removes a server that has no records any more. */
     List<Server> remove(String id) {
-        ListedServer was = current.get(id);
-        return was == null ? List.of() : apply(List.of(remove(was)));
+        ListedServer before = current.get(id);
+        return before == null ? List.of() : apply(List.of(asGone(before)));
     }
 
     ListedServer get(String id) {
@@ -95,13 +97,22 @@
         return List.copyOf(current.values());
     }
 
-    private static ListedServer remove(ListedServer was) {
-        Server s = was.server();
+    /** The server in state GONE. */
+    private static ListedServer asGone(ListedServer before) {
+        Server server = before.server();
         return new ListedServer(
-                new Server(s.id(), s.zone(), s.kind(), s.cell(), State.GONE, s.weight(), s.upSince()), was.address());
+                new Server(
+                        server.id(),
+                        server.zone(),
+                        server.kind(),
+                        server.cell(),
+                        State.GONE,
+                        server.weight(),
+                        server.upSince()),
+                before.address());
     }
 
-    /** The serial of the list in an answer; -1 where there is none. */
+    /** The serial number in an answer's SOA record; -1 if there is none. */
     static long serial(List<Record> records) {
         return records.stream()
                 .filter(r -> r.type() == Dns.SOA)
@@ -110,41 +121,50 @@
                 .orElse(-1);
     }
 
+    /** The records of one type by name. */
     static Map<String, Record> byName(List<Record> records, int type) {
-        Map<String, Record> out = new HashMap<>();
-        records.stream().filter(r -> r.type() == type).forEach(r -> out.put(r.name(), r));
-        return out;
+        Map<String, Record> recordsByName = new HashMap<>();
+        records.stream().filter(r -> r.type() == type).forEach(r -> recordsByName.put(r.name(), r));
+        return recordsByName;
     }
 
-    /** A server as its records tell; what {@code address} or {@code text} lacks is as {@code known}, which may be null. */
+    /**
+     * The server that these records describe.
+     *
+     * @param service its SRV record
+     * @param address its A record, or null
+     * @param text    its TXT record, or null
+     * @param known   the server as listed so far, which replaces missing records, or null
+     */
     static ListedServer toListedServer(Record service, Record address, Record text, ListedServer known)
             throws Dns.MalformedMessageException {
         String[] labels = service.target().split("\\.");
         if (labels.length < 2 || address == null && known == null) {
-            throw new Dns.MalformedMessageException("target without an address or a zone: " + service.target());
+            throw new Dns.MalformedMessageException(
+                    "expected a target with a zone and an address, got " + service.target());
         }
-        Map<String, String> facts = new HashMap<>();
+        Map<String, String> attributes = new HashMap<>();
         if (text != null) {
-            for (String each : text.texts()) {
-                int equals = each.indexOf('=');
+            for (String pair : text.texts()) {
+                int equals = pair.indexOf('=');
                 if (equals > 0) {
-                    facts.put(each.substring(0, equals), each.substring(equals + 1));
+                    attributes.put(pair.substring(0, equals), pair.substring(equals + 1));
                 }
             }
         }
-        Server was = text != null || known == null ? new Server("", "", "", 0, State.UP, 0, 0) : known.server();
+        Server before = text != null || known == null ? new Server("", "", "", 0, State.UP, 0, 0) : known.server();
         try {
             return new ListedServer(
                     new Server(
                             labels[0],
                             labels[1],
-                            facts.getOrDefault("kind", was.kind()),
-                            facts.containsKey("cell") ? Integer.parseInt(facts.get("cell")) : was.cell(),
+                            attributes.getOrDefault("kind", before.kind()),
+                            attributes.containsKey("cell") ? Integer.parseInt(attributes.get("cell")) : before.cell(),
                             service.priority() == 0 ? State.UP : State.DRAINING,
                             service.weight() / WEIGHT_UNIT,
-                            facts.containsKey("started")
-                                    ? Math.round(Double.parseDouble(facts.get("started")) * 1000)
-                                    : was.upSince()),
+                            attributes.containsKey("started")
+                                    ? Math.round(Double.parseDouble(attributes.get("started")) * 1000)
+                                    : before.upSince()),
                     new InetSocketAddress(
                             address != null
                                     ? address.address()
@@ -152,7 +172,7 @@
                             service.port()));
         } catch (NumberFormatException e) {
             throw new Dns.MalformedMessageException(
-                    "text of " + service.target() + " holds no number: " + e.getMessage());
+                    "expected numbers in the TXT record of " + service.target() + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/dockshed/names/EdgeServerListUpdater.java
+++ b/src/main/java/dockshed/names/EdgeServerListUpdater.java
@@ -13,33 +13,35 @@
 import java.util.Set;
 
 /**
- * Brings the fleet's list up to date from answers that may lack records or be cut: what is told counts at once, what is
- * lacking is asked for by name, a few at a time, and a server's absence from a cut answer is never taken for its end. No I/O.
+ * Brings the list of edge servers up to date from DNS answers that may lack records or be truncated. What an answer
+ * holds is applied at once, what it lacks is asked for by name, a few questions at a time, and a server's absence from
+ * a truncated answer never counts as its removal. Performs no I/O; times are in microseconds.
  *
- * <p>A new server is listed once its address and its text are known, as without a cell nothing may be sent there. Of one
- * that is known the address stands, since another machine has another id; its text is asked for again in turn, as it
- * tells of a restart.
+ * <p>A new server is listed once its address and TXT records are known, as nothing may be sent to a server without a
+ * cell. The address of a known server is kept, since another machine has another id; its TXT record is asked for again
+ * in turn, as it shows a restart.
  */
 final class EdgeServerListUpdater {
-    /** Questions out at a time: a fleet's brokers ask the same service, and its answers to the list must not wait. */
+    /** Concurrent questions: all brokers ask the same name server, and its answers to list queries must not wait. */
     static final int MAX_OPEN_QUESTIONS = 16;
-    /** Of them, those between two looks that ask for what is known already. */
+    /** Questions between two list queries that only refresh records already known. */
     static final int MAX_REFRESHES_PER_LIST = 4;
-    /** A question unanswered for so long is put again. */
+    /** A question unanswered for this long is asked again. */
     static final long QUESTION_TIMEOUT_US = 1_000_000;
-    /** Targets of one list at most: as many as the program bears, four times over. */
+    /** Targets taken from one list: four times as many servers as the broker supports. */
     static final int MAX_TARGETS = 4096;
 
+    /** A question for the records of one type of a server's name. */
     record Question(String target, int type) {}
 
-    /** What an answer to the list says of a target: its SRV record, and the others as far as they are known. */
+    /** The records of a server: its SRV record, and the others if they are known. */
     private static final class Target {
         final Record srv;
         Record address;
         Record txt;
 
-        Target(Record service) {
-            this.srv = service;
+        Target(Record srv) {
+            this.srv = srv;
         }
     }
 
@@ -48,157 +50,161 @@
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Set<Question> neededQuestions = new LinkedHashSet<>();
     private final Set<Question> refreshQuestions = new LinkedHashSet<>();
-    private final Map<Question, Long> openQuestions = new HashMap<>();
-    private long serial = -1;
-    private boolean complete;
+    private final Map<Question, Long> openQuestions = new HashMap<>(); // with the time when each was last asked
+    private long serial = -1; // of the list that the targets are from
+    private boolean complete; // an answer that was not truncated has shown that list
     private int refreshesLeft;
 
-    EdgeServerListUpdater(EdgeServerList list, String service) {
+    EdgeServerListUpdater(EdgeServerList list, String serviceName) {
         this.list = list;
-        this.serviceName = service;
+        this.serviceName = serviceName;
     }
 
-    /** An answer to the question for the whole list: what changes by it; null where it is of no use or older than known. */
-    List<Server> applyListAnswer(Answer a) throws Dns.MalformedMessageException {
-        long told = EdgeServerList.serial(a.records());
-        boolean undated = told < 0;
-        if (undated && !a.truncated()) {
-            throw new Dns.MalformedMessageException("list without a serial");
+    /** Applies an answer to a list query; returns what it changes, or null where it is older than the current list. */
+    List<Server> applyListAnswer(Answer answer) throws Dns.MalformedMessageException {
+        long answerSerial = EdgeServerList.serial(answer.records());
+        boolean withoutSerial = answerSerial < 0;
+        if (withoutSerial && !answer.truncated()) {
+            throw new Dns.MalformedMessageException(
+                    "expected a SOA record with the serial number in a list that is not truncated");
         }
-        if (undated) {
-            told = Math.max(serial, list.serial()); // what was cut off may be the serial
+        if (withoutSerial) {
+            answerSerial = Math.max(serial, list.serial()); // the serial may have been cut off
         }
         refreshesLeft = MAX_REFRESHES_PER_LIST;
-        if (told < list.serial() || told == serial && complete && isSettled()) {
-            return told < list.serial() ? null : List.of();
+        if (answerSerial < list.serial() || answerSerial == serial && complete && isSettled()) {
+            return answerSerial < list.serial() ? null : List.of();
         }
-        boolean news = told != serial;
-        if (news) {
-            serial = told;
-            complete = false; // until one that is not cut has told all of it
+        boolean newList = answerSerial != serial;
+        if (newList) {
+            serial = answerSerial;
+            complete = false; // until an answer that is not truncated shows all of it
             neededQuestions.clear();
             refreshQuestions.clear();
         }
-        Map<String, Record> addresses = EdgeServerList.byName(a.records(), Dns.A);
-        Map<String, Record> texts = EdgeServerList.byName(a.records(), Dns.TXT);
+        Map<String, Record> addresses = EdgeServerList.byName(answer.records(), Dns.A);
+        Map<String, Record> texts = EdgeServerList.byName(answer.records(), Dns.TXT);
         Set<String> named = new HashSet<>();
-        for (Record r : a.records()) {
-            if (r.type() != Dns.SRV || !r.name().equals(serviceName) || targets.size() >= MAX_TARGETS) {
+        for (Record record : answer.records()) {
+            if (record.type() != Dns.SRV || !record.name().equals(serviceName) || targets.size() >= MAX_TARGETS) {
                 continue;
             }
-            Target was = targets.get(r.target());
-            Target t = new Target(r);
-            t.address = addresses.getOrDefault(r.target(), was == null ? null : was.address);
-            t.txt = texts.getOrDefault(r.target(), was == null ? null : was.txt);
-            targets.put(r.target(), t);
-            named.add(r.target());
-            boolean known = list.get(id(r.target())) != null;
-            if (t.address == null && !known) {
-                enqueue(neededQuestions, r.target(), Dns.A);
+            Target previous = targets.get(record.target());
+            Target target = new Target(record);
+            target.address = addresses.getOrDefault(record.target(), previous == null ? null : previous.address);
+            target.txt = texts.getOrDefault(record.target(), previous == null ? null : previous.txt);
+            targets.put(record.target(), target);
+            named.add(record.target());
+            boolean known = list.get(id(record.target())) != null;
+            if (target.address == null && !known) {
+                enqueue(neededQuestions, record.target(), Dns.A);
             }
-            if (!texts.containsKey(r.target()) && (known ? news || was == null : t.txt == null)) {
-                enqueue(known ? refreshQuestions : neededQuestions, r.target(), Dns.TXT);
+            if (!texts.containsKey(record.target()) && (known ? newList || previous == null : target.txt == null)) {
+                enqueue(known ? refreshQuestions : neededQuestions, record.target(), Dns.TXT);
             }
         }
-        List<ListedServer> listings = new ArrayList<>();
-        for (String target : named) {
-            ListedServer l = listing(targets.get(target));
-            ListedServer was = l == null ? null : list.get(l.server().id());
-            // One without a date may be late: it takes no drain back.
-            if (l != null
-                    && !(undated
-                            && was != null
-                            && was.server().state().compareTo(l.server().state()) > 0)) {
-                listings.add(l);
+        List<ListedServer> servers = new ArrayList<>();
+        for (String name : named) {
+            ListedServer listed = listedServer(targets.get(name));
+            ListedServer known =
+                    listed == null ? null : list.get(listed.server().id());
+            // An answer without a serial may be outdated: it does not revoke a drain.
+            if (listed != null
+                    && !(withoutSerial
+                            && known != null
+                            && known.server().state().compareTo(listed.server().state()) > 0)) {
+                servers.add(listed);
             }
         }
-        if (a.truncated()) {
-            if (news) {
+        if (answer.truncated()) {
+            if (newList) {
                 enqueueAbsent(named);
             }
-            return list.merge(told, listings);
+            return list.merge(answerSerial, servers);
         }
         targets.keySet().retainAll(named);
         complete = true;
-        return list.replaceAll(told, listings);
+        return list.replaceAll(answerSerial, servers);
     }
 
-    private void enqueue(Set<Question> among, String target, int type) {
-        Question q = new Question(target, type);
-        if (!openQuestions.containsKey(q)) {
-            among.add(q);
+    /** Adds a question to a queue, unless it is open already. */
+    private void enqueue(Set<Question> queue, String target, int type) {
+        Question question = new Question(target, type);
+        if (!openQuestions.containsKey(question)) {
+            queue.add(question);
         }
     }
 
-    /** Of the servers that a cut answer does not name: whether they have an address still. */
+    /** Queues questions whether the servers that a truncated answer does not name still have an address. */
     private void enqueueAbsent(Set<String> named) {
         String suffix = named.stream()
-                .map(n -> n.split("\\.", 3))
-                .filter(l -> l.length == 3)
-                .map(l -> "." + l[2])
+                .map(name -> name.split("\\.", 3))
+                .filter(labels -> labels.length == 3)
+                .map(labels -> "." + labels[2])
                 .findFirst()
                 .orElse("");
-        for (ListedServer l : list.all()) {
-            String target = l.server().id() + "." + l.server().zone() + suffix;
+        for (ListedServer server : list.all()) {
+            String target = server.server().id() + "." + server.server().zone() + suffix;
             if (!suffix.isEmpty() && !named.contains(target)) {
                 enqueue(refreshQuestions, target, Dns.A);
             }
         }
     }
 
-    /** An answer to a question by name: what changes by it. */
-    List<Server> applyRecordAnswer(Question q, Answer a) throws Dns.MalformedMessageException {
-        openQuestions.remove(q);
-        Record r = EdgeServerList.byName(a.records(), q.type()).get(q.target());
-        Target t = targets.get(q.target());
-        if (r == null && q.type() == Dns.A) { // one that is gone has no records
-            targets.remove(q.target());
-            return list.remove(id(q.target()));
+    /** Applies an answer to a question by name; returns what it changes. */
+    List<Server> applyRecordAnswer(Question question, Answer answer) throws Dns.MalformedMessageException {
+        openQuestions.remove(question);
+        Record record = EdgeServerList.byName(answer.records(), question.type()).get(question.target());
+        Target target = targets.get(question.target());
+        if (record == null && question.type() == Dns.A) { // a removed server has no records
+            targets.remove(question.target());
+            return list.remove(id(question.target()));
         }
-        if (t == null) {
-            return List.of(); // only absent from a cut answer, and there still
+        if (target == null) {
+            return List.of(); // it was only missing from a truncated answer
         }
-        if (q.type() == Dns.A) {
-            t.address = r;
+        if (question.type() == Dns.A) {
+            target.address = record;
         } else {
-            t.txt = r != null ? r : new Record(q.target(), Dns.TXT, 0, 0, 0, null, null, List.of(), 0);
+            target.txt =
+                    record != null ? record : new Record(question.target(), Dns.TXT, 0, 0, 0, null, null, List.of(), 0);
         }
-        ListedServer l = listing(t);
-        return l == null ? List.of() : list.merge(serial, List.of(l));
+        ListedServer server = listedServer(target);
+        return server == null ? List.of() : list.merge(serial, List.of(server));
     }
 
-    /** The next question to be put now, or null. */
+    /** The next question to be asked now, or null. */
     Question nextQuestion(long now) {
-        for (Map.Entry<Question, Long> e : openQuestions.entrySet()) {
-            if (now - e.getValue() > QUESTION_TIMEOUT_US) {
-                e.setValue(now);
-                return e.getKey();
+        for (Map.Entry<Question, Long> open : openQuestions.entrySet()) {
+            if (now - open.getValue() > QUESTION_TIMEOUT_US) {
+                open.setValue(now);
+                return open.getKey();
             }
         }
         if (openQuestions.size() >= MAX_OPEN_QUESTIONS) {
             return null;
         }
-        Question q = null;
+        Question question = null;
         if (!neededQuestions.isEmpty()) {
-            q = neededQuestions.iterator().next();
-            neededQuestions.remove(q);
+            question = neededQuestions.iterator().next();
+            neededQuestions.remove(question);
         } else if (!refreshQuestions.isEmpty() && refreshesLeft > 0) {
             refreshesLeft--;
-            q = refreshQuestions.iterator().next();
-            refreshQuestions.remove(q);
+            question = refreshQuestions.iterator().next();
+            refreshQuestions.remove(question);
         }
-        if (q != null) {
-            openQuestions.put(q, now);
+        if (question != null) {
+            openQuestions.put(question, now);
         }
-        return q;
+        return question;
     }
 
-    /** Whether nothing of the last list, as far as it was shown, is still to be asked for or answered. */
+    /** Whether no question about the last list is left to be asked or answered. */
     boolean isSettled() {
         return serial >= 0 && neededQuestions.isEmpty() && refreshQuestions.isEmpty() && openQuestions.isEmpty();
     }
 
-    /** Another server is asked from now on: what was out is put to it as its list wants. */
+    /** Forgets all open questions and the list's progress: another name server is queried from now on. */
     void reset() {
         openQuestions.clear();
         neededQuestions.clear();
@@ -207,13 +213,13 @@
         complete = false;
     }
 
-    /** What is known of the target as a server of the list; null while it lacks what it can't do without. */
-    private ListedServer listing(Target t) throws Dns.MalformedMessageException {
-        ListedServer known = list.get(id(t.srv.target()));
-        if (known == null && (t.address == null || t.txt == null)) {
+    /** The server that the target describes; null while required records are missing. */
+    private ListedServer listedServer(Target target) throws Dns.MalformedMessageException {
+        ListedServer known = list.get(id(target.srv.target()));
+        if (known == null && (target.address == null || target.txt == null)) {
             return null;
         }
-        return EdgeServerList.toListedServer(t.srv, t.address, t.txt, known);
+        return EdgeServerList.toListedServer(target.srv, target.address, target.txt, known);
     }
 
     private static String id(String target) {
--- a/src/main/java/dockshed/names/ListedServer.java
+++ b/src/main/java/dockshed/names/ListedServer.java
@@ -3,5 +3,5 @@
 import dockshed.Director.Server;
 import java.net.InetSocketAddress;
 
-/** A server of the list and where it listens. */
+/** An edge server of the list and the address that it listens on. */
 public record ListedServer(Server server, InetSocketAddress address) {}
