--- a/src/main/java/dockshed/eureka/EurekaClient.java
+++ b/src/main/java/dockshed/eureka/EurekaClient.java
@@ -13,7 +13,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks Eureka for the list: all of it first, then deltas, and all of it again where a delta does not add up. */
+/**
+ * Polls a Eureka server for the list of edge servers: the full list first, then deltas, and the full list again where a
+ * delta does not match its hash code. While Eureka is unreachable the last list stays in force.
+ */
 public final class EurekaClient {
     static final int MAX_RESPONSE_BYTES = 4 << 20;
     private static final int CONNECT_TIMEOUT_MS = 1000;
@@ -29,28 +32,26 @@
     private boolean fullListReceived;
     private boolean reachable = true;
 
-    /** {@code listener} hears the whole list whenever it may have changed. */
+    /** {@code listener} receives the full list whenever it may have changed. */
     public EurekaClient(
-            HlsConfig.Eureka config,
-            Net net,
-            Clock clock,
-            TimerQueue deadlines,
-            Consumer<List<ListedServer>> listener) {
+            HlsConfig.Eureka config, Net net, Clock clock, TimerQueue timers, Consumer<List<ListedServer>> listener) {
         this.config = config;
         this.net = net;
         this.clock = clock;
-        this.timers = deadlines;
+        this.timers = timers;
         this.listener = listener;
     }
 
+    /** Starts to poll. */
     public void start() {
         fetch(clock.now());
     }
 
+    /** Requests a delta if there is a list to apply it to, otherwise the full list. */
     private void fetch(long due) {
         boolean delta = fullListReceived;
-        TimerQueue.Timer[] late = {null};
-        HttpFetch f = HttpFetch.get(
+        TimerQueue.Timer[] timeout = {null};
+        HttpFetch request = HttpFetch.get(
                 net,
                 config.address(),
                 config.path() + (delta ? "/apps/delta" : "/apps"),
@@ -59,55 +60,55 @@
                 MAX_RESPONSE_BYTES,
                 new HttpFetch.Listener() {
                     @Override
-                    public void onResponse(HttpStyleMessage answer) {
-                        timers.cancel(late[0]);
-                        listReceived(delta, answer);
+                    public void onResponse(HttpStyleMessage response) {
+                        timers.cancel(timeout[0]);
+                        listReceived(delta, response);
                     }
 
                     @Override
-                    public void onFailure(boolean ran, String why) {
-                        timers.cancel(late[0]);
+                    public void onFailure(boolean maybeProcessed, String why) {
+                        timers.cancel(timeout[0]);
                         fetchFailed(why);
                     }
                 });
-        late[0] = timers.schedule(clock.now() + RESPONSE_TIMEOUT_US, t -> {
-            f.cancel();
-            fetchFailed("no answer in time");
+        timeout[0] = timers.schedule(clock.now() + RESPONSE_TIMEOUT_US, expired -> {
+            request.cancel();
+            fetchFailed("no response in time");
         });
     }
 
-    private void listReceived(boolean delta, HttpStyleMessage answer) {
+    private void listReceived(boolean delta, HttpStyleMessage response) {
         try {
-            if (answer.status() != 200) {
-                throw new EurekaRegistry.UnusableAnswerException("status " + answer.status());
+            if (response.status() != 200) {
+                throw new EurekaRegistry.UnusableAnswerException("expected HTTP status 200, got " + response.status());
             }
             if (delta) {
-                registry.applyDelta(answer.bodyText());
+                registry.applyDelta(response.bodyText());
             } else {
-                registry.applyFull(answer.bodyText());
+                registry.applyFull(response.bodyText());
             }
             listener.accept(registry.servers(config.app()));
             if (!fullListReceived || !reachable) {
-                LOG.info("Eureka's list taken: whole={}", !delta);
+                LOG.info("list received from Eureka: whole={}", !delta);
             }
             fullListReceived = true;
             reachable = true;
             scheduleNext();
         } catch (EurekaRegistry.UnusableAnswerException e) {
-            LOG.warn("Eureka's answer does not fit: delta={} why={}", delta, e.getMessage());
+            LOG.warn("response from Eureka not usable: delta={} why={}", delta, e.getMessage());
             fullListReceived = false;
             if (delta) {
-                fetch(clock.now()); // all of it, at once
+                fetch(clock.now()); // the full list, at once
             } else {
                 scheduleNext();
             }
         }
     }
 
-    /** The last list stands. */
+    /** Tries again at the next poll; the last list stays in force. */
     private void fetchFailed(String why) {
         if (reachable) {
-            LOG.warn("Eureka out of reach, the last list stands: why={}", why);
+            LOG.warn("Eureka unreachable, the last list stays in force: why={}", why);
         }
         reachable = false;
         scheduleNext();
--- a/src/main/java/dockshed/eureka/EurekaRegistry.java
+++ b/src/main/java/dockshed/eureka/EurekaRegistry.java
@@ -16,11 +16,11 @@
 import java.util.TreeMap;
 
 /**
- * Eureka's registry as its REST API tells it in JSON: whole, then by deltas that are checked against the hash code
- * of all instances' states. No I/O.
+ * The instances registered with Eureka, from the JSON of its REST API: a full list, then deltas, each checked against
+ * the hash code over the states of all instances. Performs no I/O.
  */
 final class EurekaRegistry {
-    /** An answer that is not Eureka's, or a delta that does not fit. */
+    /** A response is not of Eureka's format, or a delta does not match its hash code. */
     static final class UnusableAnswerException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -31,7 +31,9 @@
 
     private Map<String, JsonObject> instances = new LinkedHashMap<>();
 
-    /** Takes the whole list as it is: nothing better could be asked for, whatever hash code it carries. */
+    /**
+     * Replaces all instances. The hash code is not checked: there is nothing better to ask for if it does not match.
+     */
     void applyFull(String json) throws UnusableAnswerException {
         JsonObject all = applications(json);
         Map<String, JsonObject> read = new LinkedHashMap<>();
@@ -41,12 +43,14 @@
         instances = read;
     }
 
-    /** Takes a delta; throws, and keeps what it had, where the outcome has not the hash code that it should. */
+    /**
+     * Applies a delta; if the result does not have the delta's hash code, throws and keeps the instances as they were.
+     */
     void applyDelta(String json) throws UnusableAnswerException {
         JsonObject all = applications(json);
         Map<String, JsonObject> next = new LinkedHashMap<>(instances);
         for (JsonObject instance : instances(all)) {
-            if (text(instance, "actionType", "MODIFIED").equals("DELETED")) {
+            if (textOr(instance, "actionType", "MODIFIED").equals("DELETED")) {
                 next.remove(key(instance));
             } else {
                 next.put(key(instance), instance);
@@ -58,50 +62,57 @@
 
     private static void checkHashCode(JsonObject all, Map<String, JsonObject> instances)
             throws UnusableAnswerException {
-        String told = text(all, "apps__hashcode", "");
-        if (!told.equals(hashCodeOf(instances))) {
-            throw new UnusableAnswerException("hash code " + told + " is not " + hashCodeOf(instances));
+        String expected = textOr(all, "apps__hashcode", "");
+        if (!expected.equals(hashCodeOf(instances))) {
+            throw new UnusableAnswerException("expected hash code " + expected + ", got " + hashCodeOf(instances));
         }
     }
 
-    /** How many instances have each status, the statuses in order: {@code DOWN_1_UP_7_}. */
+    /**
+     * Eureka's hash code: the number of instances with each status, statuses in order, such as {@code DOWN_1_UP_7_}.
+     */
     private static String hashCodeOf(Map<String, JsonObject> instances) {
         TreeMap<String, Integer> counts = new TreeMap<>();
-        instances.values().forEach(i -> counts.merge(text(i, "status", "UNKNOWN"), 1, Integer::sum));
+        instances.values().forEach(instance -> counts.merge(textOr(instance, "status", "UNKNOWN"), 1, Integer::sum));
         StringBuilder out = new StringBuilder();
         counts.forEach(
                 (status, count) -> out.append(status).append('_').append(count).append('_'));
         return out.toString();
     }
 
-    /** The instances of an application as servers. */
+    /** The instances of an application as edge servers; one that is not UP is draining. */
     List<ListedServer> servers(String app) throws UnusableAnswerException {
         List<ListedServer> out = new ArrayList<>();
-        for (JsonObject i : instances.values()) {
-            if (!text(i, "app", "").equalsIgnoreCase(app)) {
+        for (JsonObject instance : instances.values()) {
+            if (!textOr(instance, "app", "").equalsIgnoreCase(app)) {
                 continue;
             }
             try {
-                JsonObject facts = i.has("metadata") ? i.getAsJsonObject("metadata") : new JsonObject();
-                JsonObject lease = i.has("leaseInfo") ? i.getAsJsonObject("leaseInfo") : new JsonObject();
-                State state = text(i, "status", "").equals("UP") ? State.UP : State.DRAINING;
-                long since = facts.has("started")
-                        ? Math.round(Double.parseDouble(text(facts, "started", "0")) * 1000)
+                JsonObject metadata =
+                        instance.has("metadata") ? instance.getAsJsonObject("metadata") : new JsonObject();
+                JsonObject lease = instance.has("leaseInfo") ? instance.getAsJsonObject("leaseInfo") : new JsonObject();
+                State state = textOr(instance, "status", "").equals("UP") ? State.UP : State.DRAINING;
+                long upSince = metadata.has("started")
+                        ? Math.round(Double.parseDouble(textOr(metadata, "started", "0")) * 1000)
                         : lease.has("serviceUpTimestamp")
                                 ? lease.get("serviceUpTimestamp").getAsLong() * 1000
                                 : 0;
                 out.add(new ListedServer(
                         new Server(
-                                text(facts, "box", text(i, "instanceId", text(i, "hostName", ""))),
-                                text(facts, "zone", ""),
-                                text(facts, "kind", ""),
-                                Integer.parseInt(text(facts, "cell", "0")),
+                                textOr(
+                                        metadata,
+                                        "box",
+                                        textOr(instance, "instanceId", textOr(instance, "hostName", ""))),
+                                textOr(metadata, "zone", ""),
+                                textOr(metadata, "kind", ""),
+                                Integer.parseInt(textOr(metadata, "cell", "0")),
                                 state,
-                                Double.parseDouble(text(facts, "weight", "1")),
-                                since),
-                        new InetSocketAddress(address(text(i, "ipAddr", "")), port(i))));
+                                Double.parseDouble(textOr(metadata, "weight", "1")),
+                                upSince),
+                        new InetSocketAddress(address(textOr(instance, "ipAddr", "")), port(instance))));
             } catch (RuntimeException e) {
-                throw new UnusableAnswerException("instance " + text(i, "instanceId", "?") + ": " + e.getMessage());
+                throw new UnusableAnswerException(
+                        "instance " + textOr(instance, "instanceId", "?") + ": " + e.getMessage());
             }
         }
         return out;
@@ -109,13 +120,13 @@
 
     private static String address(String ip) {
         if (!ip.matches("[0-9.]+|[0-9a-fA-F:]+")) {
-            throw new IllegalArgumentException("ipAddr is no address");
+            throw new IllegalArgumentException("ipAddr is not an IP address");
         }
         return ip;
     }
 
-    private static int port(JsonObject i) {
-        JsonElement port = i.get("port");
+    private static int port(JsonObject instance) {
+        JsonElement port = instance.get("port");
         return port.isJsonObject() ? port.getAsJsonObject().get("$").getAsInt() : port.getAsInt();
     }
 
@@ -123,28 +134,28 @@
         try {
             return JsonParser.parseString(json).getAsJsonObject().getAsJsonObject("applications");
         } catch (JsonParseException | IllegalStateException | ClassCastException | NullPointerException e) {
-            throw new UnusableAnswerException("not an answer of Eureka's");
+            throw new UnusableAnswerException("expected a response in Eureka's JSON format");
         }
     }
 
     private static List<JsonObject> instances(JsonObject all) throws UnusableAnswerException {
         List<JsonObject> out = new ArrayList<>();
         if (all == null) {
-            throw new UnusableAnswerException("no applications");
+            throw new UnusableAnswerException("member 'applications' is missing");
         }
         try {
             for (JsonElement app : asList(all.get("application"))) {
-                for (JsonElement i : asList(app.getAsJsonObject().get("instance"))) {
-                    out.add(i.getAsJsonObject());
+                for (JsonElement instance : asList(app.getAsJsonObject().get("instance"))) {
+                    out.add(instance.getAsJsonObject());
                 }
             }
         } catch (IllegalStateException e) {
-            throw new UnusableAnswerException("not an answer of Eureka's");
+            throw new UnusableAnswerException("expected a response in Eureka's JSON format");
         }
         return out;
     }
 
-    /** A list of one may stand there as the one itself, and an empty one not at all. */
+    /** The elements of a list. Eureka may write a list of one as that element alone, and leave out an empty one. */
     private static Iterable<JsonElement> asList(JsonElement list) {
         if (list == null || list.isJsonNull()) {
             return List.of();
@@ -152,12 +163,13 @@
         return list instanceof JsonArray a ? a : List.of(list);
     }
 
-    private static String key(JsonObject i) {
-        return text(i, "app", "") + '/' + text(i, "instanceId", text(i, "hostName", ""));
+    private static String key(JsonObject instance) {
+        return textOr(instance, "app", "") + '/' + textOr(instance, "instanceId", textOr(instance, "hostName", ""));
     }
 
-    private static String text(JsonObject o, String key, String absent) {
-        JsonElement e = o.get(key);
-        return e == null || !e.isJsonPrimitive() ? absent : e.getAsString();
+    /** The value of a member as text, or {@code defaultValue} if it is absent or not a primitive. */
+    private static String textOr(JsonObject object, String key, String defaultValue) {
+        JsonElement value = object.get(key);
+        return value == null || !value.isJsonPrimitive() ? defaultValue : value.getAsString();
     }
 }
--- a/src/main/java/dockshed/eureka/package-info.java
+++ b/src/main/java/dockshed/eureka/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The list of edge servers from a Eureka registry: full fetches, deltas and their hash code.
+ * The list of edge servers from a Eureka registry: full lists, deltas and their hash code.
  */
 package dockshed.eureka;
--- a/src/main/java/dockshed/load/EstimatedLoads.java
+++ b/src/main/java/dockshed/load/EstimatedLoads.java
@@ -11,34 +11,41 @@
 import java.util.Map;
 
 /**
- * The account of what own sessions ask of each box, in kB a second, and what follows from it for the whole link: own
- * rates times the brokers that share the box, or what the box itself said last and the own changes since. A promise
- * counts from the moment it is given, so the figure is never under the own sessions' rates. Times are microseconds.
+ * Tracks the demand of this broker's own sessions on each edge server's link, in kB a second, and estimates the total
+ * demand from it: either the own demand times the number of brokers that share the server, or what the server itself
+ * last reported plus the own changes since. A session counts from the moment it is promised, so an estimate is never
+ * below the own demand. Performs no I/O. Times are in microseconds.
  */
 public final class EstimatedLoads {
-    /** What a box said is believed for so long; after it own rates alone count. */
+    /** A server's own report is used for this long; after that only the own demand counts. */
     static final long REPORT_VALIDITY_US = 10_000_000;
-    /** Changes kept of a box: ten times the set-ups that the busiest fleet sees at one box within the lag of notes. */
+    /**
+     * Changes of demand kept per server: ten times the set-ups that the busiest fleet makes at one server within the
+     * delay of load reports.
+     */
     static final int MAX_CHANGES = 512;
-    /** Over this a box's own word is no share of a link but another unit. */
+    /** A higher value in a server's report is not a share of its link but in another unit. */
     static final double MAX_REPORTED_SHARE = 20;
 
+    /** A change of the own demand on a server, in kB a second. */
     private record Change(long at, double deltaKb) {}
 
-    private record ActiveSession(ServerLoad server, SessionClass sessionClass, double rateKb) {}
+    /** {@code rateKb} is the session's demand in kB a second. */
+    private record ActiveSession(ServerLoad load, SessionClass sessionClass, double rateKb) {}
 
+    /** The demand on one server. */
     private static final class ServerLoad {
         final LinkedHashMap<String, ActiveSession> sessions = new LinkedHashMap<>();
         final ArrayDeque<Change> changes = new ArrayDeque<>();
-        double ownKb;
-        double reportedKb; // kB asked there at saidAt, as the box said
+        double ownKb; // demand of the own sessions, in kB a second
+        double reportedKb; // total demand at reportedAt, as the server reported
         long reportedAt = Long.MIN_VALUE;
 
-        /** What own sessions asked at a time not long past. */
+        /** The own demand at a recent time. */
         double ownKbAt(long at) {
             double kb = ownKb;
-            for (Change c : changes) {
-                kb -= c.at() > at ? c.deltaKb() : 0;
+            for (Change change : changes) {
+                kb -= change.at() > at ? change.deltaKb() : 0;
             }
             return Math.max(0, kb);
         }
@@ -48,7 +55,7 @@
     private final Map<String, SessionClass> classes = new HashMap<>();
     private final Map<String, Server> listedServers = new HashMap<>();
     private final Map<String, Double> linkKb = new HashMap<>();
-    private final LinkedHashMap<String, ServerLoad> servers = new LinkedHashMap<>();
+    private final LinkedHashMap<String, ServerLoad> loadByServer = new LinkedHashMap<>();
     private final Map<String, ActiveSession> sessions = new HashMap<>();
 
     public EstimatedLoads(Settings settings) {
@@ -56,112 +63,126 @@
         settings.classes().forEach(c -> classes.put(c.name(), c));
     }
 
-    /** The boxes as now listed, all of them: how much each link carries is told by the list alone. */
+    /** Sets the complete list of servers, from which the capacity of each link is derived. */
     public void updateServers(List<Server> servers) {
         listedServers.clear();
         linkKb.clear();
-        servers.forEach(s -> listedServers.put(s.id(), s));
-        boolean alike = servers.stream().mapToDouble(Server::weight).distinct().count() < 2;
-        double streams =
-                servers.stream().mapToInt(s -> settings.streams(s.kind())).sum();
-        for (Server s : servers) {
-            // The module's own measure: by weight, or by streams where all weights are alike.
-            double unit = settings.ladder().weightKb() * s.weight();
+        servers.forEach(server -> listedServers.put(server.id(), server));
+        boolean equalWeights =
+                servers.stream().mapToDouble(Server::weight).distinct().count() < 2;
+        double streams = servers.stream()
+                .mapToInt(server -> settings.streams(server.kind()))
+                .sum();
+        for (Server server : servers) {
+            // The same measure as the module's: by weight, or by streams where all weights are equal.
+            double weightedKb = settings.ladder().weightKb() * server.weight();
             linkKb.put(
-                    s.id(), Math.max(1, alike ? unit * settings.streams(s.kind()) * servers.size() / streams : unit));
+                    server.id(),
+                    Math.max(
+                            1,
+                            equalWeights
+                                    ? weightedKb * settings.streams(server.kind()) * servers.size() / streams
+                                    : weightedKb));
         }
     }
 
-    /** A session stands at a box, on a rung. */
-    public void sessionStarted(long now, String server, String name, String className, int rung) {
-        SessionClass cls = classes.get(className);
-        if (cls == null || sessions.containsKey(name)) {
+    /** A session has become active at a server, at a rendition. */
+    public void sessionStarted(long now, String server, String name, String className, int rendition) {
+        SessionClass sessionClass = classes.get(className);
+        if (sessionClass == null || sessions.containsKey(name)) {
             return;
         }
-        ActiveSession s =
-                new ActiveSession(servers.computeIfAbsent(server, id -> new ServerLoad()), cls, rateKb(cls, rung));
-        sessions.put(name, s);
-        s.server().sessions.put(name, s);
-        addChange(now, s.server(), s.rateKb());
+        ActiveSession session = new ActiveSession(
+                loadByServer.computeIfAbsent(server, id -> new ServerLoad()),
+                sessionClass,
+                rateKb(sessionClass, rendition));
+        sessions.put(name, session);
+        session.load().sessions.put(name, session);
+        addChange(now, session.load(), session.rateKb());
     }
 
-    public void renditionChanged(long now, String name, int rung) {
-        ActiveSession was = sessions.get(name);
-        if (was != null) {
-            ActiveSession is = new ActiveSession(was.server(), was.sessionClass(), rateKb(was.sessionClass(), rung));
-            sessions.put(name, is);
-            is.server().sessions.put(name, is);
-            addChange(now, is.server(), is.rateKb() - was.rateKb());
+    /** An active session was switched to another rendition. */
+    public void renditionChanged(long now, String name, int rendition) {
+        ActiveSession previous = sessions.get(name);
+        if (previous != null) {
+            ActiveSession updated = new ActiveSession(
+                    previous.load(), previous.sessionClass(), rateKb(previous.sessionClass(), rendition));
+            sessions.put(name, updated);
+            updated.load().sessions.put(name, updated);
+            addChange(now, updated.load(), updated.rateKb() - previous.rateKb());
         }
     }
 
+    /** A session has ended, if it was active. */
     public void sessionEnded(long now, String name) {
-        ActiveSession s = sessions.remove(name);
-        if (s != null) {
-            s.server().sessions.remove(name);
-            addChange(now, s.server(), -s.rateKb());
-            servers.values().removeIf(b -> b.sessions.isEmpty() && now - b.reportedAt > REPORT_VALIDITY_US);
+        ActiveSession session = sessions.remove(name);
+        if (session != null) {
+            session.load().sessions.remove(name);
+            addChange(now, session.load(), -session.rateKb());
+            loadByServer
+                    .values()
+                    .removeIf(load -> load.sessions.isEmpty() && now - load.reportedAt > REPORT_VALIDITY_US);
         }
     }
 
-    /** A box said what share of its link is asked. */
+    /** A server reported the demand on its link, as a share of what the link carries. */
     public void serverReported(long now, String server, double share) {
         if (share >= 0 && share <= MAX_REPORTED_SHARE && listedServers.containsKey(server)) {
-            ServerLoad b = servers.computeIfAbsent(server, id -> new ServerLoad());
-            b.reportedKb = share * availableLinkKb(now, server);
-            b.reportedAt = now;
+            ServerLoad load = loadByServer.computeIfAbsent(server, id -> new ServerLoad());
+            load.reportedKb = share * availableLinkKb(now, server);
+            load.reportedAt = now;
         }
     }
 
-    private double rateKb(SessionClass cls, int rung) {
+    private double rateKb(SessionClass sessionClass, int rendition) {
         List<Double> rates = settings.ladder().rates();
-        return rates.get(Math.max(0, Math.min(rung, rates.size() - 1))) * cls.scale();
+        return rates.get(Math.max(0, Math.min(rendition, rates.size() - 1))) * sessionClass.scale();
     }
 
-    private void addChange(long now, ServerLoad b, double kb) {
-        b.ownKb += kb;
-        b.changes.add(new Change(now, kb));
-        while (b.changes.size() > MAX_CHANGES
-                || b.changes.peekFirst().at() < now - settings.limits().reportDelay() - REPORT_VALIDITY_US) {
-            b.changes.removeFirst();
+    private void addChange(long now, ServerLoad load, double deltaKb) {
+        load.ownKb += deltaKb;
+        load.changes.add(new Change(now, deltaKb));
+        while (load.changes.size() > MAX_CHANGES
+                || load.changes.peekFirst().at() < now - settings.limits().reportDelay() - REPORT_VALIDITY_US) {
+            load.changes.removeFirst();
         }
-        if (b.sessions.isEmpty()) {
-            b.ownKb = 0; // what rounding left
+        if (load.sessions.isEmpty()) {
+            load.ownKb = 0; // removes rounding errors
         }
     }
 
-    /** What the link gives now: a box that has just started gives less. */
+    /** What the link carries now, in kB a second: less while a server is warming up. */
     private double availableLinkKb(long now, String server) {
         Server s = listedServers.get(server);
         double link = linkKb.getOrDefault(server, Math.max(1, settings.ladder().weightKb()));
         return s == null || s.upSince() <= 0 ? link : link * settings.rules().warmth(now, s.upSince());
     }
 
-    /** The share of the box's link that was asked at a time at most the lag of notes ago. */
+    /** The estimated demand on a server's link, as a share of what it carries, at a time up to one report delay ago. */
     public double linkShare(long now, String server, long at) {
-        ServerLoad b = servers.get(server);
-        if (b == null) {
+        ServerLoad load = loadByServer.get(server);
+        if (load == null) {
             return 0;
         }
-        double own = b.ownKbAt(at);
-        double all = b.reportedAt > now - REPORT_VALIDITY_US
-                ? Math.max(own, b.reportedKb + own - b.ownKbAt(b.reportedAt))
+        double own = load.ownKbAt(at);
+        double all = load.reportedAt > now - REPORT_VALIDITY_US
+                ? Math.max(own, load.reportedKb + own - load.ownKbAt(load.reportedAt))
                 : own * settings.brokers();
         return all / availableLinkKb(now, server);
     }
 
-    /** The boxes with own sessions, each with one of these: whose reading it may be told as. */
+    /** For each server with own sessions, the name of one of them, under which its load may be reported. */
     public Map<String, String> sessionByServer() {
-        Map<String, String> out = new LinkedHashMap<>();
-        servers.forEach((id, b) -> {
-            if (!b.sessions.isEmpty()) {
-                out.put(id, b.sessions.keySet().iterator().next());
+        Map<String, String> names = new LinkedHashMap<>();
+        loadByServer.forEach((id, load) -> {
+            if (!load.sessions.isEmpty()) {
+                names.put(id, load.sessions.keySet().iterator().next());
             }
         });
-        return out;
+        return names;
     }
 
-    /** Names held, for tests and the log. */
+    /** The names of all active sessions, for tests and the log. */
     public List<String> sessionNames() {
         return new ArrayList<>(sessions.keySet());
     }
--- a/src/main/java/dockshed/load/LoadReporter.java
+++ b/src/main/java/dockshed/load/LoadReporter.java
@@ -8,9 +8,12 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-/** Tells the broker the reckoned readings of an adapter's boxes: at each set-up, and every so often while sessions stand. */
+/**
+ * Reports estimated loads of an adapter's edge servers to the broker: at each set-up, and periodically for servers with
+ * active sessions. For servers that do not report their load themselves. Times are in microseconds.
+ */
 public final class LoadReporter {
-    /** Between readings where the settings name no time. */
+    /** Interval between reports where the settings have none. */
     static final long DEFAULT_INTERVAL_US = 1_000_000;
 
     private final Broker broker;
@@ -20,21 +23,22 @@
     private final long reportDelayUs;
     private boolean reportScheduled;
 
-    public LoadReporter(Broker broker, TimerQueue deadlines, Settings settings) {
+    public LoadReporter(Broker broker, TimerQueue timers, Settings settings) {
         this.broker = broker;
-        this.timers = deadlines;
+        this.timers = timers;
         loads = new EstimatedLoads(settings);
         intervalUs = settings.limits().reportInterval() > 0 ? settings.limits().reportInterval() : DEFAULT_INTERVAL_US;
         reportDelayUs = settings.limits().reportDelay();
     }
 
+    /** Sets the complete list of servers. */
     public void updateServers(List<Server> servers) {
         loads.updateServers(servers);
     }
 
-    /** A session stands; its own reading is of now, as the module takes the first of each session. */
-    public void sessionStarted(long now, String server, String name, String className, int rung) {
-        loads.sessionStarted(now, server, name, className, rung);
+    /** A session has become active. Its load report is current, as the module uses the first report of each session. */
+    public void sessionStarted(long now, String server, String name, String className, int rendition) {
+        loads.sessionStarted(now, server, name, className, rendition);
         broker.metricReceived(now, server, name, Metric.LINK, loads.linkShare(now, server, now));
         if (!reportScheduled) {
             reportScheduled = true;
@@ -42,15 +46,17 @@
         }
     }
 
-    public void renditionChanged(long now, String name, int rung) {
-        loads.renditionChanged(now, name, rung);
+    /** An active session was switched to another rendition. */
+    public void renditionChanged(long now, String name, int rendition) {
+        loads.renditionChanged(now, name, rendition);
     }
 
+    /** A session has ended, if it was active. */
     public void sessionEnded(long now, String name) {
         loads.sessionEnded(now, name);
     }
 
-    /** The load header of an answer of the box, or null. */
+    /** A server's response arrived; {@code header} is its load header, or null. */
     public void loadHeaderReceived(long now, String server, String header) {
         OptionalDouble share = OrcaReport.linkShare(header);
         if (share.isPresent()) {
@@ -58,7 +64,7 @@
         }
     }
 
-    /** Readings that are not a set-up's count as late as the settings say, so they are of that time. */
+    /** Periodic reports are assumed to be as late as the settings say, so they give the load at that earlier time. */
     private void reportAll(long now) {
         loads.sessionByServer()
                 .forEach((server, name) -> broker.metricReceived(
--- a/src/main/java/dockshed/load/OrcaReport.java
+++ b/src/main/java/dockshed/load/OrcaReport.java
@@ -8,20 +8,21 @@
 import java.util.OptionalDouble;
 
 /**
- * The load header of Open Request Cost Aggregation, {@code endpoint-load-metrics}, in its TEXT and JSON forms. Of its
- * fields those that can tell of the link are read, the most particular first; the binary form is passed over.
+ * The load header of Open Request Cost Aggregation (ORCA), {@code endpoint-load-metrics}, in its TEXT and JSON formats.
+ * Of the fields that may describe the link, the most specific one present is used; the binary format is ignored.
  */
 public final class OrcaReport {
     public static final String HEADER = "endpoint-load-metrics";
-    /** Longer than any report of sense: what is longer is passed over unread. */
+    /** A longer header is ignored unread; no sensible report is that long. */
     static final int MAX_HEADER_CHARS = 4096;
 
+    /** The most specific first. */
     private static final List<String> LINK_FIELDS = List.of(
             "utilization.link", "named_metrics.link_utilization", "named_metrics.link", "application_utilization");
 
     private OrcaReport() {}
 
-    /** The share of the link that is asked, as the header says; empty where it does not, or cannot be read. */
+    /** The demand on the link that the header states, as a share of 1; empty if it states none or is malformed. */
     public static OptionalDouble linkShare(String header) {
         if (header == null || header.length() > MAX_HEADER_CHARS) {
             return OptionalDouble.empty();
@@ -46,14 +47,14 @@
 
     private static OptionalDouble parseJson(String body) {
         try {
-            JsonElement read = JsonParser.parseString(body);
+            JsonElement parsed = JsonParser.parseString(body);
             for (String field : LINK_FIELDS) {
-                JsonElement at = read;
+                JsonElement element = parsed;
                 for (String part : field.split("\\.")) {
-                    at = at instanceof JsonObject o ? o.get(part) : null;
+                    element = element instanceof JsonObject object ? object.get(part) : null;
                 }
-                if (at != null && at.isJsonPrimitive()) {
-                    return parseUtilization(at.getAsString());
+                if (element != null && element.isJsonPrimitive()) {
+                    return parseUtilization(element.getAsString());
                 }
             }
         } catch (JsonParseException e) {
@@ -64,7 +65,7 @@
 
     private static OptionalDouble parseUtilization(String text) {
         if (!text.matches("[0-9]{1,9}(\\.[0-9]{1,18})?([eE]-?[0-9]{1,2})?")) {
-            return OptionalDouble.empty(); // a sign, NaN or Infinity is no utilization
+            return OptionalDouble.empty(); // a signed number, NaN or Infinity is not a utilization
         }
         return OptionalDouble.of(Double.parseDouble(text));
     }
--- a/src/main/java/dockshed/load/package-info.java
+++ b/src/main/java/dockshed/load/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What is asked of the links of boxes that do not report it. Owns the account of this broker's own sessions at such
- * boxes, and what a box says in the load header of its answers (ORCA's {@code endpoint-load-metrics}). The account is
- * free of I/O and takes the time as an argument; {@link dockshed.load.LoadTeller} ties it to the broker. It decides
- * nothing: it may only tell the module readings, never keep a session off a box.
+ * The load of edge servers that do not report it. Tracks the demand of this broker's own sessions on such servers, and
+ * the load that a server states in the header of its responses (ORCA's {@code endpoint-load-metrics}). The estimate
+ * performs no I/O and takes the time as an argument; {@link dockshed.load.LoadReporter} connects it to the broker. This
+ * package decides nothing: it only reports loads to the module and never keeps a session off a server.
  */
 package dockshed.load;
--- a/src/main/java/dockshed/peers/DatagramPeers.java
+++ b/src/main/java/dockshed/peers/DatagramPeers.java
@@ -3,16 +3,24 @@
 import dockshed.net.Net;
 import java.net.InetSocketAddress;
 
-/** Datagrams to and from the numbered brokers of a tier. What stands between two brokers may be put round one of these. */
+/**
+ * Exchanges datagrams with the other brokers of a fleet, which are known by number. An implementation may wrap another
+ * one, to simulate the network between two brokers.
+ */
 public interface DatagramPeers {
-    /** Where a datagram of a known broker goes: its number and the bytes. */
+    /** Receives datagrams. */
     interface Receiver {
+        /** {@code from} is the number of the broker that sent the datagram. */
         void receive(int from, byte[] message);
     }
 
-    /** Begins to listen. Throws IllegalStateException where the address cannot be listened on. */
+    /**
+     * Starts to listen.
+     *
+     * @throws IllegalStateException if the address cannot be bound
+     */
     void listen(Net net, InetSocketAddress at, Receiver receiver);
 
-    /** To one of them; dropped where the system takes no more. */
+    /** Sends a datagram to one broker; drops it if the operating system does not take it. */
     void send(int to, byte[] message);
 }
--- a/src/main/java/dockshed/peers/UdpPeers.java
+++ b/src/main/java/dockshed/peers/UdpPeers.java
@@ -13,9 +13,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Datagrams between the brokers of the tier; they may be late or lost, and hold 256 bytes at most. */
+/** UDP datagrams between the brokers of a fleet; they may be late or lost. */
 public final class UdpPeers implements Peers, DatagramPeers {
+    /** Longer datagrams are neither sent nor accepted. */
     static final int MAX_DATAGRAM_BYTES = 256;
+
     private static final Logger LOG = LoggerFactory.getLogger(UdpPeers.class);
 
     private final List<InetSocketAddress> brokers;
@@ -23,16 +25,20 @@
     private final Map<InetSocketAddress, Integer> numberByAddress = new HashMap<>();
     private Channel channel;
 
-    /** {@code all} may be null: then each is written to. */
-    public UdpPeers(List<InetSocketAddress> each, InetSocketAddress all) {
-        this.brokers = List.copyOf(each);
-        this.allBrokersAddress = all;
-        for (int i = 0; i < each.size(); i++) {
-            numberByAddress.putIfAbsent(each.get(i), i);
+    /**
+     * The brokers' addresses in the order of their numbers.
+     *
+     * @param allBrokersAddress reaches all brokers at once; null: each one is sent to
+     */
+    public UdpPeers(List<InetSocketAddress> brokers, InetSocketAddress allBrokersAddress) {
+        this.brokers = List.copyOf(brokers);
+        this.allBrokersAddress = allBrokersAddress;
+        for (int i = 0; i < brokers.size(); i++) {
+            numberByAddress.putIfAbsent(brokers.get(i), i);
         }
     }
 
-    /** The number of the broker that sends from there; -1: none does. */
+    /** The number of the broker that sends from this address; -1 if none does. */
     public int brokerNumber(InetSocketAddress sender) {
         return numberByAddress.getOrDefault(sender, -1);
     }
@@ -44,7 +50,7 @@
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                         int from = brokerNumber(packet.sender());
                         if (from < 0 || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
-                            LOG.debug("datagram from nobody known: sender={}", packet.sender());
+                            LOG.debug("datagram dropped, unknown sender or too long: sender={}", packet.sender());
                             return;
                         }
                         receiver.receive(from, Net.toBytes(packet.content()));
@@ -68,14 +74,14 @@
         List<InetSocketAddress> to = allBrokersAddress != null
                 ? List.of(allBrokersAddress)
                 : brokers.stream()
-                        .filter(a -> !a.equals(channel.localAddress()))
+                        .filter(address -> !address.equals(channel.localAddress()))
                         .toList();
-        for (InetSocketAddress a : to) {
-            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), a));
+        for (InetSocketAddress address : to) {
+            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), address));
         }
     }
 
-    /** To one of them; dropped where the system takes no more: a later one tells more anyway. */
+    /** Drops a datagram that cannot be sent: a later one has newer information anyway. */
     @Override
     public void send(int to, byte[] message) {
         if (channel != null && message.length <= MAX_DATAGRAM_BYTES && to >= 0 && to < brokers.size()) {
--- a/src/main/java/dockshed/peers/package-info.java
+++ b/src/main/java/dockshed/peers/package-info.java
@@ -1,4 +1,4 @@
 /**
- * UDP datagrams between brokers, without any knowledge of their contents.
+ * UDP datagrams between brokers; does not know their contents.
  */
 package dockshed.peers;
