--- a/src/main/java/dockshed/config/ConfFile.java
+++ b/src/main/java/dockshed/config/ConfFile.java
@@ -18,35 +18,42 @@
 import java.util.regex.Pattern;
 
 /**
- * The operator's file: a directive and its values on a line, {@code section {} to {@code }}, comments from {@code #},
- * values with spaces in double quotes, in which a backslash keeps the next character. All faults of a file are told at
- * once, each with file, line, key, what was expected and what stood there.
+ * Parser of the operator's file. Each line holds a directive and its values; {@code section {} to {@code }} encloses a
+ * section; {@code #} starts a comment. Values with spaces are written in double quotes, in which a backslash quotes the
+ * next character.
+ *
+ * <p>Values are read by key, type and range. Errors are collected and thrown together by {@link #throwIfErrors}, each
+ * with file, line, key, what was expected and what was found. The getters then return the default.
  */
 final class ConfFile {
-    /** No operator writes a longer file by hand; one that long is some other file. */
+    /** A larger file is not one that an operator wrote. */
     static final int MAX_FILE_BYTES = 1 << 20;
-    /** Sections in sections. */
+    /** Nesting of sections within sections. */
     static final int MAX_SECTION_DEPTH = 8;
 
-    private static final int MAX_FAULTS = 100;
+    private static final int MAX_ERRORS = 100;
     private static final Pattern QUANTITY = Pattern.compile("([0-9]{1,12}(?:\\.[0-9]{1,9})?)([a-z/%]*)");
     private static final Map<String, Double> MICROS_BY_UNIT =
             Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "m", 60e6, "h", 3600e6);
 
-    /** A directive with what follows it, or a section. */
+    /** A directive with its values, or a section; {@code section} is null for a directive. */
     private record Entry(int line, List<String> values, Section section) {}
 
-    /** One line of a directive that may stand several times. */
+    /** One line of a directive that may be repeated. */
     record DirectiveLine(int number, List<String> values) {}
 
-    /** The directives between two braces, or of the whole file; each is asked for by name, and what is left is a fault. */
+    /**
+     * The directives of a section, or those of the file outside of any section. Each is read by its key; a key that was
+     * never read is an error, see {@link #rejectUnknown}.
+     */
     final class Section {
         private final String name;
         private final int line;
         private final Map<String, Entry> entries = new LinkedHashMap<>();
-        private final Map<String, List<Entry>> repeatedEntries = new LinkedHashMap<>(); // further lines of a directive
+        private final Map<String, List<Entry>> repeatedEntries =
+                new LinkedHashMap<>(); // second and further occurrences
         private final List<String> knownKeys = new ArrayList<>();
-        /** Keys that stand in the file under a name of an earlier version; their fault is recorded. */
+        /** Keys used in the file under their name of an earlier version; their error is recorded already. */
         private final Set<String> renamedKeys = new HashSet<>();
 
         private Section(String name, int line) {
@@ -58,7 +65,7 @@
             return entries.containsKey(key);
         }
 
-        /** All lines of a directive that may stand several times, in their order. */
+        /** All lines of a directive that may be repeated, in file order. */
         List<DirectiveLine> lines(String key, String expected) {
             knownKeys.add(key);
             List<Entry> all = new ArrayList<>();
@@ -67,157 +74,163 @@
                 all.addAll(repeatedEntries.getOrDefault(key, List.of()));
             }
             List<DirectiveLine> out = new ArrayList<>();
-            for (Entry e : all) {
-                if (e.section() != null) {
-                    fault(e.line(), key, expected, "a section");
+            for (Entry entry : all) {
+                if (entry.section() != null) {
+                    reportError(entry.line(), key, expected, "a section");
                 } else {
-                    out.add(new DirectiveLine(e.line(), e.values()));
+                    out.add(new DirectiveLine(entry.line(), entry.values()));
                 }
             }
             return out;
         }
 
-        /** A fault of one of a directive's lines. */
-        void faultAt(DirectiveLine of, String key, String expected, String got) {
-            fault(of.number(), key, expected, got);
+        /** Records an error in one line of a repeated directive. */
+        void reportErrorAt(DirectiveLine directiveLine, String key, String expected, String got) {
+            reportError(directiveLine.number(), key, expected, got);
         }
 
+        /** Records an error for each repetition of a directive. */
         private void rejectRepeats(String key) {
-            for (Entry again : repeatedEntries.getOrDefault(key, List.of())) {
-                fault(
-                        again.line(),
+            for (Entry repeat : repeatedEntries.getOrDefault(key, List.of())) {
+                reportError(
+                        repeat.line(),
                         key,
-                        "it once, and it stands in line " + entries.get(key).line(),
+                        "it only once, first given in line " + entries.get(key).line(),
                         "it again");
             }
         }
 
-        /** The section of that name, or an empty one. */
+        /** The section of this name, or an empty one. */
         Section section(String key) {
             knownKeys.add(key);
             rejectRepeats(key);
-            Entry e = entries.get(key);
-            if (e != null && e.section() == null) {
-                fault(e.line(), key, "a section: '" + key + " {'", String.join(" ", e.values()));
+            Entry entry = entries.get(key);
+            if (entry != null && entry.section() == null) {
+                reportError(entry.line(), key, "a section: '" + key + " {'", String.join(" ", entry.values()));
             }
-            return e != null && e.section() != null ? e.section() : new Section(key, line);
+            return entry != null && entry.section() != null ? entry.section() : new Section(key, line);
         }
 
+        /** The only value of a directive; null if the directive is absent or has an error. */
         private String value(String key, String expected) {
             knownKeys.add(key);
             rejectRepeats(key);
-            Entry e = entries.get(key);
-            if (e == null) {
+            Entry entry = entries.get(key);
+            if (entry == null) {
                 return null;
             }
-            if (e.section() != null || e.values().size() != 1) {
-                fault(
-                        e.line(),
+            if (entry.section() != null || entry.values().size() != 1) {
+                reportError(
+                        entry.line(),
                         key,
                         expected,
-                        e.section() != null
+                        entry.section() != null
                                 ? "a section"
-                                : e.values().isEmpty() ? "nothing" : String.join(" ", e.values()));
+                                : entry.values().isEmpty() ? "nothing" : String.join(" ", entry.values()));
                 return null;
             }
-            return e.values().get(0);
+            return entry.values().get(0);
         }
 
+        /** A number with one of the given units, in the unit with factor 1. */
         private double quantity(
-                String key, double absent, double least, double most, Map<String, Double> units, String expected) {
+                String key, double defaultValue, double min, double max, Map<String, Double> units, String expected) {
             String text = value(key, expected);
             if (text == null) {
-                return absent;
+                return defaultValue;
             }
-            Matcher m = QUANTITY.matcher(text);
-            Double unit = m.matches() ? units.get(m.group(2)) : null;
-            double read = unit == null ? Double.NaN : Double.parseDouble(m.group(1)) * unit;
-            if (!(read >= least && read <= most)) {
-                fault(entries.get(key).line(), key, expected, text);
-                return absent;
+            Matcher matcher = QUANTITY.matcher(text);
+            Double unit = matcher.matches() ? units.get(matcher.group(2)) : null;
+            double read = unit == null ? Double.NaN : Double.parseDouble(matcher.group(1)) * unit;
+            if (!(read >= min && read <= max)) {
+                reportError(entries.get(key).line(), key, expected, text);
+                return defaultValue;
             }
             return read;
         }
 
-        /** Microseconds. */
-        long duration(String key, long absent, long least, long most) {
+        /** A duration in microseconds. */
+        long duration(String key, long defaultValue, long min, long max) {
             return Math.round(quantity(
                     key,
-                    absent,
-                    least,
-                    most,
+                    defaultValue,
+                    min,
+                    max,
                     MICROS_BY_UNIT,
-                    "a time from " + formatTime(least) + " to " + formatTime(most)));
+                    "a time from " + formatTime(min) + " to " + formatTime(max)));
         }
 
-        /** A share of 1, written in percent. */
-        double share(String key, double absent, double least, double most) {
+        /** A share as a fraction of 1, written in percent. */
+        double share(String key, double defaultValue, double min, double max) {
             return quantity(
                     key,
-                    absent,
-                    least,
-                    most,
+                    defaultValue,
+                    min,
+                    max,
                     Map.of("%", 0.01),
-                    String.format(Locale.ROOT, "a share from %.0f%% to %.0f%%", least * 100, most * 100));
+                    String.format(Locale.ROOT, "a share from %.0f%% to %.0f%%", min * 100, max * 100));
         }
 
-        double perSecond(String key, double absent, double least, double most) {
+        /** A rate per second, written per second or per minute. */
+        double perSecond(String key, double defaultValue, double min, double max) {
             return quantity(
                     key,
-                    absent,
-                    least,
-                    most,
+                    defaultValue,
+                    min,
+                    max,
                     Map.of("/s", 1.0, "/m", 1 / 60.0),
-                    String.format(Locale.ROOT, "a rate from %s/s to %s/s", formatNumber(least), formatNumber(most)));
+                    String.format(Locale.ROOT, "a rate from %s/s to %s/s", formatNumber(min), formatNumber(max)));
         }
 
-        double decimal(String key, double absent, double least, double most) {
+        /** A number without a unit. */
+        double decimal(String key, double defaultValue, double min, double max) {
             return quantity(
                     key,
-                    absent,
-                    least,
-                    most,
+                    defaultValue,
+                    min,
+                    max,
                     Map.of("", 1.0),
-                    "a number from " + formatNumber(least) + " to " + formatNumber(most));
+                    "a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
 
-        int integer(String key, int absent, int least, int most) {
+        /** A whole number. */
+        int integer(String key, int defaultValue, int min, int max) {
             double read =
-                    quantity(key, absent, least, most, Map.of("", 1.0), "a whole number from " + least + " to " + most);
+                    quantity(key, defaultValue, min, max, Map.of("", 1.0), "a whole number from " + min + " to " + max);
             if (read != Math.rint(read)) {
-                fault(entries.get(key).line(), key, "a whole number", formatNumber(read));
-                return absent;
+                reportError(entries.get(key).line(), key, "a whole number", formatNumber(read));
+                return defaultValue;
             }
             return (int) read;
         }
 
         /** A whole number that may be larger than an {@code int}. */
-        long longInteger(String key, long absent, long least, long most) {
-            String expected = "a whole number from " + least + " to " + most;
+        long longInteger(String key, long defaultValue, long min, long max) {
+            String expected = "a whole number from " + min + " to " + max;
             String text = value(key, expected);
             if (text == null) {
-                return absent;
+                return defaultValue;
             }
             long read = text.matches("[0-9]{1,18}") ? Long.parseLong(text) : -1;
-            if (read < least || read > most) {
-                fault(entries.get(key).line(), key, expected, text);
-                return absent;
+            if (read < min || read > max) {
+                reportError(entries.get(key).line(), key, expected, text);
+                return defaultValue;
             }
             return read;
         }
 
-        /** Several whole numbers on one line; empty where the directive does not stand. */
-        List<Integer> integers(String key, int least, int most, String expected) {
+        /** Several whole numbers on one line; empty if the directive is absent. */
+        List<Integer> integers(String key, int min, int max, String expected) {
             knownKeys.add(key);
-            Entry e = entries.get(key);
+            Entry entry = entries.get(key);
             List<Integer> out = new ArrayList<>();
-            if (e == null) {
+            if (entry == null) {
                 return out;
             }
-            for (String text : e.values()) {
+            for (String text : entry.values()) {
                 int read = text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : -1;
-                if (read < least || read > most) {
-                    fault(e.line(), key, expected, text);
+                if (read < min || read > max) {
+                    reportError(entry.line(), key, expected, text);
                     return List.of();
                 }
                 out.add(read);
@@ -225,12 +238,12 @@
             return out;
         }
 
-        /** One value as it stands; null where the directive does not. */
+        /** The only value of a directive as text; null if the directive is absent. */
         String text(String key, String expected) {
             return value(key, expected);
         }
 
-        /** An address and port in figures; null where the directive does not stand. */
+        /** A numeric address and port; null if the directive is absent. */
         InetSocketAddress address(String key) {
             String expected = "an address and a port: '127.0.0.1:53'";
             String text = value(key, expected);
@@ -240,67 +253,73 @@
             try {
                 return Config.parseAddress(text, key);
             } catch (JsonFields.InvalidInputException e) {
-                fault(entries.get(key).line(), key, expected, text);
+                reportError(entries.get(key).line(), key, expected, text);
                 return null;
             }
         }
 
-        /** Whether a directive stands before all others. */
+        /** Whether a directive is the first one of the section. */
         boolean isFirst(String key) {
             return !entries.isEmpty() && entries.keySet().iterator().next().equals(key);
         }
 
-        /** The line of a directive, or of the section where it does not stand. */
-        int line(String key) {
+        /** The line number of a directive, or of the section if the directive is absent. */
+        int lineOf(String key) {
             return has(key) ? entries.get(key).line() : line;
         }
 
-        boolean flag(String key, boolean absent) {
+        /** A value of yes or no. */
+        boolean flag(String key, boolean defaultValue) {
             String text = value(key, "yes or no");
             if (text != null && !text.equals("yes") && !text.equals("no")) {
-                fault(entries.get(key).line(), key, "yes or no", text);
+                reportError(entries.get(key).line(), key, "yes or no", text);
             }
-            return text == null ? absent : text.equals("yes");
+            return text == null ? defaultValue : text.equals("yes");
         }
 
-        <E extends Enum<E>> E enumValue(String key, E absent, Class<E> of) {
-            List<String> words = Arrays.stream(of.getEnumConstants())
+        /** An enum constant, written in lower case. */
+        <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type) {
+            List<String> words = Arrays.stream(type.getEnumConstants())
                     .map(e -> e.name().toLowerCase(Locale.ROOT))
                     .toList();
             String text = value(key, "one of " + String.join(", ", words));
             if (text == null) {
-                return absent;
+                return defaultValue;
             }
             if (!words.contains(text)) {
-                fault(entries.get(key).line(), key, "one of " + String.join(", ", words), text);
-                return absent;
+                reportError(entries.get(key).line(), key, "one of " + String.join(", ", words), text);
+                return defaultValue;
             }
-            return of.getEnumConstants()[words.indexOf(text)];
+            return type.getEnumConstants()[words.indexOf(text)];
         }
 
-        /** A fault that figures have only together. */
+        /** Records an error in a value that is valid by itself but not together with others, or is missing. */
         void rejectCombination(String key, String expected) {
-            Entry e = entries.get(key);
-            fault(e == null ? line : e.line(), key, expected, e == null ? "its default" : String.join(" ", e.values()));
+            Entry entry = entries.get(key);
+            reportError(
+                    entry == null ? line : entry.line(),
+                    key,
+                    expected,
+                    entry == null ? "its default" : String.join(" ", entry.values()));
         }
 
-        /** Directives of earlier versions, by their old names: one that stands here is a fault that names the new one. */
+        /** Records an error with the new name for each directive used under its name of an earlier version. */
         void rejectRenamed(Map<String, String> newNames) {
-            entries.forEach((key, e) -> {
+            entries.forEach((key, entry) -> {
                 if (newNames.containsKey(key)) {
                     renamedKeys.add(key);
-                    addFault(file + ":" + e.line() + ": " + key + ": was renamed to " + newNames.get(key));
+                    addError(file + ":" + entry.line() + ": " + key + ": was renamed to " + newNames.get(key));
                 }
             });
         }
 
-        /** Whatever was not asked for by now is no directive of this section. */
+        /** Records an error for each directive that was not read; to be called last. */
         void rejectUnknown() {
-            entries.forEach((key, e) -> {
+            entries.forEach((key, entry) -> {
                 if (!knownKeys.contains(key) && !renamedKeys.contains(key)) {
                     rejectRepeats(key);
-                    fault(
-                            e.line(),
+                    reportError(
+                            entry.line(),
                             key,
                             "one of " + String.join(", ", knownKeys) + (name.isEmpty() ? "" : " in section " + name),
                             "an unknown directive");
@@ -310,55 +329,61 @@
     }
 
     private final String file;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
     private final Section root = new Section("", 1);
 
     private ConfFile(String file) {
         this.file = file;
     }
 
+    /**
+     * Reads and parses a file.
+     *
+     * @throws JsonFields.InvalidInputException if it cannot be read, is too large or is not UTF-8
+     */
     static ConfFile load(Path path) {
-        ConfFile f = new ConfFile(path.toString());
+        ConfFile conf = new ConfFile(path.toString());
         try {
             if (Files.size(path) > MAX_FILE_BYTES) {
                 throw new JsonFields.InvalidInputException(path + ": longer than " + MAX_FILE_BYTES + " bytes");
             }
-            f.parse(StandardCharsets.UTF_8
+            conf.parse(StandardCharsets.UTF_8
                     .newDecoder()
                     .decode(java.nio.ByteBuffer.wrap(Files.readAllBytes(path)))
                     .toString());
         } catch (CharacterCodingException e) {
-            throw new JsonFields.InvalidInputException(path + ": not UTF-8, perhaps cut off");
+            throw new JsonFields.InvalidInputException(path + ": not UTF-8, perhaps truncated");
         } catch (IOException e) {
             throw new JsonFields.InvalidInputException(path + ": cannot be read: " + e.getMessage());
         }
-        return f;
+        return conf;
     }
 
+    /** Parses a text; {@code name} stands for the file in error messages. */
     static ConfFile read(String name, String text) {
-        ConfFile f = new ConfFile(name);
-        f.parse(text);
-        return f;
+        ConfFile conf = new ConfFile(name);
+        conf.parse(text);
+        return conf;
     }
 
     Section root() {
         return root;
     }
 
-    private void fault(int line, String key, String expected, String got) {
-        addFault(file + ":" + line + ": " + key + ": expected " + expected + ", got " + got);
+    private void reportError(int line, String key, String expected, String got) {
+        addError(file + ":" + line + ": " + key + ": expected " + expected + ", got " + got);
     }
 
-    private void addFault(String fault) {
-        if (faults.size() < MAX_FAULTS) {
-            faults.add(fault);
+    private void addError(String fault) {
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(fault);
         }
     }
 
-    /** Ends the reading: throws with all faults, a line each, where there are any. */
-    void check() {
-        if (!faults.isEmpty()) {
-            throw new JsonFields.InvalidInputException(String.join("\n", faults));
+    /** Ends the reading: throws an exception with all errors, one per line, if there are any. */
+    void throwIfErrors() {
+        if (!errors.isEmpty()) {
+            throw new JsonFields.InvalidInputException(String.join("\n", errors));
         }
     }
 
@@ -367,7 +392,7 @@
         String[] lines = text.split("\n", -1);
         for (int i = 0; i < lines.length; i++) {
             int line = i + 1;
-            List<String> words = words(lines[i], line);
+            List<String> words = splitWords(lines[i], line);
             if (words == null || words.isEmpty()) {
                 continue;
             }
@@ -375,7 +400,7 @@
             String key = words.get(0);
             if (key.equals("}")) {
                 if (words.size() > 1 || open.size() == 1) {
-                    fault(line, "}", open.size() == 1 ? "an open section" : "nothing behind it", lines[i].strip());
+                    reportError(line, "}", open.size() == 1 ? "an open section" : "nothing after it", lines[i].strip());
                 }
                 if (open.size() > 1) {
                     open.remove(open.size() - 1);
@@ -385,12 +410,10 @@
             boolean section = words.get(words.size() - 1).equals("{");
             Section inner = section ? new Section(key, line) : null;
             if (section && (words.size() != 2 || open.size() > MAX_SECTION_DEPTH)) {
-                fault(
+                reportError(
                         line,
                         key,
-                        words.size() != 2
-                                ? "a name and a brace"
-                                : "at most " + MAX_SECTION_DEPTH + " sections in sections",
+                        words.size() != 2 ? "a name and a brace" : "at most " + MAX_SECTION_DEPTH + " nested sections",
                         lines[i].strip());
             }
             Entry read = new Entry(line, words.subList(1, words.size()), inner);
@@ -403,12 +426,12 @@
         }
         if (open.size() > 1) {
             Section last = open.get(open.size() - 1);
-            fault(last.line, last.name, "a closing brace", "the end of the file");
+            reportError(last.line, last.name, "a closing brace", "the end of the file");
         }
     }
 
-    /** The words of a line; null after a fault. */
-    private List<String> words(String text, int line) {
+    /** Splits a line into words; returns null after recording an error. */
+    private List<String> splitWords(String text, int line) {
         List<String> out = new ArrayList<>();
         StringBuilder word = null;
         boolean quoted = false;
@@ -432,7 +455,7 @@
             }
         }
         if (quoted) {
-            fault(line, out.isEmpty() ? word.toString() : out.get(0), "a closing quote", "the end of the line");
+            reportError(line, out.isEmpty() ? word.toString() : out.get(0), "a closing quote", "the end of the line");
             return null;
         }
         if (word != null) {
@@ -447,7 +470,7 @@
                 : micros % 1000 == 0 ? micros / 1000 + "ms" : micros + "us";
     }
 
-    private static String formatNumber(double d) {
-        return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
+    private static String formatNumber(double number) {
+        return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 }
--- a/src/main/java/dockshed/config/HlsConfig.java
+++ b/src/main/java/dockshed/config/HlsConfig.java
@@ -9,68 +9,84 @@
 import java.util.List;
 
 /**
- * The file that switches the HLS front on: where it listens, the servers known at the start, and Eureka, which may be
- * left out. Times are microseconds.
+ * The configuration file of the HLS front, which is enabled by it.
+ *
+ * @param listen      where the front listens
+ * @param servers     the edge servers known at the start
+ * @param eureka      the registry to poll; null: only {@code servers} are used
+ * @param idleTimeout microseconds without a request, after the playing time of what was fetched, that end a session
  */
 public record HlsConfig(InetSocketAddress listen, List<ListedServer> servers, Eureka eureka, long idleTimeout) {
     private static final long DEFAULT_IDLE_TIMEOUT_US = 20_000_000;
     private static final long DEFAULT_POLL_INTERVAL_US = 5_000_000;
 
-    /** The registry and the name under which the lesson boxes are registered there. */
+    /**
+     * The Eureka registry.
+     *
+     * @param app          the application name that the edge servers are registered under
+     * @param pollInterval in microseconds
+     */
     public record Eureka(InetSocketAddress address, String path, String app, long pollInterval) {}
 
+    /** Reads and checks a file. */
     public static HlsConfig load(String file) {
         return read(Config.readObject(Path.of(file), "hls"));
     }
 
-    static HlsConfig read(JsonFields c) {
+    /** Reads and checks the file's object. */
+    static HlsConfig read(JsonFields fields) {
         List<ListedServer> servers = new ArrayList<>();
-        if (c.has("servers")) {
-            for (Object each : c.list("servers")) {
-                servers.add(Config.listedServer(new JsonFields(c.path() + ".servers", each)));
+        if (fields.has("servers")) {
+            for (Object element : fields.list("servers")) {
+                servers.add(Config.listedServer(new JsonFields(fields.path() + ".servers", element)));
             }
         }
         Eureka eureka = null;
-        if (c.has("eureka")) {
-            JsonFields e = c.object("eureka");
+        if (fields.has("eureka")) {
+            JsonFields eurekaFields = fields.object("eureka");
             eureka = new Eureka(
-                    Config.parseAddress(e, "at"),
-                    e.text("path", "/eureka"),
-                    e.text("app"),
-                    period(e, "poll_ms", DEFAULT_POLL_INTERVAL_US));
+                    Config.parseAddress(eurekaFields, "at"),
+                    eurekaFields.text("path", "/eureka"),
+                    eurekaFields.text("app"),
+                    period(eurekaFields, "poll_ms", DEFAULT_POLL_INTERVAL_US));
         }
         if (eureka == null && servers.isEmpty()) {
             throw new JsonFields.InvalidInputException(
-                    c.path() + ": neither member 'servers' nor member 'eureka' names a server");
+                    fields.path() + ": expected member 'servers' or 'eureka', got neither");
         }
         return new HlsConfig(
-                Config.parseAddress(c, "listen"), servers, eureka, period(c, "idle_ms", DEFAULT_IDLE_TIMEOUT_US));
+                Config.parseAddress(fields, "listen"),
+                servers,
+                eureka,
+                period(fields, "idle_ms", DEFAULT_IDLE_TIMEOUT_US));
     }
 
-    /** What is allowed and yet seldom meant, a line each. */
+    /** Warnings about values that are allowed but rarely intended, one line each. */
     public List<String> warnings(Settings settings) {
-        List<String> out = new ArrayList<>();
+        List<String> warnings = new ArrayList<>();
         List<String> kinds =
                 settings.kinds().stream().map(Director.ServerKind::name).toList();
-        for (ListedServer l : servers) {
-            if (!kinds.contains(l.server().kind())) {
-                out.add("server " + l.server().id() + " has flavor '"
-                        + l.server().kind() + "', the settings know " + kinds + ": it is held for the least of these");
+        for (ListedServer listed : servers) {
+            if (!kinds.contains(listed.server().kind())) {
+                warnings.add("server " + listed.server().id() + " has flavor '"
+                        + listed.server().kind() + "', the settings only have " + kinds
+                        + ": it counts as the smallest of these");
             }
         }
         double link = settings.ladder().weightKb();
         if (settings.ladder().uplinkKb() < link) {
-            out.add("family_info.uplink_kb " + settings.ladder().uplinkKb()
+            warnings.add("family_info.uplink_kb " + settings.ladder().uplinkKb()
                     + " is less than one server's link, weight_kb " + link
-                    + ": a rack carries no more; 0 means no uplink");
+                    + ": a rack cannot carry more; 0 means no uplink limit");
         }
-        return out;
+        return warnings;
     }
 
-    private static long period(JsonFields c, String key, long absent) {
-        long micros = c.millisAsMicros(key, absent);
+    /** A member in milliseconds, of at least 100, as microseconds. */
+    private static long period(JsonFields fields, String key, long defaultValue) {
+        long micros = fields.millisAsMicros(key, defaultValue);
         if (micros < 100_000) {
-            throw new JsonFields.InvalidInputException(c.path() + ": member '" + key + "' is under 100");
+            throw new JsonFields.InvalidInputException(fields.path() + ": member '" + key + "' is under 100");
         }
         return micros;
     }
--- a/src/main/java/dockshed/config/JsonFields.java
+++ b/src/main/java/dockshed/config/JsonFields.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The members of one JSON object, read by name and type; a complaint names the event and the member. */
+/**
+ * The members of one JSON object, read by name and type. A getter without a default requires the member. Errors name
+ * the object's path and the member.
+ */
 public final class JsonFields {
-    /** A line or member that does not keep to the wire. */
+    /** Input is missing, of the wrong type or out of range; the message says where. */
     public static final class InvalidInputException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -19,19 +22,20 @@
     private final String path;
     private final Map<?, ?> members;
 
-    public JsonFields(String owner, Object value) {
-        this.path = owner;
+    public JsonFields(String path, Object value) {
+        this.path = path;
         if (!(value instanceof Map<?, ?> map)) {
-            throw new InvalidInputException(owner + ": not an object");
+            throw new InvalidInputException(path + ": not an object");
         }
         this.members = map;
     }
 
+    /** Whether a member is present and not null. */
     public boolean has(String name) {
         return members.get(name) != null;
     }
 
-    /** What the object is called in complaints. */
+    /** The name of the object in error messages, such as {@code config.settings}. */
     public String path() {
         return path;
     }
@@ -60,49 +64,53 @@
         return typed(name, String.class);
     }
 
-    public String text(String name, String absent) {
-        return has(name) ? text(name) : absent;
+    public String text(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     public double number(String name) {
         return typed(name, Number.class).doubleValue();
     }
 
-    public double number(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    public double number(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
+    /** A number, truncated to a {@code long}. */
     public long longInteger(String name) {
         return typed(name, Number.class).longValue();
     }
 
+    /** A number, truncated to an {@code int}. */
     public int integer(String name) {
         return (int) number(name);
     }
 
-    public int integer(String name, int absent) {
-        return has(name) ? integer(name) : absent;
+    public int integer(String name, int defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
+    /** Bytes written as hexadecimal digits. */
     public byte[] hexBytes(String name) {
         try {
             return HexFormat.of().parseHex(text(name));
         } catch (IllegalArgumentException e) {
-            throw new InvalidInputException(path + ": member '" + name + "' is not hex");
+            throw new InvalidInputException(path + ": member '" + name + "' is not hexadecimal");
         }
     }
 
+    /** A boolean; false if the member is absent. */
     public boolean flag(String name) {
         return has(name) && typed(name, Boolean.class);
     }
 
-    /** A time on the wire, in milliseconds, as microseconds. */
+    /** A time in milliseconds, converted to microseconds. */
     public long millisAsMicros(String name) {
         return Math.round(number(name) * 1000);
     }
 
-    public long millisAsMicros(String name, long absent) {
-        return has(name) ? millisAsMicros(name) : absent;
+    public long millisAsMicros(String name, long defaultValue) {
+        return has(name) ? millisAsMicros(name) : defaultValue;
     }
 
     public JsonFields object(String name) {
@@ -114,24 +122,24 @@
     }
 
     public List<Double> numbers(String name) {
-        List<Double> out = new ArrayList<>();
-        for (Object each : list(name)) {
-            if (!(each instanceof Number n)) {
+        List<Double> values = new ArrayList<>();
+        for (Object element : list(name)) {
+            if (!(element instanceof Number n)) {
                 throw new InvalidInputException(path + ": member '" + name + "' has the wrong type");
             }
-            out.add(n.doubleValue());
+            values.add(n.doubleValue());
         }
-        return out;
+        return values;
     }
 
     public List<String> texts(String name) {
-        List<String> out = new ArrayList<>();
-        for (Object each : list(name)) {
-            if (!(each instanceof String s)) {
+        List<String> values = new ArrayList<>();
+        for (Object element : list(name)) {
+            if (!(element instanceof String s)) {
                 throw new InvalidInputException(path + ": member '" + name + "' has the wrong type");
             }
-            out.add(s);
+            values.add(s);
         }
-        return out;
+        return values;
     }
 }
--- a/src/main/java/dockshed/config/OperatorConfig.java
+++ b/src/main/java/dockshed/config/OperatorConfig.java
@@ -12,12 +12,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the operator's file switches on and sets; a part that is null is off. */
+/** The settings of the operator's file; a component that is null is switched off. */
 public record OperatorConfig(Terms storm, FleetSettings fleet, RolloutConfig rollout) {
     private static final long MILLISECOND_US = 1000;
     private static final long SECOND_US = 1_000_000;
 
-    /** Directives of the fleet section that earlier versions had, with the names that they have now. */
+    /** Directives of the fleet section under their names of earlier versions, with their present names. */
     private static final Map<String, String> RENAMED_FLEET_DIRECTIVES = Map.of(
             "floor", "guaranteed_share",
             "shares", "leases",
@@ -26,74 +26,77 @@
 
     public static final OperatorConfig NONE = new OperatorConfig(null, null, null);
 
-    /** Of a line of a zone. */
+    /** What an error message expects of a zone directive. */
     private static final String EXPECTED_ZONE =
             "a name, a region and a range of broker numbers: 'zone north-1 north 0-72'";
 
     private static final Pattern ZONE_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,31}");
     private static final Pattern ZONE_RANGE = Pattern.compile("([0-9]{1,5})-([0-9]{1,5})");
 
-    /** For a file by itself, whatever the number of brokers. */
+    /** Reads a file without knowing the number of brokers: its zones determine it. */
     public static OperatorConfig load(String file) {
         return load(file, 0);
     }
 
-    /** {@code brokers}: how many the configuration names; the file's zones have to be those of so many. */
+    /** Reads a file; its zones have to match the number of brokers that the configuration has, unless that is 0. */
     public static OperatorConfig load(String file, int brokers) {
         return read(ConfFile.load(Path.of(file)), brokers);
     }
 
-    /** Without a number of brokers: it is what the file's zones make. */
+    /** Reads a parsed file without knowing the number of brokers. */
     static OperatorConfig read(ConfFile file) {
         return read(file, 0);
     }
 
+    /** Reads a parsed file; {@code brokers} 0: unknown. */
     static OperatorConfig read(ConfFile file, int brokers) {
-        boolean named = file.root().has("storm");
-        ConfFile.Section s = file.root().section("storm");
-        boolean on = s.flag("enabled", true);
-        Terms terms = storm(s);
-        s.rejectUnknown();
-        boolean fleetNamed = file.root().has("fleet");
-        ConfFile.Section f = file.root().section("fleet");
-        boolean fleetOn = f.flag("enabled", true);
-        FleetSettings fleet = fleet(f, brokers);
-        f.rejectUnknown();
+        boolean stormPresent = file.root().has("storm");
+        ConfFile.Section stormSection = file.root().section("storm");
+        boolean stormEnabled = stormSection.flag("enabled", true);
+        Terms terms = storm(stormSection);
+        stormSection.rejectUnknown();
+        boolean fleetPresent = file.root().has("fleet");
+        ConfFile.Section fleetSection = file.root().section("fleet");
+        boolean fleetEnabled = fleetSection.flag("enabled", true);
+        FleetSettings fleet = fleet(fleetSection, brokers);
+        fleetSection.rejectUnknown();
         RolloutConfig rollout = RolloutConfig.read(file.root(), brokers);
         file.root().rejectUnknown();
-        file.check();
-        return new OperatorConfig(named && on ? terms : null, fleetNamed && fleetOn ? fleet : null, rollout);
+        file.throwIfErrors();
+        return new OperatorConfig(
+                stormPresent && stormEnabled ? terms : null, fleetPresent && fleetEnabled ? fleet : null, rollout);
     }
 
-    private static List<Zone> zones(ConfFile.Section s, int brokers) {
-        List<ConfFile.DirectiveLine> lines = s.lines("zone", EXPECTED_ZONE);
-        List<ConfFile.DirectiveLine> read = new ArrayList<>();
+    private static List<Zone> zones(ConfFile.Section section, int brokers) {
+        List<ConfFile.DirectiveLine> lines = section.lines("zone", EXPECTED_ZONE);
+        List<ConfFile.DirectiveLine> validLines = new ArrayList<>();
         List<Zone> zones = new ArrayList<>();
         for (ConfFile.DirectiveLine line : lines) {
             Zone zone = zone(line);
             if (zone == null) {
-                s.faultAt(
+                section.reportErrorAt(
                         line,
                         "zone",
                         EXPECTED_ZONE,
                         line.values().isEmpty() ? "nothing" : String.join(" ", line.values()));
             } else {
-                read.add(line);
+                validLines.add(line);
                 zones.add(zone);
             }
         }
-        if (read.size() < lines.size()) {
-            return zones; // what is missing would only be told a second time
+        if (validLines.size() < lines.size()) {
+            return zones; // the lines with errors are missing, which would only be reported again
         }
         int highest = zones.stream().mapToInt(Zone::last).max().orElse(-1);
         try {
             ZoneMap.of(zones, brokers > 0 ? brokers : highest + 1);
         } catch (InvalidZonesException e) {
-            s.faultAt(read.get(e.index()), "zone", e.expected(), e.got());
+            section.reportErrorAt(validLines.get(e.index()), "zone", e.expected(), e.got());
         }
         return zones;
     }
 
+    /** Parses one zone directive; null if it is malformed. */
     private static Zone zone(ConfFile.DirectiveLine line) {
         if (line.values().size() != 3) {
             return null;
@@ -107,46 +110,46 @@
         return new Zone(name, region, Integer.parseInt(range.group(1)), Integer.parseInt(range.group(2)));
     }
 
-    private static FleetSettings fleet(ConfFile.Section s, int brokers) {
-        s.rejectRenamed(RENAMED_FLEET_DIRECTIVES);
+    private static FleetSettings fleet(ConfFile.Section section, int brokers) {
+        section.rejectRenamed(RENAMED_FLEET_DIRECTIVES);
         FleetSettings defaults = FleetSettings.DEFAULTS;
-        List<Zone> zones = zones(s, brokers);
-        double bytes = zones.isEmpty() ? defaults.bytesPerSecond() : FleetSettings.ZONED_BYTES_PER_SECOND;
+        List<Zone> zones = zones(section, brokers);
+        double defaultBytes = zones.isEmpty() ? defaults.bytesPerSecond() : FleetSettings.ZONED_BYTES_PER_SECOND;
         return new FleetSettings(
-                s.decimal("bytes_a_second", bytes, 100, 100_000),
-                s.decimal("bytes_a_session", defaults.bytesPerSession(), 0, 100_000),
-                s.share("guaranteed_share", defaults.guaranteedShare(), 0, 1),
-                s.flag("leases", defaults.leases()),
-                s.flag("load_shedding", defaults.loadShedding()),
-                s.flag("health_probes", defaults.healthProbes()),
+                section.decimal("bytes_a_second", defaultBytes, 100, 100_000),
+                section.decimal("bytes_a_session", defaults.bytesPerSession(), 0, 100_000),
+                section.share("guaranteed_share", defaults.guaranteedShare(), 0, 1),
+                section.flag("leases", defaults.leases()),
+                section.flag("load_shedding", defaults.loadShedding()),
+                section.flag("health_probes", defaults.healthProbes()),
                 zones);
     }
 
-    private static Terms storm(ConfFile.Section s) {
-        Terms u = Terms.DEFAULTS;
-        Terms t = new Terms(
-                s.enumValue("returns", u.returns(), Terms.Returns.class),
-                s.duration("soonest", u.soonest(), 10 * MILLISECOND_US, 60 * SECOND_US),
-                s.duration("longest", u.longest(), 100 * MILLISECOND_US, 600 * SECOND_US),
-                s.duration("slot", u.slot(), 50 * MILLISECOND_US, 5 * SECOND_US),
-                s.duration("early", u.early(), 0, 5 * SECOND_US),
-                s.duration("remember", u.remember(), SECOND_US, 3600 * SECOND_US),
-                s.duration("hold", u.hold(), 0, SECOND_US),
-                s.integer("waiting", u.waiting(), 1, 8192),
-                s.decimal("rush", u.rush(), 1.1, 100),
-                s.share("repeats", u.repeats(), 0.01, 1),
-                s.share("trouble", u.trouble(), 0.01, 1),
-                s.duration("calm_after", u.calmAfter(), 500 * MILLISECOND_US, 60 * SECOND_US),
-                s.share("retry_share", u.retryShare(), 0, 1),
-                s.perSecond("retry_least", u.retryLeast(), 0, 1000),
-                s.decimal("cold_aim", u.coldAim(), 0.1, 2),
-                s.duration("notes_every", u.notesEvery(), 0, 10 * SECOND_US));
-        if (t.longest() > 0 && t.soonest() > t.longest()) {
-            s.rejectCombination("soonest", "at most longest");
+    private static Terms storm(ConfFile.Section section) {
+        Terms defaults = Terms.DEFAULTS;
+        Terms terms = new Terms(
+                section.enumValue("returns", defaults.returns(), Terms.Returns.class),
+                section.duration("soonest", defaults.soonest(), 10 * MILLISECOND_US, 60 * SECOND_US),
+                section.duration("longest", defaults.longest(), 100 * MILLISECOND_US, 600 * SECOND_US),
+                section.duration("slot", defaults.slot(), 50 * MILLISECOND_US, 5 * SECOND_US),
+                section.duration("early", defaults.early(), 0, 5 * SECOND_US),
+                section.duration("remember", defaults.remember(), SECOND_US, 3600 * SECOND_US),
+                section.duration("hold", defaults.hold(), 0, SECOND_US),
+                section.integer("waiting", defaults.waiting(), 1, 8192),
+                section.decimal("rush", defaults.rush(), 1.1, 100),
+                section.share("repeats", defaults.repeats(), 0.01, 1),
+                section.share("trouble", defaults.trouble(), 0.01, 1),
+                section.duration("calm_after", defaults.calmAfter(), 500 * MILLISECOND_US, 60 * SECOND_US),
+                section.share("retry_share", defaults.retryShare(), 0, 1),
+                section.perSecond("retry_least", defaults.retryLeast(), 0, 1000),
+                section.decimal("cold_aim", defaults.coldAim(), 0.1, 2),
+                section.duration("notes_every", defaults.notesEvery(), 0, 10 * SECOND_US));
+        if (terms.longest() > 0 && terms.soonest() > terms.longest()) {
+            section.rejectCombination("soonest", "at most longest");
         }
-        if (t.notesEvery() > 0 && t.notesEvery() < 250 * MILLISECOND_US) {
-            s.rejectCombination("notes_every", "0s, or 250ms and more");
+        if (terms.notesEvery() > 0 && terms.notesEvery() < 250 * MILLISECOND_US) {
+            section.rejectCombination("notes_every", "0s, or 250ms and more");
         }
-        return t;
+        return terms;
     }
 }
--- a/src/main/java/dockshed/config/RolloutDocument.java
+++ b/src/main/java/dockshed/config/RolloutDocument.java
@@ -9,20 +9,23 @@
 import java.nio.file.Path;
 
 /**
- * A document that is spread to all brokers: its version and what may be changed while the program runs.
+ * A configuration document that is rolled out to all brokers: its version and what may change at run time.
  *
- * @param version     of the document
- * @param versionLine where that stands
- * @param nameServer       the name server's address; null: it stays as it is
+ * @param versionLine line number of the version
+ * @param nameServer  address of the name server; null: unchanged
  */
 public record RolloutDocument(long version, int versionLine, InetSocketAddress nameServer) {
     private static final long MAX_VERSION = 1_000_000_000_000L;
 
-    /** The bytes of a document's file, at most so many. */
-    public static byte[] load(Path file, int mostBytes) {
+    /**
+     * Reads a document's file of up to {@code maxBytes} bytes.
+     *
+     * @throws JsonFields.InvalidInputException if it cannot be read or is larger
+     */
+    public static byte[] load(Path file, int maxBytes) {
         try {
-            if (Files.size(file) > mostBytes) {
-                throw new JsonFields.InvalidInputException(file + ": longer than " + mostBytes + " bytes");
+            if (Files.size(file) > maxBytes) {
+                throw new JsonFields.InvalidInputException(file + ": longer than " + maxBytes + " bytes");
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
@@ -30,7 +33,11 @@
         }
     }
 
-    /** Reads a document; complaints are an {@link JsonFields.InvalidInputException} with file, line and key. */
+    /**
+     * Parses a document; {@code name} stands for the file in error messages.
+     *
+     * @throws JsonFields.InvalidInputException with file, line and key of each error
+     */
     public static RolloutDocument read(String name, byte[] content) {
         ConfFile file = ConfFile.read(name, text(name, content));
         ConfFile.Section root = file.root();
@@ -40,10 +47,10 @@
         } else if (!root.isFirst("version")) {
             root.rejectCombination("version", "to be the first directive");
         }
-        InetSocketAddress names = root.address("names");
+        InetSocketAddress nameServer = root.address("names");
         root.rejectUnknown();
-        file.check();
-        return new RolloutDocument(version, root.line("version"), names);
+        file.throwIfErrors();
+        return new RolloutDocument(version, root.lineOf("version"), nameServer);
     }
 
     private static String text(String name, byte[] content) {
@@ -53,7 +60,7 @@
                     .decode(ByteBuffer.wrap(content))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new JsonFields.InvalidInputException(name + ": not UTF-8, perhaps cut off");
+            throw new JsonFields.InvalidInputException(name + ": not UTF-8, perhaps truncated");
         }
     }
 }
--- a/src/main/java/dockshed/config/SettingsReader.java
+++ b/src/main/java/dockshed/config/SettingsReader.java
@@ -14,13 +14,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** The wire's settings as the module's. */
+/** Converts the settings object of the configuration file, or of the simulator, into the module's settings. */
 public final class SettingsReader {
-    /** kB a second that no rack asks for. */
+    /** Stands for an uplink without a limit: no rack has that much demand. */
     static final double UNLIMITED_UPLINK_KB_S = 1e12;
 
     private SettingsReader() {}
 
+    /**
+     * Reads the settings.
+     *
+     * @throws JsonFields.InvalidInputException if a member is missing, of the wrong type or unknown
+     * @throws IllegalArgumentException if a value is out of the module's range
+     */
     public static Settings read(JsonFields options) {
         JsonFields family = options.object("family_info");
         JsonFields limits = options.object("limits");
@@ -69,85 +75,88 @@
                 fields(options));
     }
 
-    /** 0, or none told: racks have no uplink that could be short. */
+    /** The uplink of a rack in kB a second; 0, or an absent member, means that it has no limit. */
     private static double uplink(JsonFields family) {
-        double told = family.number("uplink_kb", 0);
-        return told == 0 ? UNLIMITED_UPLINK_KB_S : told;
+        double uplink = family.number("uplink_kb", 0);
+        return uplink == 0 ? UNLIMITED_UPLINK_KB_S : uplink;
     }
 
-    /** What a class without points is worth, of the least that another is: it is served last, and served. */
+    /** The worth of a class without points, as a share of the lowest of the others: it is served last, but served. */
     private static final double UNPAID_WORTH_SHARE = 1e-6;
 
     private static List<SessionClass> classes(JsonFields options, JsonFields family) {
-        List<SessionClass> out = new ArrayList<>();
+        List<SessionClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
         List<Double> points = new ArrayList<>();
-        for (Object each : options.list("classes")) {
-            JsonFields c = new JsonFields(options.path() + ".classes", each);
-            points.add(c.number("points", 0));
+        for (Object element : options.list("classes")) {
+            JsonFields sessionClass = new JsonFields(options.path() + ".classes", element);
+            points.add(sessionClass.number("points", 0));
             if (points.get(points.size() - 1) < 0) {
-                throw new JsonFields.InvalidInputException(c.path() + ": member 'points' is under 0");
+                throw new JsonFields.InvalidInputException(sessionClass.path() + ": member 'points' is below 0");
             }
-            if (!names.add(c.text("name"))) {
+            if (!names.add(sessionClass.text("name"))) {
                 throw new JsonFields.InvalidInputException(
-                        c.path() + ": member 'name' is there twice: " + c.text("name"));
+                        sessionClass.path() + ": member 'name' is used twice: " + sessionClass.text("name"));
             }
         }
-        double unpaid = UNPAID_WORTH_SHARE
+        double unpaidWorth = UNPAID_WORTH_SHARE
                 * points.stream().filter(p -> p > 0).min(Double::compare).orElse(1 / UNPAID_WORTH_SHARE);
-        int rungs = family.numbers("rates_kb").size();
+        int renditionCount = family.numbers("rates_kb").size();
         List<Double> scale = family.numbers("class_scale");
-        List<Double> floor = family.numbers("lowest_rung");
-        List<Double> top = family.numbers("top_by_class");
+        List<Double> lowestRendition = family.numbers("lowest_rung");
+        List<Double> highestRendition = family.numbers("top_by_class");
         List<Double> seats = family.numbers("class_seats");
-        for (Object each : options.list("classes")) {
-            JsonFields c = new JsonFields(options.path() + ".classes", each);
-            int i = out.size();
-            out.add(new SessionClass(
-                    c.text("name"),
-                    effect(c),
-                    c.millisAsMicros("goal_time"),
-                    c.millisAsMicros("deadline"),
-                    points.get(i) > 0 ? points.get(i) : unpaid,
-                    at(family, scale, i, "class_scale"),
-                    (int) at(family, floor, i, "lowest_rung"),
-                    Math.min(rungs - 1, (int) at(family, top, i, "top_by_class")),
-                    (int) at(family, seats, i, "class_seats")));
+        for (Object element : options.list("classes")) {
+            JsonFields sessionClass = new JsonFields(options.path() + ".classes", element);
+            int index = classes.size();
+            classes.add(new SessionClass(
+                    sessionClass.text("name"),
+                    effect(sessionClass),
+                    sessionClass.millisAsMicros("goal_time"),
+                    sessionClass.millisAsMicros("deadline"),
+                    points.get(index) > 0 ? points.get(index) : unpaidWorth,
+                    at(family, scale, index, "class_scale"),
+                    (int) at(family, lowestRendition, index, "lowest_rung"),
+                    Math.min(renditionCount - 1, (int) at(family, highestRendition, index, "top_by_class")),
+                    (int) at(family, seats, index, "class_seats")));
         }
-        return out;
+        return classes;
     }
 
-    private static double at(JsonFields family, List<Double> list, int i, String name) {
-        if (i >= list.size()) {
+    /** The value of a class or kind in a list member, which needs one for each. */
+    private static double at(JsonFields family, List<Double> list, int index, String name) {
+        if (index >= list.size()) {
             throw new JsonFields.InvalidInputException(family.path() + ": member '" + name + "' is too short");
         }
-        return list.get(i);
+        return list.get(index);
     }
 
-    private static Effect effect(JsonFields c) {
-        String word = c.text("effect");
+    private static Effect effect(JsonFields sessionClass) {
+        String word = sessionClass.text("effect");
         return switch (word) {
             case "idempotent" -> Effect.SAFE;
             case "deduplicated" -> Effect.KEYED;
             case "at_most_once" -> Effect.AT_MOST_ONCE;
-            default -> throw new JsonFields.InvalidInputException(c.path() + ": member 'effect' is unknown: " + word);
+            default ->
+                throw new JsonFields.InvalidInputException(
+                        sessionClass.path() + ": member 'effect' is unknown: " + word);
         };
     }
 
     private static List<ServerKind> kinds(JsonFields options, JsonFields family) {
-        List<ServerKind> out = new ArrayList<>();
+        List<ServerKind> kinds = new ArrayList<>();
         List<Double> slots = family.numbers("kind_slots");
         for (String name : options.texts("kinds")) {
-            out.add(new ServerKind(name, (int) at(options.object("family_info"), slots, out.size(), "kind_slots")));
+            kinds.add(new ServerKind(name, (int) at(options.object("family_info"), slots, kinds.size(), "kind_slots")));
         }
-        return out;
+        return kinds;
     }
 
     private static List<ReportField> fields(JsonFields options) {
-        List<ReportField> out = new ArrayList<>();
+        List<ReportField> fields = new ArrayList<>();
         if (options.has("report")) {
             for (String name : options.object("report").texts("fields")) {
-                out.add(
+                fields.add(
                         switch (name) {
                             case "busy_reqs" -> ReportField.STREAMS;
                             case "cpu_share", "x0" -> ReportField.LINK;
@@ -156,6 +165,6 @@
                         });
             }
         }
-        return out;
+        return fields;
     }
 }
--- a/src/test/java/dockshed/config/ConfFileTest.java
+++ b/src/test/java/dockshed/config/ConfFileTest.java
@@ -60,7 +60,7 @@
                 .get(0)
                 .startsWith("x.conf:1: strom: expected one of storm, fleet, rollout, got an unknown"));
         assertEquals(
-                List.of("x.conf:3: hold: expected it once, and it stands in line 2, got it again"),
+                List.of("x.conf:3: hold: expected it only once, first given in line 2, got it again"),
                 faults("storm {\nhold 1s\nhold 1s\n}"));
         assertEquals(
                 List.of("x.conf:1: storm: expected a closing brace, got the end of the file"),
@@ -123,9 +123,9 @@
                 () -> OperatorConfig.load(dir.resolve("none").toString()));
         assertTrue(assertThrows(
                         JsonFields.InvalidInputException.class,
-                        () -> ConfFile.read("x.conf", "a {\n".repeat(20)).check())
+                        () -> ConfFile.read("x.conf", "a {\n".repeat(20)).throwIfErrors())
                 .getMessage()
-                .contains("sections in sections"));
+                .contains("nested sections"));
     }
 
     @Test
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -99,7 +99,7 @@
         complains("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots of kind std");
         String paid =
                 "{\"deadline\":4000.0,\"effect\":\"at_most_once\",\n\"goal_time\":800.0,\"name\":\"paid\",\"points\":1.0}";
-        complains(paid, paid + "," + paid, "config.settings.classes: member 'name' is there twice: paid");
+        complains(paid, paid + "," + paid, "config.settings.classes: member 'name' is used twice: paid");
         complains("\"lowest_rung\":[1]", "\"lowest_rung\":[]", "'lowest_rung'");
         complains("\"peers\":[\"127.0.0.1:7946\"]", "\"peers\":[3]", "config: member 'peers'");
         complains("{\"name\"", "{,\"name\"", "config: not JSON");
--- a/src/test/java/dockshed/config/ZoneDirectiveTest.java
+++ b/src/test/java/dockshed/config/ZoneDirectiveTest.java
@@ -53,7 +53,7 @@
     @Test
     void otherDirectivesStillStandOnceOnly() {
         assertEquals(
-                List.of("x.conf:3: leases: expected it once, and it stands in line 2, got it again"),
+                List.of("x.conf:3: leases: expected it only once, first given in line 2, got it again"),
                 faults("leases yes\nleases no", 6));
     }
 }
