--- a/src/test/java/dockshed/config/ConfFileTest.java
+++ b/src/test/java/dockshed/config/ConfFileTest.java
@@ -19,14 +19,14 @@
         return OperatorConfig.read(ConfFile.read("x.conf", text)).storm();
     }
 
-    private static List<String> faults(String text) {
+    private static List<String> errors(String text) {
         JsonFields.InvalidInputException e =
                 assertThrows(JsonFields.InvalidInputException.class, () -> storm(text), text);
         return e.getMessage().lines().toList();
     }
 
     @Test
-    void valuesCarryUnitsAndWhatIsLeftOutHasItsDefault() {
+    void valuesHaveUnitsAndAbsentDirectivesTheirDefaults() {
         Terms t = storm(
                 "# a comment\n\nstorm {   # on\n\treturns \"jitter\"\n longest 1.5s\n retry_share 12.5% # of fresh\n"
                         + "retry_least 30/m\ncalm_after 0.1m\nnotes_every 0s\n}\n");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void everyFaultNamesFileLineKeyAndWhatWasExpected() {
+    void errorsNameFileLineKeyAndWhatWasExpected() {
         assertEquals(
                 List.of(
                         "x.conf:2: soonest: expected a time from 10ms to 60s, got 5",
@@ -51,34 +51,34 @@
                         "x.conf:4: retry_share: expected a share from 0% to 100%, got 120%",
                         "x.conf:5: waiting: expected a whole number, got 1.5",
                         "x.conf:6: hold: expected a time from 0s to 1s, got nothing"),
-                faults("storm {\nsoonest 5\nreturns sooner\nretry_share 120%\nwaiting 1.5\nhold\n}").stream()
+                errors("storm {\nsoonest 5\nreturns sooner\nretry_share 120%\nwaiting 1.5\nhold\n}").stream()
                         .sorted()
                         .toList());
         assertTrue(
-                faults("storm {\nholdd 1s\n}").get(0).startsWith("x.conf:2: holdd: expected one of enabled, returns,"));
-        assertTrue(faults("strom {\n}")
+                errors("storm {\nholdd 1s\n}").get(0).startsWith("x.conf:2: holdd: expected one of enabled, returns,"));
+        assertTrue(errors("strom {\n}")
                 .get(0)
                 .startsWith("x.conf:1: strom: expected one of storm, fleet, rollout, got an unknown"));
         assertEquals(
                 List.of("x.conf:3: hold: expected it only once, first given in line 2, got it again"),
-                faults("storm {\nhold 1s\nhold 1s\n}"));
+                errors("storm {\nhold 1s\nhold 1s\n}"));
         assertEquals(
                 List.of("x.conf:1: storm: expected a closing brace, got the end of the file"),
-                faults("storm {\nhold 1s"));
-        assertEquals(List.of("x.conf:1: storm: expected a section: 'storm {', got on"), faults("storm on"));
-        assertEquals(List.of("x.conf:1: }: expected an open section, got }"), faults("}"));
+                errors("storm {\nhold 1s"));
+        assertEquals(List.of("x.conf:1: storm: expected a section: 'storm {', got on"), errors("storm on"));
+        assertEquals(List.of("x.conf:1: }: expected an open section, got }"), errors("}"));
         assertEquals(
                 List.of("x.conf:2: hold: expected a closing quote, got the end of the line"),
-                faults("storm {\nhold \"1s\n}"));
+                errors("storm {\nhold \"1s\n}"));
         assertEquals(
                 List.of("x.conf:2: soonest: expected at most longest, got 5s"),
-                faults("storm {\nsoonest 5s\nlongest 2s\n}"));
+                errors("storm {\nsoonest 5s\nlongest 2s\n}"));
         assertEquals(
-                List.of("x.conf:2: hold: expected a time from 0s to 1s, got 1s 2s"), faults("storm {\nhold 1s 2s\n}"));
+                List.of("x.conf:2: hold: expected a time from 0s to 1s, got 1s 2s"), errors("storm {\nhold 1s 2s\n}"));
     }
 
     @Test
-    void garbageAndFilesCutAnywhereEndInFaultsOrDefaultsOnly() throws Exception {
+    void garbageAndTruncatedFilesGiveErrorsOrDefaults() throws Exception {
         String whole = Files.readString(Path.of("deploy/dockshed.conf"));
         for (int i = 0; i < whole.length(); i++) {
             try {
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void filesThatAreNoTextAreToldSo(@TempDir Path dir) throws Exception {
+    void filesThatAreNotTextAreRefused(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("c.conf");
         byte[] cut = "storm { # ü".getBytes(StandardCharsets.UTF_8);
         Files.write(file, java.util.Arrays.copyOf(cut, cut.length - 1)); // in the midst of a character
@@ -129,18 +129,18 @@
     }
 
     @Test
-    void theFileUnderDeployHoldsTheDefaults() {
+    void deployedFileHasTheDefaults() {
         assertEquals(Terms.DEFAULTS, OperatorConfig.load("deploy/dockshed.conf").storm());
     }
 
     @Test
-    void aDirectiveUnderItsOldNameIsRefusedWithTheNewOne() {
+    void renamedDirectiveIsRefusedWithItsNewName() {
         assertEquals(
                 List.of(
                         "x.conf:2: floor: was renamed to guaranteed_share",
                         "x.conf:3: shares: was renamed to leases",
                         "x.conf:4: cut: was renamed to load_shedding",
                         "x.conf:5: probes: was renamed to health_probes"),
-                faults("fleet {\nfloor 50%\nshares yes\ncut yes\nprobes yes\n}"));
+                errors("fleet {\nfloor 50%\nshares yes\ncut yes\nprobes yes\n}"));
     }
 }
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void allOfItIsRead() {
+    void completeFileIsRead() {
         Config c = read(COMPLETE_CONFIG);
         assertEquals("n3", c.name());
         assertEquals(0x8c1f30d27a5be964L, c.seed());
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatMayBeAbsentHasADefaultAndTheEnvironmentComesFirst() {
+    void absentMembersHaveDefaultsAndTheEnvironmentOverrides() {
         String less = COMPLETE_CONFIG
                 .replace("\"peer_listen\":\"127.0.0.1:0\",", "")
                 .replace("\"peers_all\":\"127.0.0.1:7947\",", "")
@@ -73,7 +73,7 @@
         assertEquals(1024, c.maxSockets());
     }
 
-    private static void complains(String from, String to, String key) {
+    private static void assertErrorNames(String from, String to, String key) {
         assertTrue(COMPLETE_CONFIG.contains(from), from);
         JsonFields.InvalidInputException e =
                 assertThrows(JsonFields.InvalidInputException.class, () -> read(COMPLETE_CONFIG.replace(from, to)), to);
@@ -81,28 +81,30 @@
     }
 
     @Test
-    void aComplaintNamesTheKey() {
-        complains("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"localhost:0\"", "config: member 'listen'");
-        complains("\"names\":\"127.0.0.1:9\"", "\"names\":\"127.0.0.1\"", "config: member 'names'");
-        complains("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"soon\"", "'seed'");
-        complains("\"sockets\":512", "\"sockets\":3", "config.limits: member 'sockets'");
-        complains("\"phase\":\"leaving\"", "\"phase\":\"odd\"", "config.known.notices.pool.members: member 'phase'");
-        complains("\"id\":\"s-1\",", "", "config.known.notices.pool.members: member 'id'");
-        complains("\"try_limit\":3,", "", "config.settings.limits: member 'try_limit'");
-        complains("\"effect\":\"at_most_once\"", "\"effect\":\"odd\"", "config.settings.classes: member 'effect'");
-        complains("\"points\":1.0", "\"points\":-1", "member 'points'");
-        complains("\"deadline\":4000.0", "\"deadline\":0", "deadline of class paid");
-        complains("\"lowest_rung\":[1]", "\"lowest_rung\":[2]", "lowest_rung");
-        complains("\"me\":0", "\"me\":2", "me or balancers");
-        complains("\"cold_from\":0.4", "\"cold_from\":4", "cold_from");
-        complains("\"try_limit\":3", "\"try_limit\":0", "try_limit");
-        complains("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots of kind std");
+    void errorsNameTheKey() {
+        assertErrorNames("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"localhost:0\"", "config: member 'listen'");
+        assertErrorNames("\"names\":\"127.0.0.1:9\"", "\"names\":\"127.0.0.1\"", "config: member 'names'");
+        assertErrorNames("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"soon\"", "'seed'");
+        assertErrorNames("\"sockets\":512", "\"sockets\":3", "config.limits: member 'sockets'");
+        assertErrorNames(
+                "\"phase\":\"leaving\"", "\"phase\":\"odd\"", "config.known.notices.pool.members: member 'phase'");
+        assertErrorNames("\"id\":\"s-1\",", "", "config.known.notices.pool.members: member 'id'");
+        assertErrorNames("\"try_limit\":3,", "", "config.settings.limits: member 'try_limit'");
+        assertErrorNames(
+                "\"effect\":\"at_most_once\"", "\"effect\":\"odd\"", "config.settings.classes: member 'effect'");
+        assertErrorNames("\"points\":1.0", "\"points\":-1", "member 'points'");
+        assertErrorNames("\"deadline\":4000.0", "\"deadline\":0", "deadline of class paid");
+        assertErrorNames("\"lowest_rung\":[1]", "\"lowest_rung\":[2]", "lowest_rung");
+        assertErrorNames("\"me\":0", "\"me\":2", "me or balancers");
+        assertErrorNames("\"cold_from\":0.4", "\"cold_from\":4", "cold_from");
+        assertErrorNames("\"try_limit\":3", "\"try_limit\":0", "try_limit");
+        assertErrorNames("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots of kind std");
         String paid =
                 "{\"deadline\":4000.0,\"effect\":\"at_most_once\",\n\"goal_time\":800.0,\"name\":\"paid\",\"points\":1.0}";
-        complains(paid, paid + "," + paid, "config.settings.classes: member 'name' is used twice: paid");
-        complains("\"lowest_rung\":[1]", "\"lowest_rung\":[]", "'lowest_rung'");
-        complains("\"peers\":[\"127.0.0.1:7946\"]", "\"peers\":[3]", "config: member 'peers'");
-        complains("{\"name\"", "{,\"name\"", "config: not JSON");
+        assertErrorNames(paid, paid + "," + paid, "config.settings.classes: member 'name' is used twice: paid");
+        assertErrorNames("\"lowest_rung\":[1]", "\"lowest_rung\":[]", "'lowest_rung'");
+        assertErrorNames("\"peers\":[\"127.0.0.1:7946\"]", "\"peers\":[3]", "config: member 'peers'");
+        assertErrorNames("{\"name\"", "{,\"name\"", "config: not JSON");
         assertThrows(JsonFields.InvalidInputException.class, () -> Config.load(Map.of()));
         assertThrows(
                 JsonFields.InvalidInputException.class,
@@ -110,7 +112,7 @@
     }
 
     @Test
-    void aClassWithoutWorthIsReadAndOneOfEachFigureMayDiffer() {
+    void classWithoutPointsIsReadAndMayDifferInEachValue() {
         // A customer's class that earns nothing ended the start.
         for (String none : List.of("", ",\"points\":0")) {
             Config c = read(COMPLETE_CONFIG
@@ -132,7 +134,7 @@
     }
 
     @Test
-    void theFileOfTheHlsFrontIsReadAndChecked() {
+    void hlsFileIsReadAndChecked() {
         HlsConfig h = hls("{\"listen\":\"127.0.0.1:8080\",\"eureka\":{\"at\":\"127.0.0.1:8761\",\"app\":\"B\"},"
                 + "\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\",\"cell\":2}]}");
         assertEquals(new HlsConfig.Eureka(h.eureka().address(), "/eureka", "B", 5_000_000), h.eureka());
@@ -155,7 +157,7 @@
     }
 
     @Test
-    void whatIsAllowedAndSeldomMeantIsTold() {
+    void allowedButRarelyIntendedValuesGiveWarnings() {
         // A server without a flavor, before an uplink that carries less than its link, took one session and no more.
         HlsConfig h = hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
                 + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
@@ -173,7 +175,7 @@
     }
 
     @Test
-    void theFileUnderDeployIsSound() {
+    void deployedHlsFileIsValid() {
         assertEquals("LESSON-BOXES", HlsConfig.load("deploy/hls.json").eureka().app());
     }
 }
--- a/src/test/java/dockshed/config/DocExamplesTest.java
+++ b/src/test/java/dockshed/config/DocExamplesTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void everyOperatorsFileIsReadWithoutAFault() throws IOException {
+    void everyOperatorsFileIsReadWithoutErrors() throws IOException {
         int seen = 0;
         for (Example e : examples()) {
             if (e.kind().equals("conf")) {
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void everyFieldOfALogLineIsWrittenByThePartThatIsNamed() throws IOException {
+    void everyFieldOfALogLineIsWrittenByTheNamedClass() throws IOException {
         Pattern line = Pattern.compile("(?:INFO|WARN|ERROR|DEBUG) (\\w+) - (.*)");
         Pattern field = Pattern.compile("(\\w+)=");
         List<String> missing = new ArrayList<>();
--- a/src/test/java/dockshed/config/ZoneDirectiveTest.java
+++ b/src/test/java/dockshed/config/ZoneDirectiveTest.java
@@ -15,7 +15,7 @@
                 .fleet();
     }
 
-    private static List<String> faults(String text, int brokers) {
+    private static List<String> errors(String text, int brokers) {
         JsonFields.InvalidInputException e =
                 assertThrows(JsonFields.InvalidInputException.class, () -> read(text, brokers), text);
         return e.getMessage().lines().toList();
@@ -31,19 +31,19 @@
     }
 
     @Test
-    void faultsNameFileLineAndKey() {
+    void errorsNameFileLineAndKey() {
         assertEquals(
                 List.of("x.conf:3: zone: expected brokers that are in no other zone, got broker 2 again"),
-                faults("zone a north 0-2\nzone b south 2-5", 6));
+                errors("zone a north 0-2\nzone b south 2-5", 6));
         assertEquals(
                 List.of("x.conf:3: zone: expected every broker in a zone, got none for broker 5"),
-                faults("zone a north 0-2\nzone b south 3-4", 6));
+                errors("zone a north 0-2\nzone b south 3-4", 6));
         assertEquals(
                 List.of("x.conf:3: zone: expected a range of broker numbers from 0 to 5, got 3-6"),
-                faults("zone a north 0-2\nzone b south 3-6", 6));
+                errors("zone a north 0-2\nzone b south 3-6", 6));
         for (String line :
                 List.of("zone", "zone a", "zone a north", "zone a north 0-x", "zone a north 0", "zone ? n 0-5")) {
-            List<String> faults = faults(line, 6);
+            List<String> faults = errors(line, 6);
             assertEquals(1, faults.size());
             assertTrue(
                     faults.get(0).startsWith("x.conf:2: zone: expected a name, a region and a range"), faults.get(0));
@@ -51,9 +51,9 @@
     }
 
     @Test
-    void otherDirectivesStillStandOnceOnly() {
+    void otherDirectivesMayNotBeRepeated() {
         assertEquals(
                 List.of("x.conf:3: leases: expected it only once, first given in line 2, got it again"),
-                faults("leases yes\nleases no", 6));
+                errors("leases yes\nleases no", 6));
     }
 }
--- a/src/test/java/dockshed/edge/MessageTest.java
+++ b/src/test/java/dockshed/edge/MessageTest.java
@@ -17,31 +17,32 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** JSON lines to and from the edge servers. */
+/** Encoding, parsing and line splitting of messages exchanged with edge servers. */
 class MessageTest {
     @Test
-    void theExampleOfThePageIsReadAndWritten() throws Exception {
-        Message m = Message.parse("{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{\"class\":\"paid\","
-                + "\"left\":\"1500\"},\"sdp\":\"9d41\\r\\nc=IN\\r\\n\"}");
+    void documentedExampleIsParsedAndEncoded() throws Exception {
+        Message message =
+                Message.parse("{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{\"class\":\"paid\","
+                        + "\"left\":\"1500\"},\"sdp\":\"9d41\\r\\nc=IN\\r\\n\"}");
         assertEquals(
                 new Message(
                         "setup", "9b1f03aa5c7e2d41", Map.of("class", "paid", "left", "1500"), -1, "9d41\r\nc=IN\r\n"),
-                m);
-        assertEquals(m, Message.parse(m.encode().stripTrailing()));
+                message);
+        assertEquals(message, Message.parse(message.encode().stripTrailing()));
     }
 
     @Test
-    void numbersUnknownMembersAndSpaceAreTaken() throws Exception {
-        Message m =
+    void numbersUnknownMembersAndSpaceAreAccepted() throws Exception {
+        Message message =
                 Message.parse(" { \"new\" : [1, {\"a\":null}, []] , \"cause\" : 34 , \"type\":\"release\",\"id\":\"x\","
                         + "\"fields\":{ \"value\": -0.5e1, \"deep\":{\"a\":[true]}, \"left\":12 }} ");
-        assertEquals(34, m.cause());
-        assertEquals(Map.of("value", "-0.5e1", "left", "12"), m.fields());
-        assertNull(m.sdp());
+        assertEquals(34, message.cause());
+        assertEquals(Map.of("value", "-0.5e1", "left", "12"), message.fields());
+        assertNull(message.sdp());
     }
 
     @Test
-    void whatIsNoMessageIsMalformed() {
+    void otherTextsAreMalformed() {
         for (String bad : List.of(
                 "",
                 "[]",
@@ -61,16 +62,17 @@
     }
 
     @Property(seed = "20261201", tries = 1000)
-    void anyTextSurvivesTheWire(@ForAll String sdp, @ForAll String key, @ForAll String value) throws Exception {
-        Message m = new Message("setup", "id", Map.of(key, value), 3, sdp);
-        String line = m.encode();
+    void anyTextSurvivesEncodingAndParsing(@ForAll String sdp, @ForAll String key, @ForAll String value)
+            throws Exception {
+        Message message = new Message("setup", "id", Map.of(key, value), 3, sdp);
+        String line = message.encode();
         assertEquals(line.length() - 1, line.indexOf('\n'), "one line");
-        byte[] wire = line.getBytes(StandardCharsets.UTF_8);
-        assertEquals(m, Message.parse(new String(wire, StandardCharsets.UTF_8).stripTrailing()));
+        byte[] encoded = line.getBytes(StandardCharsets.UTF_8);
+        assertEquals(message, Message.parse(new String(encoded, StandardCharsets.UTF_8).stripTrailing()));
     }
 
     @Property(seed = "20261201", tries = 2000)
-    void garbageIsMalformedAndNothingWorse(@ForAll("jsonish") String text) {
+    void garbageIsParsedOrMalformed(@ForAll("jsonish") String text) {
         try {
             assertTrue(Message.parse(text).type() != null);
         } catch (Message.MalformedMessageException e) {
@@ -107,11 +109,11 @@
     }
 
     private static List<String> lines(int limit, byte[]... parts) throws LineDecoder.InvalidLineException {
-        LineDecoder d = new LineDecoder(limit);
+        LineDecoder decoder = new LineDecoder(limit);
         List<String> out = new ArrayList<>();
         for (byte[] part : parts) {
-            d.add(part);
-            for (String line = d.next(); line != null; line = d.next()) {
+            decoder.add(part);
+            for (String line = decoder.next(); line != null; line = decoder.next()) {
                 out.add(line);
             }
         }
@@ -119,7 +121,7 @@
     }
 
     @Test
-    void linesComeOutOfEverySplit() throws Exception {
+    void linesAreDecodedFromEverySplitOfTheStream() throws Exception {
         byte[] all = "first\n\r\nthird é\r\nrest".getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i <= all.length; i++) {
             for (int j = i; j <= all.length; j++) {
@@ -135,16 +137,17 @@
     }
 
     @Test
-    void aLineWithoutEndIsGivenUp() throws Exception {
+    void lineAboveTheLimitIsInvalid() throws Exception {
         assertEquals(List.of("x".repeat(64)), lines(64, ("x".repeat(64) + "\n").getBytes(StandardCharsets.UTF_8)));
         assertThrows(LineDecoder.InvalidLineException.class, () -> lines(64, new byte[60], new byte[5]));
     }
 
     @Test
-    void bytesThatAreNoTextAreNotReadAsIfTheyWere() {
-        // A spoilt answer went on to the viewer with other characters in the place of its noise, as served.
-        byte[] spoilt = "{\"sdp\":\"v=0 \"}\n".getBytes(StandardCharsets.UTF_8);
-        spoilt[12] = (byte) 0xfe;
-        assertThrows(LineDecoder.InvalidLineException.class, () -> lines(64, spoilt));
+    void bytesThatAreNotUtf8AreInvalid() {
+        // Guards against damaged descriptions: an answer with invalid bytes was passed on to the viewer as served, with
+        // replacement characters in their place.
+        byte[] damaged = "{\"sdp\":\"v=0 \"}\n".getBytes(StandardCharsets.UTF_8);
+        damaged[12] = (byte) 0xfe;
+        assertThrows(LineDecoder.InvalidLineException.class, () -> lines(64, damaged));
     }
 }
--- a/src/test/java/dockshed/eureka/EurekaRegistryTest.java
+++ b/src/test/java/dockshed/eureka/EurekaRegistryTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theWholeListIsRead() throws Exception {
+    void fullListIsRead() throws Exception {
         EurekaRegistry r = new EurekaRegistry();
         r.applyFull(
                 apps("OUT_OF_SERVICE_1_UP_1_", instance("a", "UP", "ADDED"), instance("b", "OUT_OF_SERVICE", "ADDED")));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aListOfOneMayStandThereAsTheOne() throws Exception {
+    void listOfOneMayBeASingleObject() throws Exception {
         EurekaRegistry r = new EurekaRegistry();
         r.applyFull("{\"applications\":{\"apps__hashcode\":\"UP_1_\",\"application\":{\"name\":\"BOXES\",\"instance\":"
                 + instance("a", "UP", "ADDED") + "}}}");
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aDeltaThatDoesNotAddUpChangesNothing() throws Exception {
+    void deltaWithAWrongHashCodeChangesNothing() throws Exception {
         EurekaRegistry r = new EurekaRegistry();
         r.applyFull(apps("UP_1_", instance("a", "UP", "ADDED")));
         assertThrows(
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void whatIsNotEurekasIsUnfit() {
+    void otherResponsesAreUnusable() {
         for (String bad :
                 List.of("", "no", "[]", "{}", "{\"applications\":3}", "{\"applications\":{\"application\":[3]}}")) {
             assertThrows(EurekaRegistry.UnusableAnswerException.class, () -> new EurekaRegistry().applyFull(bad), bad);
--- a/src/test/java/dockshed/load/LoadReporterTest.java
+++ b/src/test/java/dockshed/load/LoadReporterTest.java
@@ -29,41 +29,52 @@
 
 /** Brokers with the real module before boxes that report nothing, on a virtual clock. */
 class LoadReporterTest {
-    private static final long MS = 1000;
-    private static final long S = 1_000_000;
-    private static final double LINK = 90_000;
-    private static final double TOP = 900;
+    private static final long MILLISECOND_US = 1000;
+    private static final long SECOND_US = 1_000_000;
+    private static final double LINK_KB_S = 90_000;
+    private static final double HIGHEST_RATE_KB_S = 900;
 
-    private final Map<String, Double> asked = new HashMap<>(); // kB a second by box, of all brokers
+    private final Map<String, Double> demandByServer = new HashMap<>(); // kB a second by box, of all brokers
     private final List<Node> nodes = new ArrayList<>();
-    private long now = 1_000 * S;
+    private long now = 1_000 * SECOND_US;
 
     /** One broker: its front only counts, its boxes answer at once. */
     private final class Node implements Front, ServerAdapter {
         final TimerQueue deadlines = new TimerQueue(at -> {});
-        final Map<String, Integer> rungs = new HashMap<>();
-        final Map<String, String> at = new HashMap<>();
-        final Settings s;
+        final Map<String, Integer> renditions = new HashMap<>();
+        final Map<String, String> serverBySession = new HashMap<>();
+        final Settings settings;
         final Broker broker;
         final LoadReporter loads;
         int served;
         int refused;
-        int topped;
+        int atHighestRendition;
 
         Node(int me, int of, int boxes, ListScope scope, String kind, int streams, double uplink) {
-            s = new Settings(
+            settings = new Settings(
                     me,
                     of,
                     "east",
-                    List.of(new SessionClass("lesson", Effect.SAFE, S, 3 * S, 1, 1, 0, 1, 0)),
+                    List.of(new SessionClass("lesson", Effect.SAFE, SECOND_US, 3 * SECOND_US, 1, 1, 0, 1, 0)),
                     List.of(new ServerKind("std", streams)),
-                    new Ladder(List.of(200.0, TOP), List.of(.2, 1.0), boxes * LINK, LINK, uplink, 1, 3, 0, 7, 500_000),
-                    new Limits(3, false, true, 250 * MS, 2 * S, 500 * MS, 3 * S),
-                    new Rules(S, 0.4, 12 * S, 2.5, 2 * S, 0, 0, 0),
+                    new Ladder(
+                            List.of(200.0, HIGHEST_RATE_KB_S),
+                            List.of(.2, 1.0),
+                            boxes * LINK_KB_S,
+                            LINK_KB_S,
+                            uplink,
+                            1,
+                            3,
+                            0,
+                            7,
+                            500_000),
+                    new Limits(
+                            3, false, true, 250 * MILLISECOND_US, 2 * SECOND_US, 500 * MILLISECOND_US, 3 * SECOND_US),
+                    new Rules(SECOND_US, 0.4, 12 * SECOND_US, 2.5, 2 * SECOND_US, 0, 0, 0),
                     new Prices(0, 0, 0, 0),
                     List.of());
-            broker = new Broker(s, a -> new Choice(s, 7 + me, a), m -> {}, deadlines);
-            loads = new LoadReporter(broker, deadlines, s);
+            broker = new Broker(settings, a -> new Choice(settings, 7 + me, a), m -> {}, deadlines);
+            loads = new LoadReporter(broker, deadlines, settings);
             List<Server> list = new ArrayList<>();
             for (int i = 0; i < boxes; i++) {
                 list.add(new Server("box" + i, "east", kind, i % 3, State.UP, 1, 0));
@@ -74,10 +85,10 @@
         }
 
         Settings settings() {
-            return s;
+            return settings;
         }
 
-        void ask(int i) {
+        void request(int i) {
             broker.request(
                     now,
                     0,
@@ -88,8 +99,8 @@
                             "lesson",
                             "v" + i,
                             "t",
-                            3 * S,
-                            60 * S,
+                            3 * SECOND_US,
+                            60 * SECOND_US,
                             0,
                             3,
                             1,
@@ -99,18 +110,21 @@
                             ""));
         }
 
-        private void put(String name, String server, int rung) {
-            Integer was = rungs.put(name, rung);
-            asked.merge(server, (rung > 0 ? TOP : 200) - (was == null ? 0 : was > 0 ? TOP : 200), Double::sum);
-            topped += (rung > 0 ? 1 : 0) - (was != null && was > 0 ? 1 : 0);
+        private void setRate(String name, String server, int rung) {
+            Integer was = renditions.put(name, rung);
+            demandByServer.merge(
+                    server,
+                    (rung > 0 ? HIGHEST_RATE_KB_S : 200) - (was == null ? 0 : was > 0 ? HIGHEST_RATE_KB_S : 200),
+                    Double::sum);
+            atHighestRendition += (rung > 0 ? 1 : 0) - (was != null && was > 0 ? 1 : 0);
         }
 
         @Override
         public void setUp(String server, SetUp s) {
-            deadlines.schedule(now + 5 * MS, t -> {
+            deadlines.schedule(now + 5 * MILLISECOND_US, t -> {
                 broker.setUpAnswered(t, server, s.name(), "");
-                at.put(s.name(), server);
-                put(s.name(), server, s.highestRendition());
+                serverBySession.put(s.name(), server);
+                setRate(s.name(), server, s.highestRendition());
                 loads.sessionStarted(t, server, s.name(), s.className(), s.highestRendition());
             });
         }
@@ -118,13 +132,13 @@
         @Override
         public void setRendition(String server, String name, int rung) {
             loads.renditionChanged(now, name, rung);
-            put(name, server, rung);
+            setRate(name, server, rung);
         }
 
         @Override
         public void sessionEnded(String server, String name) {
             loads.sessionEnded(now, name);
-            asked.merge(server, rungs.remove(name) > 0 ? -TOP : -200, Double::sum);
+            demandByServer.merge(server, renditions.remove(name) > 0 ? -HIGHEST_RATE_KB_S : -200, Double::sum);
         }
 
         @Override
@@ -161,103 +175,105 @@
         }
     }
 
-    private void pass(long micros) {
+    private void advanceTime(long micros) {
         long end = now + micros;
-        for (long next = next(); next <= end; next = next()) {
+        for (long next = nextTimer(); next <= end; next = nextTimer()) {
             now = Math.max(now, next);
             nodes.forEach(n -> n.broker.runDueTimers(now));
         }
         now = end;
     }
 
-    private long next() {
+    private long nextTimer() {
         return nodes.stream().mapToLong(n -> n.deadlines.nextDue()).min().orElse(TimerQueue.NEVER);
     }
 
     /** Viewers 50 ms apart, in turn at each broker. */
-    private void come(int viewers) {
+    private void requestSessions(int viewers) {
         for (int i = 0; i < viewers; i++) {
-            nodes.get(i % nodes.size()).ask(viewers * 1000 + i);
-            pass(50 * MS);
+            nodes.get(i % nodes.size()).request(viewers * 1000 + i);
+            advanceTime(50 * MILLISECOND_US);
         }
     }
 
     @Test
-    void oneBrokerServesAHundredAndFiftyViewersOnFourQuietBoxes() {
+    void oneBrokerServes150ViewersOnFourServersWithoutReports() {
         // Guards against a link that nobody reports on being held for nearly full: 4 of 150 were served.
-        Node n = new Node(0, 1, 4, ListScope.SNAPSHOT, "std", 200, 4 * LINK);
-        come(150);
+        Node n = new Node(0, 1, 4, ListScope.SNAPSHOT, "std", 200, 4 * LINK_KB_S);
+        requestSessions(150);
         assertEquals(150, n.served);
-        assertTrue(n.topped >= 140, "at the top rung: " + n.topped);
+        assertTrue(n.atHighestRendition >= 140, "at the top rung: " + n.atHighestRendition);
     }
 
     @Test
-    void oneBrokerFillsAQuietBoxWithSessionsAtTheTopRungAndNoFurther() {
-        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
-        come(150);
-        pass(10 * S);
-        assertTrue(n.topped * TOP >= 0.85 * LINK, "top rung: " + n.topped);
-        assertTrue(asked.get("box0") <= LINK, "asked: " + asked);
-        assertTrue(n.refused > 0 || n.topped < n.served, "beyond it some are refused or step down");
+    void oneBrokerFillsAServerAtTheHighestRenditionAndNoFurther() {
+        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
+        requestSessions(150);
+        advanceTime(10 * SECOND_US);
+        assertTrue(n.atHighestRendition * HIGHEST_RATE_KB_S >= 0.85 * LINK_KB_S, "top rung: " + n.atHighestRendition);
+        assertTrue(demandByServer.get("box0") <= LINK_KB_S, "asked: " + demandByServer);
+        assertTrue(n.refused > 0 || n.atHighestRendition < n.served, "beyond it some are refused or step down");
     }
 
     @Test
-    void twoBrokersTogetherDoNotOverfillABox() {
-        new Node(0, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
-        new Node(1, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
+    void twoBrokersTogetherDoNotOverloadAServer() {
+        new Node(0, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
+        new Node(1, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
         for (int i = 0; i < 400; i++) {
-            nodes.get(i % 2).ask(i);
-            pass(20 * MS);
-            assertTrue(asked.getOrDefault("box0", 0.0) <= 1.1 * LINK, "after " + i + ": " + asked);
+            nodes.get(i % 2).request(i);
+            advanceTime(20 * MILLISECOND_US);
+            assertTrue(
+                    demandByServer.getOrDefault("box0", 0.0) <= 1.1 * LINK_KB_S, "after " + i + ": " + demandByServer);
         }
-        assertTrue(asked.get("box0") >= 0.7 * LINK, "asked: " + asked);
+        assertTrue(demandByServer.get("box0") >= 0.7 * LINK_KB_S, "asked: " + demandByServer);
     }
 
     @Test
-    void aListLastKnownBeforeARestartIsPacedUntilItsBoxesMustBeWarm() {
+    void listFromBeforeARestartIsPacedUntilItsServersMustBeWarm() {
         // A box on such a list may have started just now (rule 4): its places come over the warm-up.
-        Node n = new Node(0, 1, 4, ListScope.DISK, "std", 200, 4 * LINK);
-        come(150);
+        Node n = new Node(0, 1, 4, ListScope.DISK, "std", 200, 4 * LINK_KB_S);
+        requestSessions(150);
         assertTrue(n.served >= 120, "served: " + n.served);
-        pass(12 * S);
+        advanceTime(12 * SECOND_US);
         n.served = 0;
-        come(50);
+        requestSessions(50);
         assertEquals(50, n.served);
     }
 
     @Test
-    void aBoxOfAKindThatTheSettingsDoNotNameIsNotHeldForOneStream() {
+    void serverOfAnUnknownKindServesMoreThanOneStream() {
         // Guards against a file that names no flavor: such a box took one session and no more.
-        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "", 200, LINK * 2);
-        come(60);
+        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "", 200, LINK_KB_S * 2);
+        requestSessions(60);
         assertEquals(60, n.served);
     }
 
     @Test
-    void whatABoxSaysCountsAndAPromiseIsNeverForgotten() {
-        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK * 2);
+    void reportOfAServerCountsUntilItExpires() {
+        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
         n.loads.loadHeaderReceived(now, "box0", "TEXT cpu_utilization=0.1, named_metrics.link=0.95");
-        come(60);
+        requestSessions(60);
         assertTrue(n.refused > 0, "the box said that it is full");
-        pass(EstimatedLoads.REPORT_VALIDITY_US + S);
+        advanceTime(EstimatedLoads.REPORT_VALIDITY_US + SECOND_US);
         n.refused = 0;
-        come(20);
+        requestSessions(20);
         assertEquals(0, n.refused, "and said no more for long");
     }
 
     @Test
-    void theAccountOfEndedSessionsIsEmpty() {
-        EstimatedLoads loads = new EstimatedLoads(new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 5, LINK).settings());
+    void endedSessionsLeaveNoDemand() {
+        EstimatedLoads loads =
+                new EstimatedLoads(new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 5, LINK_KB_S).settings());
         loads.updateServers(List.of(new Server("a", "east", "std", 0, State.UP, 1, 0)));
         loads.sessionStarted(now, "a", "s", "lesson", 1);
         loads.sessionStarted(now, "a", "s", "lesson", 1); // told twice: counted once
-        assertEquals(TOP / LINK, loads.linkShare(now, "a", now), 1e-9);
-        assertEquals(0, loads.linkShare(now, "a", now - S), 1e-9, "a second ago nothing was asked");
-        loads.renditionChanged(now + S, "s", 0);
-        assertEquals(200 / LINK, loads.linkShare(now + S, "a", now + S), 1e-9);
-        loads.sessionEnded(now + S, "s");
-        loads.sessionEnded(now + S, "s");
-        assertEquals(0, loads.linkShare(now + S, "a", now + S), 1e-9);
+        assertEquals(HIGHEST_RATE_KB_S / LINK_KB_S, loads.linkShare(now, "a", now), 1e-9);
+        assertEquals(0, loads.linkShare(now, "a", now - SECOND_US), 1e-9, "a second ago nothing was asked");
+        loads.renditionChanged(now + SECOND_US, "s", 0);
+        assertEquals(200 / LINK_KB_S, loads.linkShare(now + SECOND_US, "a", now + SECOND_US), 1e-9);
+        loads.sessionEnded(now + SECOND_US, "s");
+        loads.sessionEnded(now + SECOND_US, "s");
+        assertEquals(0, loads.linkShare(now + SECOND_US, "a", now + SECOND_US), 1e-9);
         assertEquals(List.of(), loads.sessionNames());
     }
 }
--- a/src/test/java/dockshed/load/OrcaReportTest.java
+++ b/src/test/java/dockshed/load/OrcaReportTest.java
@@ -8,7 +8,7 @@
 
 class OrcaReportTest {
     @Test
-    void theMostParticularFieldCounts() {
+    void mostSpecificFieldIsUsed() {
         assertEquals(
                 0.4,
                 OrcaReport.linkShare("TEXT cpu_utilization=0.9, application_utilization=0.7,"
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whatTellsNothingOfTheLinkOrCannotBeReadIsPassedOver() {
+    void headersWithoutALinkOrMalformedAreIgnored() {
         for (String bad : List.of(
                 "",
                 "TEXT",
--- a/src/test/java/dockshed/names/DnsDiscoveryTest.java
+++ b/src/test/java/dockshed/names/DnsDiscoveryTest.java
@@ -20,10 +20,10 @@
 /** Asking a name server over UDP; the test itself is the name server. */
 class DnsDiscoveryTest {
     private final Net net = new Net();
-    private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> nextChange = new LinkedBlockingQueue<>();
     private DatagramSocket server;
-    private DatagramPacket last;
-    private DnsDiscovery names;
+    private DatagramPacket lastQuery;
+    private DnsDiscovery discovery;
 
     @BeforeEach
     void start() throws Exception {
@@ -33,8 +33,8 @@
             LoopClock clock = new LoopClock(net.loop());
             TimerQueue deadlines = new TimerQueue(clock::wakeAt);
             clock.onWakeUp(deadlines::runDue);
-            names = new DnsDiscovery(
-                    (scope, servers, addresses) -> news.add(scope + " "
+            discovery = new DnsDiscovery(
+                    (scope, servers, addresses) -> nextChange.add(scope + " "
                             + servers.stream()
                                     .map(s -> s.id() + " " + s.state())
                                     .toList() + " " + addresses.keySet()),
@@ -42,7 +42,7 @@
                     deadlines,
                     new InetSocketAddress("127.0.0.1", server.getLocalPort()),
                     1);
-            names.start(net, new InetSocketAddress("127.0.0.1", 0));
+            discovery.start(net, new InetSocketAddress("127.0.0.1", 0));
             return null;
         });
     }
@@ -55,17 +55,17 @@
 
     /** The next query; its number. */
     private int query() throws Exception {
-        last = new DatagramPacket(new byte[512], 512);
-        server.receive(last);
-        return (last.getData()[0] & 0xff) << 8 | last.getData()[1] & 0xff;
+        lastQuery = new DatagramPacket(new byte[512], 512);
+        server.receive(lastQuery);
+        return (lastQuery.getData()[0] & 0xff) << 8 | lastQuery.getData()[1] & 0xff;
     }
 
     private void answer(byte[] bytes) throws Exception {
-        server.send(new DatagramPacket(bytes, bytes.length, last.getSocketAddress()));
+        server.send(new DatagramPacket(bytes, bytes.length, lastQuery.getSocketAddress()));
     }
 
-    private String news() throws Exception {
-        return news.poll(20, TimeUnit.SECONDS);
+    private String nextChange() throws Exception {
+        return nextChange.poll(20, TimeUnit.SECONDS);
     }
 
     private static AnswerBuilder list(int id, int serial, String... ids) {
@@ -81,95 +81,95 @@
     }
 
     /** The name server has another address from now on; returns what was its socket. */
-    private DatagramSocket move() throws Exception {
+    private DatagramSocket moveNameServer() throws Exception {
         DatagramSocket old = server;
         server = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         server.setSoTimeout(20_000);
         net.callOnLoop(() -> {
-            names.changeServer(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
+            discovery.changeServer(new InetSocketAddress("127.0.0.1", server.getLocalPort()));
             return null;
         });
         return old;
     }
 
     @Test
-    void lostAnswersAreAskedForAgainAndOnesToNoQueryPassedOver() throws Exception {
+    void lostAnswersAreAskedForAgainAndUnrelatedOnesIgnored() throws Exception {
         query(); // lost
         int id = query();
         answer(list(id + 1 & 0xffff, 9, "x").bytes()); // to a query that was never sent
         answer(new byte[] {1, 2, 3});
         answer(list(id, 1, "a", "b").bytes());
-        assertEquals("CHANGES [a UP, b UP] [a, b]", news());
+        assertEquals("CHANGES [a UP, b UP] [a, b]", nextChange());
         answer(list(id, 5, "c").bytes()); // the same answer a second time
         answer(list(query(), 2, "b").bytes());
-        assertEquals("CHANGES [a GONE] [b]", news());
+        assertEquals("CHANGES [a GONE] [b]", nextChange());
     }
 
     @Test
-    void whatAStrangerAnswersAndWhatAnswersAnotherQuestionIsPassedOver() throws Exception {
+    void answersFromOthersOrToOtherQuestionsAreIgnored() throws Exception {
         int id = query();
         try (DatagramSocket stranger = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             byte[] bytes = list(id, 9, "x").bytes();
-            stranger.send(new DatagramPacket(bytes, bytes.length, last.getSocketAddress()));
+            stranger.send(new DatagramPacket(bytes, bytes.length, lastQuery.getSocketAddress()));
         }
         answer(new AnswerBuilder(id, "x.east.hosts", Dns.A).a("x.east.hosts", 3).bytes());
         answer(list(id, 1, "a").bytes());
-        assertEquals("CHANGES [a UP] [a]", news());
+        assertEquals("CHANGES [a UP] [a]", nextChange());
     }
 
     @Test
-    void aLateAnswerThatWasOvertakenChangesNothing() throws Exception {
+    void outdatedAnswerChangesNothing() throws Exception {
         int late = query();
         answer(list(query(), 3, "a").bytes());
-        assertEquals("CHANGES [a UP] [a]", news());
+        assertEquals("CHANGES [a UP] [a]", nextChange());
         answer(list(late, 2, "a", "old").bytes());
         answer(list(query(), 4, "a", "b").bytes());
-        assertEquals("CHANGES [b UP] [a, b]", news());
+        assertEquals("CHANGES [b UP] [a, b]", nextChange());
     }
 
     @Test
-    void whatTheListLacksIsAskedForByName() throws Exception {
+    void missingRecordsAreAskedForByName() throws Exception {
         answer(new AnswerBuilder(query(), DnsDiscovery.SERVICE_NAME, Dns.SRV)
                 .srv("a.east.hosts", 1, 10, 80)
                 .soa(1)
                 .bytes());
         for (int i = 0; i < 2; i++) {
             int id = query();
-            boolean text = last.getData()[last.getLength() - 3] == Dns.TXT;
+            boolean text = lastQuery.getData()[lastQuery.getLength() - 3] == Dns.TXT;
             AnswerBuilder p = new AnswerBuilder(id, "a.east.hosts", text ? Dns.TXT : Dns.A);
             answer((text ? p.txt("a.east.hosts", "cell=2") : p.a("a.east.hosts", 7)).bytes());
         }
-        assertEquals("CHANGES [a DRAINING] [a]", news());
+        assertEquals("CHANGES [a DRAINING] [a]", nextChange());
     }
 
     @Test
-    void aNameServerThatMovedIsAskedAtItsNewAddressAndTheNumbersGoOn() throws Exception {
+    void movedNameServerIsQueriedAndSerialNumbersContinue() throws Exception {
         answer(list(query(), 7, "a").bytes());
-        assertEquals("CHANGES [a UP] [a]", news());
-        DatagramSocket old = move();
+        assertEquals("CHANGES [a UP] [a]", nextChange());
+        DatagramSocket old = moveNameServer();
         old.close();
         answer(list(query(), 6, "old").bytes()); // older than what is known
         answer(list(query(), 8, "a", "b").bytes());
-        assertEquals("CHANGES [b UP] [a, b]", news());
+        assertEquals("CHANGES [b UP] [a, b]", nextChange());
     }
 
     @Test
-    void aNameServerThatWasLeftEndsNobodyByAQuestionThatWasOut() throws Exception {
+    void formerNameServerRemovesNoServerByALateAnswer() throws Exception {
         answer(list(query(), 1, "a", "b").bytes());
-        assertEquals("CHANGES [a UP, b UP] [a, b]", news());
+        assertEquals("CHANGES [a UP, b UP] [a, b]", nextChange());
         answer(list(query(), 2, "a").truncated(8000)); // b is left out: its address is asked for
         int out = query();
-        while (last.getData()[last.getLength() - 3] != Dns.A) {
+        while (lastQuery.getData()[lastQuery.getLength() - 3] != Dns.A) {
             out = query();
         }
-        DatagramPacket asked = last;
-        DatagramSocket old = move();
+        DatagramPacket asked = lastQuery;
+        DatagramSocket old = moveNameServer();
         byte[] none = new AnswerBuilder(out, "b.east.hosts", Dns.A)
                 .responseCode(Dns.NXDOMAIN)
                 .bytes();
         old.send(new DatagramPacket(none, none.length, asked.getSocketAddress()));
         old.close();
         answer(list(query(), 3, "a", "b", "c").bytes());
-        assertEquals("CHANGES [c UP] [a, b, c]", news());
+        assertEquals("CHANGES [c UP] [a, b, c]", nextChange());
     }
 }
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -25,7 +25,7 @@
     /** Lays out an answer as a name server does, names compressed to pointers where they repeat. */
     static final class AnswerBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        private final Map<String, Integer> seen = new HashMap<>();
+        private final Map<String, Integer> offsetByName = new HashMap<>();
         private int records;
         private int flags = 0x8400;
 
@@ -43,10 +43,10 @@
         AnswerBuilder name(String name) {
             String rest = name;
             while (!rest.isEmpty()) {
-                if (seen.containsKey(rest)) {
-                    return u16(0xc000 | seen.get(rest));
+                if (offsetByName.containsKey(rest)) {
+                    return u16(0xc000 | offsetByName.get(rest));
                 }
-                seen.put(rest, out.size());
+                offsetByName.put(rest, out.size());
                 String label = rest.split("\\.", 2)[0];
                 out.write(label.length());
                 out.writeBytes(label.getBytes(StandardCharsets.US_ASCII));
@@ -130,7 +130,7 @@
         }
     }
 
-    private static byte[] fleet() {
+    private static byte[] exampleAnswer() {
         return new AnswerBuilder(7, DnsDiscovery.SERVICE_NAME, Dns.SRV)
                 .srv("s-1.east.hosts", 0, 40, 5080)
                 .srv("s-2.west.hosts", 1, 15, 5081)
@@ -143,15 +143,15 @@
     }
 
     @Test
-    void aQueryHasItsForm() {
+    void queryIsEncoded() {
         assertArrayEquals(
                 new byte[] {1, 2, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1, 'a', 2, 'b', 'c', 0, 0, 33, 0, 1},
                 Dns.query(0x0102, "a.bc", Dns.SRV));
     }
 
     @Test
-    void theFleetIsReadFromCompressedNames() throws Exception {
-        Dns.Answer a = Dns.parse(fleet());
+    void listIsParsedFromCompressedNames() throws Exception {
+        Dns.Answer a = Dns.parse(exampleAnswer());
         assertEquals(7, a.id());
         assertEquals(70_000, EdgeServerList.serial(a.records()));
         EdgeServerList list = new EdgeServerList();
@@ -170,8 +170,8 @@
     }
 
     @Test
-    void everyCutAndEveryPointerLoopIsMalformed() {
-        byte[] whole = fleet();
+    void truncatedMessagesAndPointerLoopsAreMalformed() {
+        byte[] whole = exampleAnswer();
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
             assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(cut), "cut at " + i);
@@ -185,8 +185,8 @@
     }
 
     @Property(seed = "20261201", tries = 2000)
-    void damageIsMalformedOrRead(@ForAll int where, @ForAll byte what, @ForAll byte[] garbage) {
-        byte[] hurt = fleet();
+    void damagedMessagesAreParsedOrMalformed(@ForAll int where, @ForAll byte what, @ForAll byte[] garbage) {
+        byte[] hurt = exampleAnswer();
         hurt[Math.floorMod(where, hurt.length)] = what;
         for (byte[] packet : new byte[][] {hurt, garbage}) {
             try {
@@ -197,28 +197,36 @@
         }
     }
 
-    private static ListedServer listing(String id, State state, long since) {
+    private static ListedServer listedServer(String id, State state, long since) {
         return new ListedServer(new Server(id, "z", "k", 0, state, 1, since), new InetSocketAddress("127.0.0.1", 1));
     }
 
     @Test
-    void aWholeListTellsOnlyWhatChangedAndLateAnswersNothing() {
+    void completeListYieldsOnlyChangesAndAnOutdatedOneNothing() {
         EdgeServerList list = new EdgeServerList();
         list.applyConfigured(
                 3,
                 ListScope.DISK,
-                List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0)));
+                List.of(
+                        listedServer("a", State.UP, 0),
+                        listedServer("b", State.UP, 0),
+                        listedServer("c", State.UP, 0)));
         assertEquals(
                 List.of(),
                 list.replaceAll(
-                        3, List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0))),
+                        3,
+                        List.of(
+                                listedServer("a", State.UP, 0),
+                                listedServer("b", State.UP, 0),
+                                listedServer("c", State.UP, 0))),
                 "the same list again changes nothing");
-        List<Server> changed = list.replaceAll(5, List.of(listing("a", State.DRAINING, 0), listing("c", State.UP, 9)));
+        List<Server> changed =
+                list.replaceAll(5, List.of(listedServer("a", State.DRAINING, 0), listedServer("c", State.UP, 9)));
         assertEquals(
                 List.of("b GONE", "a DRAINING", "c UP"),
                 changed.stream().map(s -> s.id() + " " + s.state()).toList());
         assertEquals(List.of("a", "c"), List.copyOf(list.addresses().keySet()));
         // An answer that was overtaken on its way must not bring a drained server back.
-        assertNull(list.replaceAll(4, List.of(listing("a", State.UP, 0))));
+        assertNull(list.replaceAll(4, List.of(listedServer("a", State.UP, 0))));
     }
 }
--- a/src/test/java/dockshed/net/AcceptErrorHandlerTest.java
+++ b/src/test/java/dockshed/net/AcceptErrorHandlerTest.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What a listener does when the system gives it no descriptor for a connection. */
+/** Behaviour of a listening socket when the system is out of descriptors for a new connection. */
 class AcceptErrorHandlerTest {
     @Test
-    void itLetsADescriptorGoAndTriesAgainSoon() {
-        // Netty's own answer is to accept nobody for a second.
-        int[] full = {0};
-        EmbeddedChannel listener = new EmbeddedChannel(new Net.AcceptErrorHandler(() -> full[0]++));
+    void failureToAcceptFreesADescriptorAndRetriesSoon() {
+        // Guards against Netty's own behaviour, which is to accept no connection for a second.
+        int[] shortages = {0};
+        EmbeddedChannel listener = new EmbeddedChannel(new Net.AcceptErrorHandler(() -> shortages[0]++));
         listener.freezeTime();
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
-        assertEquals(1, full[0]);
+        assertEquals(1, shortages[0]);
         assertFalse(listener.config().isAutoRead());
         listener.advanceTimeBy(20, TimeUnit.MILLISECONDS);
         listener.runScheduledPendingTasks();
--- a/src/test/java/dockshed/net/HttpStyleMessageDecoderTest.java
+++ b/src/test/java/dockshed/net/HttpStyleMessageDecoderTest.java
@@ -14,64 +14,68 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** RTSP's and HTTP's messages, however the stream of bytes is cut. */
+/** Decoding of RTSP and HTTP messages, however the stream of bytes is divided into reads. */
 class HttpStyleMessageDecoderTest {
-    private static final String THREE = "SETUP rtsp://media/ab RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 5\r\n\r\nhallo"
-            + "\r\nOPTIONS rtsp://media/ping RTSP/1.0\nCSeq:3\n\n"
-            + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n"
-            + "LAST x y\r\n\r\n";
+    private static final String EXAMPLE_STREAM =
+            "SETUP rtsp://media/ab RTSP/1.0\r\nCSeq: 1\r\nContent-Length: 5\r\n\r\nhallo"
+                    + "\r\nOPTIONS rtsp://media/ping RTSP/1.0\nCSeq:3\n\n"
+                    + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n"
+                    + "LAST x y\r\n\r\n";
 
-    private static List<HttpStyleMessage> all(HttpStyleMessageDecoder d)
+    private static List<HttpStyleMessage> all(HttpStyleMessageDecoder decoder)
             throws HttpStyleMessage.MalformedMessageException {
-        List<HttpStyleMessage> out = new ArrayList<>();
-        for (HttpStyleMessage m = d.next(); m != null; m = d.next()) {
-            out.add(m);
+        List<HttpStyleMessage> messages = new ArrayList<>();
+        for (HttpStyleMessage message = decoder.next(); message != null; message = decoder.next()) {
+            messages.add(message);
         }
-        return out;
+        return messages;
     }
 
     private static List<HttpStyleMessage> read(int limit, byte[]... parts)
             throws HttpStyleMessage.MalformedMessageException {
-        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(limit);
-        List<HttpStyleMessage> out = new ArrayList<>();
+        HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(limit);
+        List<HttpStyleMessage> messages = new ArrayList<>();
         for (byte[] part : parts) {
-            d.add(part, 0, part.length);
-            out.addAll(all(d));
+            decoder.add(part, 0, part.length);
+            messages.addAll(all(decoder));
         }
-        assertFalse(d.hasPartialMessage(), "all of it was taken");
-        return out;
+        assertFalse(decoder.hasPartialMessage(), "all bytes were consumed");
+        return messages;
     }
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static void isThree(List<HttpStyleMessage> got) {
+    private static void assertExampleMessages(List<HttpStyleMessage> messages) {
         assertEquals(
                 List.of("hallo", "", "abcde", ""),
-                got.stream().map(HttpStyleMessage::bodyText).toList());
-        assertEquals("3", got.get(1).header("cseq"));
-        assertEquals(200, got.get(2).status());
-        assertEquals("x", got.get(3).startLinePart(1));
+                messages.stream().map(HttpStyleMessage::bodyText).toList());
+        assertEquals("3", messages.get(1).header("cseq"));
+        assertEquals(200, messages.get(2).status());
+        assertEquals("x", messages.get(3).startLinePart(1));
     }
 
     @Test
-    void everySplitGivesTheSameMessages() throws Exception {
-        for (int i = 0; i <= THREE.length(); i++) {
-            for (int j = i; j <= THREE.length(); j++) {
-                isThree(read(
-                        400, bytes(THREE.substring(0, i)), bytes(THREE.substring(i, j)), bytes(THREE.substring(j))));
+    void everySplitOfTheStreamGivesTheSameMessages() throws Exception {
+        for (int i = 0; i <= EXAMPLE_STREAM.length(); i++) {
+            for (int j = i; j <= EXAMPLE_STREAM.length(); j++) {
+                assertExampleMessages(read(
+                        400,
+                        bytes(EXAMPLE_STREAM.substring(0, i)),
+                        bytes(EXAMPLE_STREAM.substring(i, j)),
+                        bytes(EXAMPLE_STREAM.substring(j))));
             }
         }
-        byte[][] single = new byte[THREE.length()][];
+        byte[][] single = new byte[EXAMPLE_STREAM.length()][];
         for (int i = 0; i < single.length; i++) {
-            single[i] = bytes(THREE.substring(i, i + 1));
+            single[i] = bytes(EXAMPLE_STREAM.substring(i, i + 1));
         }
-        isThree(read(400, single));
+        assertExampleMessages(read(400, single));
     }
 
     @Test
-    void whatIsNoMessageIsMalformed() {
+    void otherTextsAreMalformed() {
         for (String bad : List.of(
                 "A b c\r\nno colon\r\n\r\n",
                 "A b c\r\n: x\r\n\r\n",
@@ -85,7 +89,7 @@
     }
 
     @Test
-    void aMessageLongerThanTheLimitIsRefusedBeforeItIsWhole() throws Exception {
+    void messageAboveTheLimitIsRefusedBeforeItIsComplete() throws Exception {
         String head = "A b c\r\nContent-Length: 40\r\n\r\n";
         assertEquals(1, read(head.length() + 40, bytes(head + "x".repeat(40))).size());
         assertThrows(HttpStyleMessage.MalformedMessageException.class, () -> read(head.length() + 39, bytes(head)));
@@ -96,32 +100,32 @@
     }
 
     @Test
-    void halfAMessageIsKeptForLater() throws Exception {
-        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(400);
-        d.add(bytes(THREE), 0, 20);
-        assertNull(d.next());
-        assertTrue(d.hasPartialMessage());
+    void partialMessageIsKept() throws Exception {
+        HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(400);
+        decoder.add(bytes(EXAMPLE_STREAM), 0, 20);
+        assertNull(decoder.next());
+        assertTrue(decoder.hasPartialMessage());
     }
 
     @Test
-    void whatIsEncodedIsReadBack() throws Exception {
-        byte[] wire = HttpStyleMessage.encode("RTSP/1.0 200 OK", Map.of("Session", "ab"), bytes("body"));
-        HttpStyleMessage m = read(400, wire).get(0);
-        assertEquals("body", m.bodyText());
-        assertEquals("ab", m.header("session"));
-        assertEquals("4", m.header("content-length"));
-        assertEquals(200, m.status());
+    void encodedMessageIsDecoded() throws Exception {
+        byte[] encoded = HttpStyleMessage.encode("RTSP/1.0 200 OK", Map.of("Session", "ab"), bytes("body"));
+        HttpStyleMessage message = read(400, encoded).get(0);
+        assertEquals("body", message.bodyText());
+        assertEquals("ab", message.header("session"));
+        assertEquals("4", message.header("content-length"));
+        assertEquals(200, message.status());
     }
 
-    /** Garbage is taken as messages or as malformed, never as another kind of failure. */
+    /** Garbage is either decoded or malformed; no other exception is thrown. */
     @Property(seed = "20261201", tries = 2000)
-    void garbageNeverDoesHarm(@ForAll byte[] garbage, @ForAll("pieces") String text) {
-        HttpStyleMessageDecoder d = new HttpStyleMessageDecoder(300);
+    void garbageIsDecodedOrMalformed(@ForAll byte[] garbage, @ForAll("pieces") String text) {
+        HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(300);
         try {
-            d.add(garbage, 0, garbage.length);
-            all(d);
-            d.add(bytes(text), 0, text.length());
-            all(d);
+            decoder.add(garbage, 0, garbage.length);
+            all(decoder);
+            decoder.add(bytes(text), 0, text.length());
+            all(decoder);
         } catch (HttpStyleMessage.MalformedMessageException e) {
             assertTrue(e.getMessage().length() > 0);
         }
--- a/src/test/java/dockshed/net/LoopBlocker.java
+++ b/src/test/java/dockshed/net/LoopBlocker.java
@@ -2,23 +2,23 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Holds a loop where it is, so that what crosses has all come before any of it is read. */
+/** Blocks an event loop, so that all input sent meanwhile has arrived before any of it is read. */
 public final class LoopBlocker {
     private LoopBlocker() {}
 
-    /** Returns once the loop is held; it goes on when the latch is let go. */
+    /** Returns once the event loop is blocked; it continues when the returned latch is counted down. */
     public static CountDownLatch block(Net net) throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         net.loop().execute(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                go.await();
+                release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
-        return go;
+        blocked.await();
+        return release;
     }
 }
--- a/src/test/java/dockshed/net/SignalsTest.java
+++ b/src/test/java/dockshed/net/SignalsTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import sun.misc.Signal;
 
-/** The steps of a planned end, told at 0; times in milliseconds. */
+/** The steps of a graceful shutdown signalled at 0, and the handling of SIGHUP; times in milliseconds. */
 class SignalsTest {
-    /** The steps with their times, looked for every 10 ms. */
-    private static List<String> steps(long longest, IntPredicate unanswered, IntPredicate unwritten) {
-        GracefulShutdown end = new GracefulShutdown(0, longest * 1000);
+    /** The steps with their times, asked for every 10 ms. */
+    private static List<String> steps(long longestClientDeadlineMs, IntPredicate unanswered, IntPredicate unwritten) {
+        GracefulShutdown shutdown = new GracefulShutdown(0, longestClientDeadlineMs * 1000);
         List<String> out = new ArrayList<>();
         for (int ms = 0; ms < 10_000; ms += 10) {
-            Step step = end.nextStep(ms * 1000L, unanswered.test(ms) ? 1 : 0, unwritten.test(ms));
+            Step step = shutdown.nextStep(ms * 1000L, unanswered.test(ms) ? 1 : 0, unwritten.test(ms));
             if (step != Step.WAIT) {
                 out.add(ms + " " + step);
             }
@@ -31,18 +31,20 @@
     }
 
     @Test
-    void itStaysUntilShortlyBeforeItMayBeKilled() {
-        // Sessions were cut 0.8 s after SIGTERM though their viewers could have watched on for seconds.
+    void sessionsPlayUntilShortlyBeforeTheKill() {
+        // Guards against ending sessions too early: they ended 0.8 s after SIGTERM, though they could have played on
+        // for
+        // seconds.
         assertEquals(List.of("1850 TELL", "1860 TELL_AGAIN", "1910 HALT"), steps(1400, ms -> false, ms -> false));
         assertEquals("3450 TELL", steps(3000, ms -> false, ms -> false).get(0));
         assertEquals("3450 TELL", steps(4000, ms -> false, ms -> false).get(0)); // counted as 3 s
-        assertEquals("800 TELL", steps(100, ms -> false, ms -> false).get(0)); // viewers still come
+        assertEquals("800 TELL", steps(100, ms -> false, ms -> false).get(0)); // viewers still arrive
     }
 
     @Test
-    void aTrickleOfRequestsKeepsNoSessionFromItsEnd() {
-        // Sessions were told their ends only once nothing was unanswered: with a trickle of requests never, and SIGKILL
-        // found them standing. Who still waits at the last moment is told a failure.
+    void trickleOfRequestsDoesNotDelayTheEndOfSessions() {
+        // Guards against sessions that SIGKILL cuts off: they were notified of their end only once no request was
+        // unanswered, which a trickle of requests prevented. Requests that still wait at the last moment fail.
         assertEquals(
                 List.of("1850 TELL", "2000 FAIL", "2010 TELL_AGAIN", "2060 HALT"),
                 steps(1400, ms -> ms <= 2000, ms -> false));
@@ -50,26 +52,29 @@
     }
 
     @Test
-    void itDoesNotHaltOnWhatIsNotWritten() {
-        // 50 ms after the ends were told it halted, whether the bytes had left or not.
+    void haltWaitsForUnwrittenData() {
+        // Guards against lost notices: the process halted 50 ms after notifying the sessions, whether or not the bytes
+        // had
+        // been written.
         assertEquals(List.of("1850 TELL", "1860 TELL_AGAIN", "2000 HALT"), steps(1400, ms -> false, ms -> ms <= 1950));
         assertEquals(List.of("1850 TELL", "1860 TELL_AGAIN", "2080 HALT"), steps(1400, ms -> false, ms -> true));
     }
 
     @Test
-    void aSetUpAnsweredAfterTheEndsWereToldIsToldItsEndToo() {
+    void sessionSetUpDuringTheShutdownIsNotifiedToo() {
         assertEquals(
                 List.of("1850 TELL", "1930 TELL_AGAIN", "1980 HALT"),
                 steps(1400, ms -> ms >= 1840 && ms < 1930, ms -> false));
     }
 
     @Test
-    void aHangUpThatComesBeforeItIsKnownWhatToDoWaitsForThat() throws Exception {
-        // In the first moments of a start it ended the program: a broker restarted while the list moved never came up.
+    void earlyHangUpWaitsForItsAction() throws Exception {
+        // Guards against a SIGHUP that ends the process early in its start: a broker that was restarted while the name
+        // server moved never came up.
         Signals.captureHangUps();
         Signal.raise(new Signal("HUP"));
-        CountDownLatch heard = new CountDownLatch(1);
-        Signals.onHangUp(heard::countDown);
-        assertTrue(heard.await(20, TimeUnit.SECONDS));
+        CountDownLatch actionRun = new CountDownLatch(1);
+        Signals.onHangUp(actionRun::countDown);
+        assertTrue(actionRun.await(20, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/dockshed/peers/UdpPeersTest.java
+++ b/src/test/java/dockshed/peers/UdpPeersTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void messagesComeAndGoWithinTheirLengthAndFromKnownSendersOnly() throws Exception {
+    void onlyShortDatagramsOfKnownSendersAreExchanged() throws Exception {
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
                 DatagramSocket free = socket()) {
