--- a/src/test/java/dockshed/config/ConfFileTest.java
+++ b/src/test/java/dockshed/config/ConfFileTest.java
@@ -27,16 +27,16 @@
 
     @Test
     void valuesHaveUnitsAndAbsentDirectivesTheirDefaults() {
-        Terms t = storm(
+        Terms terms = storm(
                 "# a comment\n\nstorm {   # on\n\treturns \"jitter\"\n longest 1.5s\n retry_share 12.5% # of fresh\n"
                         + "retry_least 30/m\ncalm_after 0.1m\nnotes_every 0s\n}\n");
-        assertEquals(Terms.Returns.JITTER, t.returns());
-        assertEquals(1_500_000, t.longest());
-        assertEquals(0.125, t.retryShare());
-        assertEquals(0.5, t.retryLeast(), 1e-12);
-        assertEquals(6_000_000, t.calmAfter());
-        assertEquals(0, t.notesEvery());
-        assertEquals(Terms.DEFAULTS.hold(), t.hold());
+        assertEquals(Terms.Returns.JITTER, terms.returns());
+        assertEquals(1_500_000, terms.longest());
+        assertEquals(0.125, terms.retryShare());
+        assertEquals(0.5, terms.retryLeast(), 1e-12);
+        assertEquals(6_000_000, terms.calmAfter());
+        assertEquals(0, terms.notesEvery());
+        assertEquals(Terms.DEFAULTS.hold(), terms.hold());
         assertEquals(Terms.DEFAULTS, storm("storm {\n}"));
         assertNull(storm(""));
         assertNull(storm("storm {\nenabled no\n}"));
@@ -79,24 +79,24 @@
 
     @Test
     void garbageAndTruncatedFilesGiveErrorsOrDefaults() throws Exception {
-        String whole = Files.readString(Path.of("deploy/dockshed.conf"));
-        for (int i = 0; i < whole.length(); i++) {
+        String complete = Files.readString(Path.of("deploy/dockshed.conf"));
+        for (int i = 0; i < complete.length(); i++) {
             try {
-                Terms t = storm(whole.substring(0, i));
-                assertNull(t, "cut at " + i + ": a section without its end is never in force");
+                Terms terms = storm(complete.substring(0, i));
+                assertNull(terms, "truncated at " + i + ": a section without its end is not applied");
             } catch (JsonFields.InvalidInputException e) {
                 assertTrue(e.getMessage().startsWith("x.conf:"), e.getMessage());
             }
-            if (whole.startsWith("}", i)) {
+            if (complete.startsWith("}", i)) {
                 break;
             }
         }
         SplittableRandom random = new SplittableRandom(5);
-        String letters = "storm{}\"\\# \n\thold1%ms/0.";
+        String alphabet = "storm{}\"\\# \n\thold1%ms/0.";
         for (int i = 0; i < 5000; i++) {
             StringBuilder text = new StringBuilder();
             for (int n = random.nextInt(40); n > 0; n--) {
-                text.append(letters.charAt(random.nextInt(letters.length())));
+                text.append(alphabet.charAt(random.nextInt(alphabet.length())));
             }
             try {
                 storm(text.toString());
@@ -109,8 +109,8 @@
     @Test
     void filesThatAreNotTextAreRefused(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("c.conf");
-        byte[] cut = "storm { # ü".getBytes(StandardCharsets.UTF_8);
-        Files.write(file, java.util.Arrays.copyOf(cut, cut.length - 1)); // in the midst of a character
+        byte[] truncated = "storm { # ü".getBytes(StandardCharsets.UTF_8);
+        Files.write(file, java.util.Arrays.copyOf(truncated, truncated.length - 1)); // truncated within a character
         assertTrue(assertThrows(JsonFields.InvalidInputException.class, () -> OperatorConfig.load(file.toString()))
                 .getMessage()
                 .contains("UTF-8"));
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the program is told: read, checked, and complained of by the key at fault. */
+/** Reading and checking of the configuration files; errors name the key concerned. */
 public class ConfigTest {
-    /** A whole configuration; the tests of the program use it too. */
+    /** A complete configuration, which the tests of the program use too. */
     public static final String COMPLETE_CONFIG = """
             {"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
             "sockets":512},"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:7946"],"peers_all":"127.0.0.1:7947",
@@ -37,40 +37,42 @@
 
     @Test
     void completeFileIsRead() {
-        Config c = read(COMPLETE_CONFIG);
-        assertEquals("n3", c.name());
-        assertEquals(0x8c1f30d27a5be964L, c.seed());
-        assertEquals(512, c.maxSockets());
-        assertEquals(9, c.nameServer().getPort());
-        assertEquals(7947, c.allPeersAddress().getPort());
-        assertEquals(20_000_000, c.idleTimeout());
-        assertEquals(List.of("busy_reqs", "x0"), c.reportFields());
-        assertEquals(1_000_000, c.settings().rules().drainGrace());
-        assertEquals(1, c.settings().classes().get(0).floor());
+        Config config = read(COMPLETE_CONFIG);
+        assertEquals("n3", config.name());
+        assertEquals(0x8c1f30d27a5be964L, config.seed());
+        assertEquals(512, config.maxSockets());
+        assertEquals(9, config.nameServer().getPort());
+        assertEquals(7947, config.allPeersAddress().getPort());
+        assertEquals(20_000_000, config.idleTimeout());
+        assertEquals(List.of("busy_reqs", "x0"), config.reportFields());
+        assertEquals(1_000_000, config.settings().rules().drainGrace());
+        assertEquals(1, config.settings().classes().get(0).floor());
         assertEquals(
                 State.DRAINING,
-                c.knownServers().get(1).servers().get(0).server().state());
+                config.knownServers().get(1).servers().get(0).server().state());
         assertEquals(
-                1_500_000, c.knownServers().get(1).servers().get(0).server().upSince());
-        assertEquals(ListScope.DISK, Config.scope(c.knownServers().get(0), true));
-        assertEquals(ListScope.CHANGES, Config.scope(c.knownServers().get(1), false));
-        assertEquals(ListScope.SNAPSHOT, Config.scope(c.knownServers().get(0), false));
+                1_500_000,
+                config.knownServers().get(1).servers().get(0).server().upSince());
+        assertEquals(ListScope.DISK, Config.scope(config.knownServers().get(0), true));
+        assertEquals(ListScope.CHANGES, Config.scope(config.knownServers().get(1), false));
+        assertEquals(ListScope.SNAPSHOT, Config.scope(config.knownServers().get(0), false));
     }
 
     @Test
     void absentMembersHaveDefaultsAndTheEnvironmentOverrides() {
-        String less = COMPLETE_CONFIG
+        String withoutOptional = COMPLETE_CONFIG
                 .replace("\"peer_listen\":\"127.0.0.1:0\",", "")
                 .replace("\"peers_all\":\"127.0.0.1:7947\",", "")
                 .replace(",\"idle_close\":20000.0", "")
                 .replace("\"limits\":{\"cores\":1.0,\"memory_mb\":192,\n\"sockets\":512},", "");
-        Config c = Config.read(Config.parse(less, "config"), Map.of("EDGE_NAME", "n9", "EDGE_LISTEN", "127.0.0.2:80"));
-        assertEquals("n9", c.name());
-        assertEquals("127.0.0.2", c.listen().getHostString());
-        assertNull(c.peerListen());
-        assertNull(c.allPeersAddress());
-        assertEquals(30_000_000, c.idleTimeout());
-        assertEquals(1024, c.maxSockets());
+        Config config = Config.read(
+                Config.parse(withoutOptional, "config"), Map.of("EDGE_NAME", "n9", "EDGE_LISTEN", "127.0.0.2:80"));
+        assertEquals("n9", config.name());
+        assertEquals("127.0.0.2", config.listen().getHostString());
+        assertNull(config.peerListen());
+        assertNull(config.allPeersAddress());
+        assertEquals(30_000_000, config.idleTimeout());
+        assertEquals(1024, config.maxSockets());
     }
 
     private static void assertErrorNames(String from, String to, String key) {
@@ -113,19 +115,19 @@
 
     @Test
     void classWithoutPointsIsReadAndMayDifferInEachValue() {
-        // A customer's class that earns nothing ended the start.
-        for (String none : List.of("", ",\"points\":0")) {
-            Config c = read(COMPLETE_CONFIG
+        // Guards against a broker that does not start: a customer's configuration has a class without points.
+        for (String points : List.of("", ",\"points\":0")) {
+            Config config = read(COMPLETE_CONFIG
                     .replace(
                             "\"points\":1.0}",
                             "\"points\":7.0},{\"deadline\":900.0,\"effect\":\"idempotent\","
-                                    + "\"goal_time\":300.0,\"name\":\"odd one\"" + none + "}")
+                                    + "\"goal_time\":300.0,\"name\":\"odd one\"" + points + "}")
                     .replace("\"class_scale\":[1]", "\"class_scale\":[1,0.3]")
                     .replace("\"class_seats\":[0]", "\"class_seats\":[0,9]")
                     .replace("\"lowest_rung\":[1]", "\"lowest_rung\":[1,0]")
                     .replace("\"top_by_class\":[1]", "\"top_by_class\":[1,9]"));
-            Director.SessionClass odd = c.settings().classes().get(1);
-            assertTrue(odd.worth() > 0 && odd.worth() < 1e-5 && odd.top() == 1, odd.toString());
+            Director.SessionClass unpaid = config.settings().classes().get(1);
+            assertTrue(unpaid.worth() > 0 && unpaid.worth() < 1e-5 && unpaid.top() == 1, unpaid.toString());
         }
     }
 
@@ -135,11 +137,11 @@
 
     @Test
     void hlsFileIsReadAndChecked() {
-        HlsConfig h = hls("{\"listen\":\"127.0.0.1:8080\",\"eureka\":{\"at\":\"127.0.0.1:8761\",\"app\":\"B\"},"
+        HlsConfig hlsConfig = hls("{\"listen\":\"127.0.0.1:8080\",\"eureka\":{\"at\":\"127.0.0.1:8761\",\"app\":\"B\"},"
                 + "\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\",\"cell\":2}]}");
-        assertEquals(new HlsConfig.Eureka(h.eureka().address(), "/eureka", "B", 5_000_000), h.eureka());
-        assertEquals(20_000_000, h.idleTimeout());
-        assertEquals(State.UP, h.servers().get(0).server().state());
+        assertEquals(new HlsConfig.Eureka(hlsConfig.eureka().address(), "/eureka", "B", 5_000_000), hlsConfig.eureka());
+        assertEquals(20_000_000, hlsConfig.idleTimeout());
+        assertEquals(State.UP, hlsConfig.servers().get(0).server().state());
         for (Map.Entry<String, String> bad : Map.of(
                         "{}",
                         "servers",
@@ -158,18 +160,22 @@
 
     @Test
     void allowedButRarelyIntendedValuesGiveWarnings() {
-        // A server without a flavor, before an uplink that carries less than its link, took one session and no more.
-        HlsConfig h = hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
-                + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
-        assertEquals(1, h.warnings(read(COMPLETE_CONFIG).settings()).size());
+        // Guards against mistakes that pass unnoticed: a server without a flavor, behind an uplink smaller than its
+        // link,
+        // was given a single session.
+        HlsConfig hlsConfig =
+                hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
+                        + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
+        assertEquals(1, hlsConfig.warnings(read(COMPLETE_CONFIG).settings()).size());
         String link = COMPLETE_CONFIG.replace("\"weight_kb\":9000.0", "\"weight_kb\":90000.0");
-        List<String> both = h.warnings(read(link).settings());
+        List<String> both = hlsConfig.warnings(read(link).settings());
         assertEquals(2, both.size());
         assertTrue(both.get(0).contains("server a") && both.get(1).contains("uplink_kb"), both.toString());
-        // No uplink at all is no doubt.
+        // No uplink at all gives no warning.
         assertEquals(
                 1,
-                h.warnings(read(link.replace("\"uplink_kb\":9000.0", "\"uplink_kb\":0"))
+                hlsConfig
+                        .warnings(read(link.replace("\"uplink_kb\":9000.0", "\"uplink_kb\":0"))
                                 .settings())
                         .size());
     }
--- a/src/test/java/dockshed/config/DocExamplesTest.java
+++ b/src/test/java/dockshed/config/DocExamplesTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The fenced examples of the pages: operators' files are read as the program reads them, and the fields of log lines have
- * to be written somewhere in the program.
+ * The fenced examples of the documentation: operators' files are read by the program's own parser, and the fields of
+ * log lines have to exist in the source of the class named.
  */
 class DocExamplesTest {
     private record Example(Path page, int line, String kind, String text) {
@@ -54,20 +54,21 @@
 
     @Test
     void everyFencedExampleIsOfAKindThatIsChecked() throws IOException {
-        for (Example e : examples()) {
+        for (Example example : examples()) {
             assertTrue(
-                    Set.of("conf", "log").contains(e.kind()),
-                    e + ": nothing checks a block of kind '" + e.kind() + "'");
+                    Set.of("conf", "log").contains(example.kind()),
+                    example + ": nothing checks a block of kind '" + example.kind() + "'");
         }
     }
 
     @Test
     void everyOperatorsFileIsReadWithoutErrors() throws IOException {
         int seen = 0;
-        for (Example e : examples()) {
-            if (e.kind().equals("conf")) {
-                // Read under a name with the lines of the page, so that a fault names its place there.
-                OperatorConfig.read(ConfFile.read(e.page().toString(), "\n".repeat(e.line()) + e.text()));
+        for (Example example : examples()) {
+            if (example.kind().equals("conf")) {
+                // Read with the line numbers of the page, so that an error names its place there.
+                OperatorConfig.read(
+                        ConfFile.read(example.page().toString(), "\n".repeat(example.line()) + example.text()));
                 seen++;
             }
         }
@@ -79,18 +80,19 @@
         Pattern line = Pattern.compile("(?:INFO|WARN|ERROR|DEBUG) (\\w+) - (.*)");
         Pattern field = Pattern.compile("(\\w+)=");
         List<String> missing = new ArrayList<>();
-        for (Example e : examples()) {
-            if (!e.kind().equals("log")) {
+        for (Example example : examples()) {
+            if (!example.kind().equals("log")) {
                 continue;
             }
-            for (String text : e.text().strip().split("\n")) {
-                Matcher m = line.matcher(text);
-                assertTrue(m.matches(), e + ": no log line: " + text);
-                String source = source(m.group(1));
-                Matcher f = field.matcher(m.group(2));
-                while (f.find()) {
-                    if (!source.contains("\"" + f.group(1) + "\"") && !source.contains(f.group(1) + "={}")) {
-                        missing.add(e + ": " + m.group(1) + " writes no " + f.group(1));
+            for (String text : example.text().strip().split("\n")) {
+                Matcher logLine = line.matcher(text);
+                assertTrue(logLine.matches(), example + ": no log line: " + text);
+                String source = source(logLine.group(1));
+                Matcher fieldMatcher = field.matcher(logLine.group(2));
+                while (fieldMatcher.find()) {
+                    if (!source.contains("\"" + fieldMatcher.group(1) + "\"")
+                            && !source.contains(fieldMatcher.group(1) + "={}")) {
+                        missing.add(example + ": " + logLine.group(1) + " writes no " + fieldMatcher.group(1));
                     }
                 }
             }
@@ -107,8 +109,8 @@
 
     @Test
     void theTableOfDirectivesHasTheDefaults() throws IOException {
-        OperatorConfig whole = OperatorConfig.load("deploy/dockshed.conf");
-        assertEquals(dockshed.fleet.FleetSettings.DEFAULTS, whole.fleet());
+        OperatorConfig deployed = OperatorConfig.load("deploy/dockshed.conf");
+        assertEquals(dockshed.fleet.FleetSettings.DEFAULTS, deployed.fleet());
         String page = Files.readString(Path.of("docs/ops/fleet.md"));
         Matcher row = Pattern.compile("\\| `(\\w+)` \\| [^|]+ \\| ([^| ]+) \\|").matcher(page);
         StringBuilder conf = new StringBuilder("fleet {\n");
--- a/src/test/java/dockshed/eureka/EurekaRegistryTest.java
+++ b/src/test/java/dockshed/eureka/EurekaRegistryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Eureka's answers, whole and by deltas. */
+/** Full lists and deltas from Eureka. */
 class EurekaRegistryTest {
     static String instance(String id, String status, String action) {
         return "{\"instanceId\":\"" + id + "\",\"app\":\"BOXES\",\"ipAddr\":\"127.0.0.1\",\"status\":\"" + status
@@ -22,56 +22,57 @@
                 + "\",\"application\":[{\"name\":\"BOXES\",\"instance\":[" + String.join(",", instances) + "]}]}}";
     }
 
-    private static List<String> states(EurekaRegistry r) throws EurekaRegistry.UnusableAnswerException {
-        return r.servers("boxes").stream()
-                .map(l -> l.server().id() + " " + l.server().state())
+    private static List<String> states(EurekaRegistry registry) throws EurekaRegistry.UnusableAnswerException {
+        return registry.servers("boxes").stream()
+                .map(listed -> listed.server().id() + " " + listed.server().state())
                 .toList();
     }
 
     @Test
     void fullListIsRead() throws Exception {
-        EurekaRegistry r = new EurekaRegistry();
-        r.applyFull(
+        EurekaRegistry registry = new EurekaRegistry();
+        registry.applyFull(
                 apps("OUT_OF_SERVICE_1_UP_1_", instance("a", "UP", "ADDED"), instance("b", "OUT_OF_SERVICE", "ADDED")));
-        ListedServer a = r.servers("BOXES").get(0);
+        ListedServer first = registry.servers("BOXES").get(0);
         assertEquals(
                 "Server[id=a, zone=east, kind=k, cell=2, state=UP, weight=1.5, upSince=5000]",
-                a.server().toString());
-        assertEquals(9001, a.address().getPort());
-        assertEquals(State.DRAINING, r.servers("BOXES").get(1).server().state());
-        assertEquals(List.of(), r.servers("OTHERS"));
+                first.server().toString());
+        assertEquals(9001, first.address().getPort());
+        assertEquals(State.DRAINING, registry.servers("BOXES").get(1).server().state());
+        assertEquals(List.of(), registry.servers("OTHERS"));
     }
 
     @Test
     void listOfOneMayBeASingleObject() throws Exception {
-        EurekaRegistry r = new EurekaRegistry();
-        r.applyFull("{\"applications\":{\"apps__hashcode\":\"UP_1_\",\"application\":{\"name\":\"BOXES\",\"instance\":"
-                + instance("a", "UP", "ADDED") + "}}}");
-        assertEquals(List.of("a UP"), states(r));
-        r.applyFull("{\"applications\":{\"apps__hashcode\":\"\",\"application\":[]}}");
-        assertEquals(List.of(), states(r));
+        EurekaRegistry registry = new EurekaRegistry();
+        registry.applyFull(
+                "{\"applications\":{\"apps__hashcode\":\"UP_1_\",\"application\":{\"name\":\"BOXES\",\"instance\":"
+                        + instance("a", "UP", "ADDED") + "}}}");
+        assertEquals(List.of("a UP"), states(registry));
+        registry.applyFull("{\"applications\":{\"apps__hashcode\":\"\",\"application\":[]}}");
+        assertEquals(List.of(), states(registry));
     }
 
     @Test
     void deltasAddChangeAndRemove() throws Exception {
-        EurekaRegistry r = new EurekaRegistry();
-        r.applyFull(apps("UP_2_", instance("a", "UP", "ADDED"), instance("b", "UP", "ADDED")));
-        r.applyDelta(apps(
+        EurekaRegistry registry = new EurekaRegistry();
+        registry.applyFull(apps("UP_2_", instance("a", "UP", "ADDED"), instance("b", "UP", "ADDED")));
+        registry.applyDelta(apps(
                 "DOWN_1_UP_1_",
                 instance("a", "", "DELETED"),
                 instance("b", "DOWN", "MODIFIED"),
                 instance("c", "UP", "ADDED")));
-        assertEquals(List.of("b DRAINING", "c UP"), states(r));
+        assertEquals(List.of("b DRAINING", "c UP"), states(registry));
     }
 
     @Test
     void deltaWithAWrongHashCodeChangesNothing() throws Exception {
-        EurekaRegistry r = new EurekaRegistry();
-        r.applyFull(apps("UP_1_", instance("a", "UP", "ADDED")));
+        EurekaRegistry registry = new EurekaRegistry();
+        registry.applyFull(apps("UP_1_", instance("a", "UP", "ADDED")));
         assertThrows(
                 EurekaRegistry.UnusableAnswerException.class,
-                () -> r.applyDelta(apps("UP_3_", instance("b", "UP", "ADDED"))));
-        assertEquals(List.of("a UP"), states(r));
+                () -> registry.applyDelta(apps("UP_3_", instance("b", "UP", "ADDED"))));
+        assertEquals(List.of("a UP"), states(registry));
     }
 
     @Test
@@ -80,13 +81,14 @@
                 List.of("", "no", "[]", "{}", "{\"applications\":3}", "{\"applications\":{\"application\":[3]}}")) {
             assertThrows(EurekaRegistry.UnusableAnswerException.class, () -> new EurekaRegistry().applyFull(bad), bad);
         }
-        EurekaRegistry r = new EurekaRegistry();
+        EurekaRegistry registry = new EurekaRegistry();
         assertThrows(
                 EurekaRegistry.UnusableAnswerException.class,
                 () -> {
-                    r.applyFull(apps("UP_1_", instance("a", "UP", "ADDED").replace("127.0.0.1", "some.host")));
-                    r.servers("BOXES");
+                    registry.applyFull(
+                            apps("UP_1_", instance("a", "UP", "ADDED").replace("127.0.0.1", "some.host")));
+                    registry.servers("BOXES");
                 },
-                "an address, not a name that the system would have to resolve");
+                "only an IP address is accepted: the system would have to resolve a name");
     }
 }
--- a/src/test/java/dockshed/load/LoadReporterTest.java
+++ b/src/test/java/dockshed/load/LoadReporterTest.java
@@ -27,20 +27,20 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Brokers with the real module before boxes that report nothing, on a virtual clock. */
+/** Brokers with the real module and edge servers that do not report their load, on a virtual clock. */
 class LoadReporterTest {
     private static final long MILLISECOND_US = 1000;
     private static final long SECOND_US = 1_000_000;
     private static final double LINK_KB_S = 90_000;
     private static final double HIGHEST_RATE_KB_S = 900;
 
-    private final Map<String, Double> demandByServer = new HashMap<>(); // kB a second by box, of all brokers
+    private final Map<String, Double> demandByServer = new HashMap<>(); // kB a second of all brokers
     private final List<Node> nodes = new ArrayList<>();
     private long now = 1_000 * SECOND_US;
 
-    /** One broker: its front only counts, its boxes answer at once. */
+    /** One broker, whose front only counts and whose edge servers answer after 5 ms. */
     private final class Node implements Front, ServerAdapter {
-        final TimerQueue deadlines = new TimerQueue(at -> {});
+        final TimerQueue timers = new TimerQueue(at -> {});
         final Map<String, Integer> renditions = new HashMap<>();
         final Map<String, String> serverBySession = new HashMap<>();
         final Settings settings;
@@ -50,17 +50,17 @@
         int refused;
         int atHighestRendition;
 
-        Node(int me, int of, int boxes, ListScope scope, String kind, int streams, double uplink) {
+        Node(int number, int brokers, int servers, ListScope scope, String kind, int streams, double uplink) {
             settings = new Settings(
-                    me,
-                    of,
+                    number,
+                    brokers,
                     "east",
                     List.of(new SessionClass("lesson", Effect.SAFE, SECOND_US, 3 * SECOND_US, 1, 1, 0, 1, 0)),
                     List.of(new ServerKind("std", streams)),
                     new Ladder(
                             List.of(200.0, HIGHEST_RATE_KB_S),
                             List.of(.2, 1.0),
-                            boxes * LINK_KB_S,
+                            servers * LINK_KB_S,
                             LINK_KB_S,
                             uplink,
                             1,
@@ -73,11 +73,11 @@
                     new Rules(SECOND_US, 0.4, 12 * SECOND_US, 2.5, 2 * SECOND_US, 0, 0, 0),
                     new Prices(0, 0, 0, 0),
                     List.of());
-            broker = new Broker(settings, a -> new Choice(settings, 7 + me, a), m -> {}, deadlines);
-            loads = new LoadReporter(broker, deadlines, settings);
+            broker = new Broker(settings, a -> new Choice(settings, 7 + number, a), m -> {}, timers);
+            loads = new LoadReporter(broker, timers, settings);
             List<Server> list = new ArrayList<>();
-            for (int i = 0; i < boxes; i++) {
-                list.add(new Server("box" + i, "east", kind, i % 3, State.UP, 1, 0));
+            for (int index = 0; index < servers; index++) {
+                list.add(new Server("box" + index, "east", kind, index % 3, State.UP, 1, 0));
             }
             loads.updateServers(list);
             broker.serversChanged(now, "eureka", scope, list);
@@ -88,16 +88,16 @@
             return settings;
         }
 
-        void request(int i) {
+        void request(int index) {
             broker.request(
                     now,
                     0,
                     this,
                     this,
                     new SessionRequest(
-                            i + "@" + nodes.indexOf(this),
+                            index + "@" + nodes.indexOf(this),
                             "lesson",
-                            "v" + i,
+                            "v" + index,
                             "t",
                             3 * SECOND_US,
                             60 * SECOND_US,
@@ -110,18 +110,19 @@
                             ""));
         }
 
-        private void setRate(String name, String server, int rung) {
-            Integer was = renditions.put(name, rung);
+        private void setRate(String name, String server, int rendition) {
+            Integer previous = renditions.put(name, rendition);
             demandByServer.merge(
                     server,
-                    (rung > 0 ? HIGHEST_RATE_KB_S : 200) - (was == null ? 0 : was > 0 ? HIGHEST_RATE_KB_S : 200),
+                    (rendition > 0 ? HIGHEST_RATE_KB_S : 200)
+                            - (previous == null ? 0 : previous > 0 ? HIGHEST_RATE_KB_S : 200),
                     Double::sum);
-            atHighestRendition += (rung > 0 ? 1 : 0) - (was != null && was > 0 ? 1 : 0);
+            atHighestRendition += (rendition > 0 ? 1 : 0) - (previous != null && previous > 0 ? 1 : 0);
         }
 
         @Override
         public void setUp(String server, SetUp s) {
-            deadlines.schedule(now + 5 * MILLISECOND_US, t -> {
+            timers.schedule(now + 5 * MILLISECOND_US, t -> {
                 broker.setUpAnswered(t, server, s.name(), "");
                 serverBySession.put(s.name(), server);
                 setRate(s.name(), server, s.highestRendition());
@@ -130,9 +131,9 @@
         }
 
         @Override
-        public void setRendition(String server, String name, int rung) {
-            loads.renditionChanged(now, name, rung);
-            setRate(name, server, rung);
+        public void setRendition(String server, String name, int rendition) {
+            loads.renditionChanged(now, name, rendition);
+            setRate(name, server, rendition);
         }
 
         @Override
@@ -179,85 +180,92 @@
         long end = now + micros;
         for (long next = nextTimer(); next <= end; next = nextTimer()) {
             now = Math.max(now, next);
-            nodes.forEach(n -> n.broker.runDueTimers(now));
+            nodes.forEach(node -> node.broker.runDueTimers(now));
         }
         now = end;
     }
 
     private long nextTimer() {
-        return nodes.stream().mapToLong(n -> n.deadlines.nextDue()).min().orElse(TimerQueue.NEVER);
+        return nodes.stream().mapToLong(node -> node.timers.nextDue()).min().orElse(TimerQueue.NEVER);
     }
 
-    /** Viewers 50 ms apart, in turn at each broker. */
+    /** Sends requests 50 ms apart, to each broker in turn. */
     private void requestSessions(int viewers) {
-        for (int i = 0; i < viewers; i++) {
-            nodes.get(i % nodes.size()).request(viewers * 1000 + i);
+        for (int index = 0; index < viewers; index++) {
+            nodes.get(index % nodes.size()).request(viewers * 1000 + index);
             advanceTime(50 * MILLISECOND_US);
         }
     }
 
     @Test
     void oneBrokerServes150ViewersOnFourServersWithoutReports() {
-        // Guards against a link that nobody reports on being held for nearly full: 4 of 150 were served.
-        Node n = new Node(0, 1, 4, ListScope.SNAPSHOT, "std", 200, 4 * LINK_KB_S);
+        // Guards against refusals where no load is reported: such a link counted as nearly full, and only 4 of 150
+        // viewers
+        // were served.
+        Node node = new Node(0, 1, 4, ListScope.SNAPSHOT, "std", 200, 4 * LINK_KB_S);
         requestSessions(150);
-        assertEquals(150, n.served);
-        assertTrue(n.atHighestRendition >= 140, "at the top rung: " + n.atHighestRendition);
+        assertEquals(150, node.served);
+        assertTrue(node.atHighestRendition >= 140, "at the highest rendition: " + node.atHighestRendition);
     }
 
     @Test
     void oneBrokerFillsAServerAtTheHighestRenditionAndNoFurther() {
-        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
+        Node node = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
         requestSessions(150);
         advanceTime(10 * SECOND_US);
-        assertTrue(n.atHighestRendition * HIGHEST_RATE_KB_S >= 0.85 * LINK_KB_S, "top rung: " + n.atHighestRendition);
-        assertTrue(demandByServer.get("box0") <= LINK_KB_S, "asked: " + demandByServer);
-        assertTrue(n.refused > 0 || n.atHighestRendition < n.served, "beyond it some are refused or step down");
+        assertTrue(
+                node.atHighestRendition * HIGHEST_RATE_KB_S >= 0.85 * LINK_KB_S,
+                "highest rendition: " + node.atHighestRendition);
+        assertTrue(demandByServer.get("box0") <= LINK_KB_S, "demand: " + demandByServer);
+        assertTrue(
+                node.refused > 0 || node.atHighestRendition < node.served,
+                "beyond that, viewers are refused or sessions reduced");
     }
 
     @Test
     void twoBrokersTogetherDoNotOverloadAServer() {
         new Node(0, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
         new Node(1, 2, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
-        for (int i = 0; i < 400; i++) {
-            nodes.get(i % 2).request(i);
+        for (int index = 0; index < 400; index++) {
+            nodes.get(index % 2).request(index);
             advanceTime(20 * MILLISECOND_US);
             assertTrue(
-                    demandByServer.getOrDefault("box0", 0.0) <= 1.1 * LINK_KB_S, "after " + i + ": " + demandByServer);
+                    demandByServer.getOrDefault("box0", 0.0) <= 1.1 * LINK_KB_S,
+                    "after " + index + ": " + demandByServer);
         }
-        assertTrue(demandByServer.get("box0") >= 0.7 * LINK_KB_S, "asked: " + demandByServer);
+        assertTrue(demandByServer.get("box0") >= 0.7 * LINK_KB_S, "demand: " + demandByServer);
     }
 
     @Test
     void listFromBeforeARestartIsPacedUntilItsServersMustBeWarm() {
-        // A box on such a list may have started just now (rule 4): its places come over the warm-up.
-        Node n = new Node(0, 1, 4, ListScope.DISK, "std", 200, 4 * LINK_KB_S);
+        // A server on such a list may have just started (rule 4): it is only filled in the course of the warm-up.
+        Node node = new Node(0, 1, 4, ListScope.DISK, "std", 200, 4 * LINK_KB_S);
         requestSessions(150);
-        assertTrue(n.served >= 120, "served: " + n.served);
+        assertTrue(node.served >= 120, "served: " + node.served);
         advanceTime(12 * SECOND_US);
-        n.served = 0;
+        node.served = 0;
         requestSessions(50);
-        assertEquals(50, n.served);
+        assertEquals(50, node.served);
     }
 
     @Test
     void serverOfAnUnknownKindServesMoreThanOneStream() {
-        // Guards against a file that names no flavor: such a box took one session and no more.
-        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "", 200, LINK_KB_S * 2);
+        // Guards against a configuration file without a flavor: such a server was given a single session.
+        Node node = new Node(0, 1, 1, ListScope.SNAPSHOT, "", 200, LINK_KB_S * 2);
         requestSessions(60);
-        assertEquals(60, n.served);
+        assertEquals(60, node.served);
     }
 
     @Test
     void reportOfAServerCountsUntilItExpires() {
-        Node n = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
-        n.loads.loadHeaderReceived(now, "box0", "TEXT cpu_utilization=0.1, named_metrics.link=0.95");
+        Node node = new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 200, LINK_KB_S * 2);
+        node.loads.loadHeaderReceived(now, "box0", "TEXT cpu_utilization=0.1, named_metrics.link=0.95");
         requestSessions(60);
-        assertTrue(n.refused > 0, "the box said that it is full");
+        assertTrue(node.refused > 0, "the server reported that it is full");
         advanceTime(EstimatedLoads.REPORT_VALIDITY_US + SECOND_US);
-        n.refused = 0;
+        node.refused = 0;
         requestSessions(20);
-        assertEquals(0, n.refused, "and said no more for long");
+        assertEquals(0, node.refused, "the report has expired");
     }
 
     @Test
@@ -266,9 +274,9 @@
                 new EstimatedLoads(new Node(0, 1, 1, ListScope.SNAPSHOT, "std", 5, LINK_KB_S).settings());
         loads.updateServers(List.of(new Server("a", "east", "std", 0, State.UP, 1, 0)));
         loads.sessionStarted(now, "a", "s", "lesson", 1);
-        loads.sessionStarted(now, "a", "s", "lesson", 1); // told twice: counted once
+        loads.sessionStarted(now, "a", "s", "lesson", 1); // reported twice, counted once
         assertEquals(HIGHEST_RATE_KB_S / LINK_KB_S, loads.linkShare(now, "a", now), 1e-9);
-        assertEquals(0, loads.linkShare(now, "a", now - SECOND_US), 1e-9, "a second ago nothing was asked");
+        assertEquals(0, loads.linkShare(now, "a", now - SECOND_US), 1e-9, "no demand a second ago");
         loads.renditionChanged(now + SECOND_US, "s", 0);
         assertEquals(200 / LINK_KB_S, loads.linkShare(now + SECOND_US, "a", now + SECOND_US), 1e-9);
         loads.sessionEnded(now + SECOND_US, "s");
--- a/src/test/java/dockshed/names/DnsDiscoveryTest.java
+++ b/src/test/java/dockshed/names/DnsDiscoveryTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Asking a name server over UDP; the test itself is the name server. */
+/** Queries to a name server over UDP; the test itself plays the name server. */
 class DnsDiscoveryTest {
     private final Net net = new Net();
-    private final BlockingQueue<String> nextChange = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> changes = new LinkedBlockingQueue<>();
     private DatagramSocket server;
     private DatagramPacket lastQuery;
     private DnsDiscovery discovery;
@@ -31,15 +31,15 @@
         server.setSoTimeout(20_000);
         net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
-            TimerQueue deadlines = new TimerQueue(clock::wakeAt);
-            clock.onWakeUp(deadlines::runDue);
+            TimerQueue timers = new TimerQueue(clock::wakeAt);
+            clock.onWakeUp(timers::runDue);
             discovery = new DnsDiscovery(
-                    (scope, servers, addresses) -> nextChange.add(scope + " "
+                    (scope, servers, addresses) -> changes.add(scope + " "
                             + servers.stream()
                                     .map(s -> s.id() + " " + s.state())
                                     .toList() + " " + addresses.keySet()),
                     clock,
-                    deadlines,
+                    timers,
                     new InetSocketAddress("127.0.0.1", server.getLocalPort()),
                     1);
             discovery.start(net, new InetSocketAddress("127.0.0.1", 0));
@@ -53,7 +53,7 @@
         server.close();
     }
 
-    /** The next query; its number. */
+    /** Receives the next query and returns its id. */
     private int query() throws Exception {
         lastQuery = new DatagramPacket(new byte[512], 512);
         server.receive(lastQuery);
@@ -65,22 +65,22 @@
     }
 
     private String nextChange() throws Exception {
-        return nextChange.poll(20, TimeUnit.SECONDS);
+        return changes.poll(20, TimeUnit.SECONDS);
     }
 
     private static AnswerBuilder list(int id, int serial, String... ids) {
-        AnswerBuilder p = new AnswerBuilder(id, DnsDiscovery.SERVICE_NAME, Dns.SRV);
-        for (String s : ids) {
-            p.srv(s + ".east.hosts", 0, 10, 80);
+        AnswerBuilder answer = new AnswerBuilder(id, DnsDiscovery.SERVICE_NAME, Dns.SRV);
+        for (String serverId : ids) {
+            answer.srv(serverId + ".east.hosts", 0, 10, 80);
         }
-        p.soa(serial);
-        for (String s : ids) {
-            p.a(s + ".east.hosts", 9).txt(s + ".east.hosts", "kind=k", "cell=1", "started=0");
+        answer.soa(serial);
+        for (String serverId : ids) {
+            answer.a(serverId + ".east.hosts", 9).txt(serverId + ".east.hosts", "kind=k", "cell=1", "started=0");
         }
-        return p;
+        return answer;
     }
 
-    /** The name server has another address from now on; returns what was its socket. */
+    /** Moves the name server to another address; returns its former socket. */
     private DatagramSocket moveNameServer() throws Exception {
         DatagramSocket old = server;
         server = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -135,9 +135,9 @@
                 .bytes());
         for (int i = 0; i < 2; i++) {
             int id = query();
-            boolean text = lastQuery.getData()[lastQuery.getLength() - 3] == Dns.TXT;
-            AnswerBuilder p = new AnswerBuilder(id, "a.east.hosts", text ? Dns.TXT : Dns.A);
-            answer((text ? p.txt("a.east.hosts", "cell=2") : p.a("a.east.hosts", 7)).bytes());
+            boolean textAsked = lastQuery.getData()[lastQuery.getLength() - 3] == Dns.TXT;
+            AnswerBuilder answer = new AnswerBuilder(id, "a.east.hosts", textAsked ? Dns.TXT : Dns.A);
+            answer((textAsked ? answer.txt("a.east.hosts", "cell=2") : answer.a("a.east.hosts", 7)).bytes());
         }
         assertEquals("CHANGES [a DRAINING] [a]", nextChange());
     }
@@ -148,7 +148,7 @@
         assertEquals("CHANGES [a UP] [a]", nextChange());
         DatagramSocket old = moveNameServer();
         old.close();
-        answer(list(query(), 6, "old").bytes()); // older than what is known
+        answer(list(query(), 6, "old").bytes()); // older than the current list
         answer(list(query(), 8, "a", "b").bytes());
         assertEquals("CHANGES [b UP] [a, b]", nextChange());
     }
@@ -157,17 +157,17 @@
     void formerNameServerRemovesNoServerByALateAnswer() throws Exception {
         answer(list(query(), 1, "a", "b").bytes());
         assertEquals("CHANGES [a UP, b UP] [a, b]", nextChange());
-        answer(list(query(), 2, "a").truncated(8000)); // b is left out: its address is asked for
-        int out = query();
+        answer(list(query(), 2, "a").truncated(8000)); // b is missing: its address is asked for
+        int queryId = query();
         while (lastQuery.getData()[lastQuery.getLength() - 3] != Dns.A) {
-            out = query();
+            queryId = query();
         }
-        DatagramPacket asked = lastQuery;
+        DatagramPacket addressQuery = lastQuery;
         DatagramSocket old = moveNameServer();
-        byte[] none = new AnswerBuilder(out, "b.east.hosts", Dns.A)
+        byte[] nxdomain = new AnswerBuilder(queryId, "b.east.hosts", Dns.A)
                 .responseCode(Dns.NXDOMAIN)
                 .bytes();
-        old.send(new DatagramPacket(none, none.length, asked.getSocketAddress()));
+        old.send(new DatagramPacket(nxdomain, nxdomain.length, addressQuery.getSocketAddress()));
         old.close();
         answer(list(query(), 3, "a", "b", "c").bytes());
         assertEquals("CHANGES [c UP] [a, b, c]", nextChange());
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -20,9 +20,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The name server's answers, and what a list changes. */
+/** Parsing of DNS answers, and the changes that a list makes. */
 class DnsTest {
-    /** Lays out an answer as a name server does, names compressed to pointers where they repeat. */
+    /** Encodes an answer as a name server does, with compression pointers for repeated names. */
     static final class AnswerBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
         private final Map<String, Integer> offsetByName = new HashMap<>();
@@ -84,9 +84,9 @@
 
         AnswerBuilder txt(String name, String... texts) {
             return record(name, Dns.TXT, () -> {
-                for (String t : texts) {
-                    out.write(t.length());
-                    out.writeBytes(t.getBytes(StandardCharsets.US_ASCII));
+                for (String text : texts) {
+                    out.write(text.length());
+                    out.writeBytes(text.getBytes(StandardCharsets.US_ASCII));
                 }
             });
         }
@@ -114,7 +114,7 @@
             return this;
         }
 
-        /** Marked as cut, and so many bytes long at most. */
+        /** The answer marked as truncated, cut off after {@code limit} bytes. */
         byte[] truncated(int limit) {
             flags |= 0x0200;
             return Arrays.copyOf(bytes(), Math.min(limit, bytes().length));
@@ -166,29 +166,29 @@
                                 new Server("s-2", "west", "big", 3, State.DRAINING, 1.5, 1_500_500),
                                 new InetSocketAddress("127.0.0.10", 5081))),
                 list.all());
-        assertNull(survey.nextQuestion(0), "nothing is lacking");
+        assertNull(survey.nextQuestion(0), "no record is missing");
     }
 
     @Test
     void truncatedMessagesAndPointerLoopsAreMalformed() {
-        byte[] whole = exampleAnswer();
-        for (int i = 0; i < whole.length; i++) {
-            byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(cut), "cut at " + i);
+        byte[] complete = exampleAnswer();
+        for (int i = 0; i < complete.length; i++) {
+            byte[] truncated = Arrays.copyOf(complete, i);
+            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(truncated), "cut at " + i);
         }
-        byte[] loop = new AnswerBuilder(1, "a", Dns.A).bytes();
-        loop[12] = (byte) 0xc0;
-        loop[13] = 12;
-        assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(loop));
+        byte[] pointerLoop = new AnswerBuilder(1, "a", Dns.A).bytes();
+        pointerLoop[12] = (byte) 0xc0;
+        pointerLoop[13] = 12;
+        assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(pointerLoop));
         assertThrows(
                 Dns.MalformedMessageException.class, () -> Dns.parse(Dns.query(1, "a", Dns.A)), "a query is no answer");
     }
 
     @Property(seed = "20261201", tries = 2000)
-    void damagedMessagesAreParsedOrMalformed(@ForAll int where, @ForAll byte what, @ForAll byte[] garbage) {
-        byte[] hurt = exampleAnswer();
-        hurt[Math.floorMod(where, hurt.length)] = what;
-        for (byte[] packet : new byte[][] {hurt, garbage}) {
+    void damagedMessagesAreParsedOrMalformed(@ForAll int position, @ForAll byte value, @ForAll byte[] garbage) {
+        byte[] damaged = exampleAnswer();
+        damaged[Math.floorMod(position, damaged.length)] = value;
+        for (byte[] packet : new byte[][] {damaged, garbage}) {
             try {
                 assertTrue(Dns.parse(packet).records() != null);
             } catch (Dns.MalformedMessageException e) {
@@ -197,8 +197,8 @@
         }
     }
 
-    private static ListedServer listedServer(String id, State state, long since) {
-        return new ListedServer(new Server(id, "z", "k", 0, state, 1, since), new InetSocketAddress("127.0.0.1", 1));
+    private static ListedServer listedServer(String id, State state, long upSince) {
+        return new ListedServer(new Server(id, "z", "k", 0, state, 1, upSince), new InetSocketAddress("127.0.0.1", 1));
     }
 
     @Test
@@ -226,7 +226,7 @@
                 List.of("b GONE", "a DRAINING", "c UP"),
                 changed.stream().map(s -> s.id() + " " + s.state()).toList());
         assertEquals(List.of("a", "c"), List.copyOf(list.addresses().keySet()));
-        // An answer that was overtaken on its way must not bring a drained server back.
+        // Guards against an outdated answer, overtaken on its way, that revokes a server's drain.
         assertNull(list.replaceAll(4, List.of(listedServer("a", State.UP, 0))));
     }
 }
--- a/src/test/java/dockshed/names/EdgeServerListUpdaterTest.java
+++ b/src/test/java/dockshed/names/EdgeServerListUpdaterTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Lists of some hundreds of servers, of which an answer of 8,000 bytes can tell but a part. */
+/** Updates of lists of several hundred servers, of which an answer of 8,000 bytes holds only a part. */
 class EdgeServerListUpdaterTest {
     private static final int MAX_ANSWER_BYTES = 8000;
     private final EdgeServerList list = new EdgeServerList();
@@ -38,47 +38,53 @@
     }
 
     private static AnswerBuilder listAnswer(int from, int to, int serial, int draining) {
-        AnswerBuilder p = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV);
-        p.soa(serial);
+        AnswerBuilder answer = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV);
+        answer.soa(serial);
         for (int i = from; i < to; i++) {
-            p.srv(target(i), i == draining ? 1 : 0, 40, 5000);
+            answer.srv(target(i), i == draining ? 1 : 0, 40, 5000);
         }
-        return p;
+        return answer;
     }
 
-    private static String describe(List<Server> news) {
-        return news.stream().map(s -> s.id() + " " + s.state()).toList().toString();
+    private static String describe(List<Server> changes) {
+        return changes.stream().map(s -> s.id() + " " + s.state()).toList().toString();
     }
 
-    /** The questions put within one look. */
+    /** All questions that are asked now. */
     private List<EdgeServerListUpdater.Question> questions() {
         List<EdgeServerListUpdater.Question> out = new ArrayList<>();
-        for (EdgeServerListUpdater.Question q = updater.nextQuestion(now); q != null; q = updater.nextQuestion(now)) {
-            out.add(q);
+        for (EdgeServerListUpdater.Question question = updater.nextQuestion(now);
+                question != null;
+                question = updater.nextQuestion(now)) {
+            out.add(question);
         }
         return out;
     }
 
-    private List<Server> reply(EdgeServerListUpdater.Question q, String... texts) throws Exception {
-        AnswerBuilder p = new AnswerBuilder(1, q.target(), q.type());
+    private List<Server> reply(EdgeServerListUpdater.Question question, String... texts) throws Exception {
+        AnswerBuilder answer = new AnswerBuilder(1, question.target(), question.type());
         return updater.applyRecordAnswer(
-                q, Dns.parse((q.type() == Dns.A ? p.a(q.target(), 9) : p.txt(q.target(), texts)).bytes()));
+                question,
+                Dns.parse((question.type() == Dns.A
+                                ? answer.a(question.target(), 9)
+                                : answer.txt(question.target(), texts))
+                        .bytes()));
     }
 
     @Test
     void truncatedAnswerAppliesDrainsAndRemovesNoServer() throws Exception {
-        // A cut answer was dropped whole: beyond some 200 servers the broker never heard of a drain again.
+        // Guards against ignoring truncated answers as a whole: with more than about 200 servers no drain was noticed.
         addKnownServers(1024);
-        byte[] cut = listAnswer(0, 1024, 6, 3).truncated(MAX_ANSWER_BYTES);
-        assertEquals("[s-00000003 DRAINING]", describe(updater.applyListAnswer(Dns.parse(cut))));
+        byte[] truncated = listAnswer(0, 1024, 6, 3).truncated(MAX_ANSWER_BYTES);
+        assertEquals("[s-00000003 DRAINING]", describe(updater.applyListAnswer(Dns.parse(truncated))));
         assertEquals(1024, list.all().size());
         assertEquals(6, list.serial());
-        for (int i = 20; i < cut.length; i += 97) { // cut anywhere, also within a record
+        for (int i = 20; i < truncated.length; i += 97) { // truncated anywhere, also within a record
             byte[] shorter = listAnswer(0, 1024, 6, 3).truncated(i);
             try {
                 updater.applyListAnswer(Dns.parse(shorter));
             } catch (Dns.MalformedMessageException e) {
-                assertTrue(i < 100, "nothing but a header: " + i);
+                assertTrue(i < 100, "only a header: " + i);
             }
             assertEquals(1024, list.all().size());
         }
@@ -90,25 +96,27 @@
         updater.applyListAnswer(Dns.parse(listAnswer(0, 100, 6, -1).truncated(MAX_ANSWER_BYTES)));
         ArrayDeque<String> gone = new ArrayDeque<>();
         int asked = 0;
-        int looks = 0;
-        for (; looks < 200 && gone.isEmpty(); looks++) {
-            List<EdgeServerListUpdater.Question> put = questions();
-            assertTrue(put.size() <= EdgeServerListUpdater.MAX_REFRESHES_PER_LIST, "a few a look: " + put.size());
-            asked += put.size();
-            for (EdgeServerListUpdater.Question q : put) {
-                if (q.target().equals(target(200))) {
+        int listQueries = 0;
+        for (; listQueries < 200 && gone.isEmpty(); listQueries++) {
+            List<EdgeServerListUpdater.Question> questions = questions();
+            assertTrue(
+                    questions.size() <= EdgeServerListUpdater.MAX_REFRESHES_PER_LIST,
+                    "a few per list query: " + questions.size());
+            asked += questions.size();
+            for (EdgeServerListUpdater.Question question : questions) {
+                if (question.target().equals(target(200))) {
                     gone.add(describe(updater.applyRecordAnswer(
-                            q,
-                            Dns.parse(new AnswerBuilder(1, q.target(), q.type())
+                            question,
+                            Dns.parse(new AnswerBuilder(1, question.target(), question.type())
                                     .responseCode(3)
                                     .bytes()))));
                 } else {
                     assertEquals(
                             List.of(),
                             reply(
-                                    q,
+                                    question,
                                     "kind=std",
-                                    "cell=" + Integer.parseInt(q.target().substring(2, 10), 16) % 7,
+                                    "cell=" + Integer.parseInt(question.target().substring(2, 10), 16) % 7,
                                     "started=0"));
                 }
             }
@@ -121,12 +129,19 @@
 
     @Test
     void truncatedAnswerWithTheSameSerialStillAppliesDrains() throws Exception {
-        // Once all questions were answered, whatever came under that number was passed over.
+        // Guards against lost drains: once all questions were answered, further answers with the same serial were
+        // ignored.
         addKnownServers(300);
         updater.applyListAnswer(Dns.parse(listAnswer(0, 100, 6, -1).truncated(MAX_ANSWER_BYTES)));
-        for (List<EdgeServerListUpdater.Question> put = questions(); !put.isEmpty(); put = questions()) {
-            for (EdgeServerListUpdater.Question q : put) {
-                reply(q, "kind=std", "cell=" + Integer.parseInt(q.target().substring(2, 10), 16) % 7, "started=0");
+        for (List<EdgeServerListUpdater.Question> questions = questions();
+                !questions.isEmpty();
+                questions = questions()) {
+            for (EdgeServerListUpdater.Question question : questions) {
+                reply(
+                        question,
+                        "kind=std",
+                        "cell=" + Integer.parseInt(question.target().substring(2, 10), 16) % 7,
+                        "started=0");
             }
             updater.applyListAnswer(Dns.parse(listAnswer(0, 100, 6, -1).truncated(MAX_ANSWER_BYTES)));
         }
@@ -144,38 +159,41 @@
                 "[s-00000001 DRAINING]",
                 describe(
                         updater.applyListAnswer(Dns.parse(listAnswer(0, 3, 6, 1).bytes()))));
-        AnswerBuilder undated = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV);
-        undated.srv(target(1), 0, 40, 5000).srv(target(2), 1, 40, 5000);
+        AnswerBuilder withoutSerial = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV);
+        withoutSerial.srv(target(1), 0, 40, 5000).srv(target(2), 1, 40, 5000);
         assertEquals(
                 "[s-00000002 DRAINING]",
-                describe(updater.applyListAnswer(Dns.parse(undated.truncated(MAX_ANSWER_BYTES)))));
-        AnswerBuilder whole = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV).srv(target(1), 0, 40, 5000);
+                describe(updater.applyListAnswer(Dns.parse(withoutSerial.truncated(MAX_ANSWER_BYTES)))));
+        AnswerBuilder complete = new AnswerBuilder(1, DnsDiscovery.SERVICE_NAME, Dns.SRV).srv(target(1), 0, 40, 5000);
         assertThrows(
                 Dns.MalformedMessageException.class,
-                () -> updater.applyListAnswer(Dns.parse(whole.bytes())),
-                "not cut: it has to have one");
+                () -> updater.applyListAnswer(Dns.parse(complete.bytes())),
+                "not truncated: a serial is required");
     }
 
     @Test
     void newServersAreAskedForAFewAtATimeAndOnce() throws Exception {
-        // Every look, 250 ms apart, put one query a target and type at once and forgot what the last had gathered.
+        // Guards against a flood of queries: each list query, every 250 ms, asked for all missing records at once and
+        // discarded what the previous one had collected.
         assertEquals(
                 List.of(),
                 updater.applyListAnswer(Dns.parse(listAnswer(0, 300, 9, -1).bytes())));
         int asked = 0;
-        for (int look = 0; look < 100 && list.all().size() < 300; look++) {
-            List<EdgeServerListUpdater.Question> put = questions();
-            assertTrue(put.size() <= EdgeServerListUpdater.MAX_OPEN_QUESTIONS, "at once: " + put.size());
-            asked += put.size();
-            for (EdgeServerListUpdater.Question q : put) {
-                reply(q, "kind=std", "cell=4", "started=0");
+        for (int listQuery = 0; listQuery < 100 && list.all().size() < 300; listQuery++) {
+            List<EdgeServerListUpdater.Question> questions = questions();
+            assertTrue(
+                    questions.size() <= EdgeServerListUpdater.MAX_OPEN_QUESTIONS,
+                    "concurrent questions: " + questions.size());
+            asked += questions.size();
+            for (EdgeServerListUpdater.Question question : questions) {
+                reply(question, "kind=std", "cell=4", "started=0");
             }
-            updater.applyListAnswer(
-                    Dns.parse(listAnswer(0, 300, look < 50 ? 9 + look : 60, -1).bytes()));
+            updater.applyListAnswer(Dns.parse(
+                    listAnswer(0, 300, listQuery < 50 ? 9 + listQuery : 60, -1).bytes()));
         }
         assertEquals(300, list.all().size());
         assertEquals(4, list.all().get(299).server().cell());
-        assertTrue(asked >= 600 && asked < 900, "two each, and some texts once more: " + asked);
+        assertTrue(asked >= 600 && asked < 900, "two per server, and some TXT records once more: " + asked);
     }
 
     @Test
@@ -186,19 +204,23 @@
                 describe(
                         updater.applyListAnswer(Dns.parse(listAnswer(0, 4, 6, 2).bytes()))),
                 "a drain needs no further record");
-        List<EdgeServerListUpdater.Question> put = questions();
-        assertTrue(put.stream().allMatch(q -> q.type() == Dns.TXT), put.toString());
-        List<Server> news = reply(put.get(0), "kind=std", "cell=0", "started=1500");
-        assertEquals(1_500_000, news.get(0).upSince());
+        List<EdgeServerListUpdater.Question> questions = questions();
+        assertTrue(questions.stream().allMatch(question -> question.type() == Dns.TXT), questions.toString());
+        List<Server> changes = reply(questions.get(0), "kind=std", "cell=0", "started=1500");
+        assertEquals(1_500_000, changes.get(0).upSince());
         now += EdgeServerListUpdater.QUESTION_TIMEOUT_US + 1;
-        assertEquals(3, questions().size(), "those unanswered once more, and no other");
-        for (EdgeServerListUpdater.Question q : put.subList(1, 4)) {
-            reply(q, "kind=std", "cell=" + Integer.parseInt(q.target().substring(2, 10), 16), "started=0");
+        assertEquals(3, questions().size(), "the unanswered ones once more, and no others");
+        for (EdgeServerListUpdater.Question question : questions.subList(1, 4)) {
+            reply(
+                    question,
+                    "kind=std",
+                    "cell=" + Integer.parseInt(question.target().substring(2, 10), 16),
+                    "started=0");
         }
         assertEquals(
                 List.of(),
                 updater.applyListAnswer(Dns.parse(listAnswer(0, 4, 6, 2).bytes())));
-        assertNull(updater.nextQuestion(now), "nothing is left to ask");
+        assertNull(updater.nextQuestion(now), "no question is left");
     }
 
     @Test
--- a/src/test/java/dockshed/peers/UdpPeersTest.java
+++ b/src/test/java/dockshed/peers/UdpPeersTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between brokers; the test itself is one of them. */
+/** Datagrams between brokers; the test itself plays one of them. */
 class UdpPeersTest {
     private final Net net = new Net();
     private final BrokerHarness stage = new BrokerHarness();
@@ -25,30 +25,30 @@
     }
 
     private static DatagramSocket socket() throws Exception {
-        DatagramSocket s = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        s.setSoTimeout(20_000);
-        return s;
+        DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
     @Test
     void onlyShortDatagramsOfKnownSendersAreExchanged() throws Exception {
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
-                DatagramSocket free = socket()) {
-            InetSocketAddress own = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+                DatagramSocket unused = socket()) {
+            InetSocketAddress own = new InetSocketAddress("127.0.0.1", unused.getLocalPort());
             InetSocketAddress other = new InetSocketAddress("127.0.0.1", peer.getLocalPort());
-            free.close();
+            unused.close();
             UdpPeers peers = new UdpPeers(List.of(own, other), null);
             peers.listen(net, own, (from, message) -> stage.broker.peerMessageReceived(stage.now, from, message));
 
             net.callOnLoop(() -> {
-                peers.broadcast(new byte[257]); // would void the run
+                peers.broadcast(new byte[257]); // above the limit: must not be sent
                 peers.broadcast(new byte[] {1, 2});
                 return null;
             });
-            DatagramPacket got = new DatagramPacket(new byte[512], 512);
-            peer.receive(got);
-            assertArrayEquals(new byte[] {1, 2}, Arrays.copyOf(got.getData(), got.getLength()));
+            DatagramPacket received = new DatagramPacket(new byte[512], 512);
+            peer.receive(received);
+            assertArrayEquals(new byte[] {1, 2}, Arrays.copyOf(received.getData(), received.getLength()));
 
             stranger.send(new DatagramPacket(new byte[] {9}, 1, own));
             peer.send(new DatagramPacket(new byte[300], 300, own));
