--- a/src/main/java/dockshed/config/Config.java
+++ b/src/main/java/dockshed/config/Config.java
@@ -21,18 +21,18 @@
  * The broker's configuration from the environment and the JSON configuration file, checked and with defaults filled in.
  * Errors are thrown as {@link JsonFields.InvalidInputException} with the key concerned.
  *
- * @param name             of this broker in its log
- * @param listen           where the RTSP front listens
- * @param seed             of the random number generators
- * @param maxSockets       descriptors that the process may use
- * @param peerListen       where datagrams of other brokers are received; null if the file has none
- * @param peers            the addresses of all brokers, in the order of their numbers
- * @param allPeersAddress  an address that reaches all brokers at once; null if the file has none
- * @param nameServer       the address of the name server; null: the list of edge servers does not change
- * @param knownServers     the lists of edge servers known before the start, the oldest first
- * @param settings         of the decision module
- * @param idleTimeout      microseconds after which edge servers close an idle connection
- * @param reportFields     names of the values in a load report
+ * @param name            of this broker in its log
+ * @param listen          where the RTSP front listens
+ * @param seed            of the random number generators
+ * @param maxSockets      descriptors that the process may use
+ * @param peerListen      where datagrams of other brokers are received; null if the file has none
+ * @param peers           the addresses of all brokers, in the order of their numbers
+ * @param allPeersAddress an address that reaches all brokers at once; null if the file has none
+ * @param nameServer      the address of the name server; null: the list of edge servers does not change
+ * @param knownServers    the lists of edge servers known before the start, the oldest first
+ * @param settings        of the decision module
+ * @param idleTimeout     microseconds after which edge servers close an idle connection
+ * @param reportFields    names of the values in a load report
  */
 public record Config(
         String name,
@@ -91,7 +91,11 @@
         return Math.max(4, maxSockets - RESERVED_DESCRIPTORS - maxViewers() * 9 / 8);
     }
 
-    /** Reads the file that the environment variable EDGE_CONFIG names, with overrides by other variables. */
+    /**
+     * Reads the file that the environment variable EDGE_CONFIG names; EDGE_NAME and EDGE_LISTEN override its members.
+     *
+     * @throws JsonFields.InvalidInputException if the variable is missing or the file is invalid
+     */
     public static Config load(Map<String, String> environment) {
         String file = environment.get("EDGE_CONFIG");
         if (file == null || file.isBlank()) {
--- a/src/main/java/dockshed/config/OperatorConfig.java
+++ b/src/main/java/dockshed/config/OperatorConfig.java
@@ -24,6 +24,7 @@
             "cut", "load_shedding",
             "probes", "health_probes");
 
+    /** Everything switched off. */
     public static final OperatorConfig NONE = new OperatorConfig(null, null, null);
 
     /** What an error message expects of a zone directive. */
@@ -38,7 +39,11 @@
         return load(file, 0);
     }
 
-    /** Reads a file; its zones have to match the number of brokers that the configuration has, unless that is 0. */
+    /**
+     * Reads a file; its zones have to match the number of brokers that the configuration has, unless that is 0.
+     *
+     * @throws JsonFields.InvalidInputException with all errors of the file, one per line
+     */
     public static OperatorConfig load(String file, int brokers) {
         return read(ConfFile.load(Path.of(file)), brokers);
     }
@@ -67,6 +72,7 @@
                 stormPresent && stormEnabled ? terms : null, fleetPresent && fleetEnabled ? fleet : null, rollout);
     }
 
+    /** Reads all zone directives; errors are recorded in the section. */
     private static List<Zone> zones(ConfFile.Section section, int brokers) {
         List<ConfFile.DirectiveLine> lines = section.lines("zone", EXPECTED_ZONE);
         List<ConfFile.DirectiveLine> validLines = new ArrayList<>();
--- a/src/main/java/dockshed/edge/EdgeServerConnections.java
+++ b/src/main/java/dockshed/edge/EdgeServerConnections.java
@@ -71,7 +71,7 @@
     /** Connections closed per check in favour of servers with sessions that have none. */
     private static final int MAX_ROTATIONS_PER_CHECK = 4;
     /** Highest value accepted in a note or load report: no server runs more streams or has more demand on its link. */
-    private static final double MAX_FIGURE = 100_000;
+    private static final double MAX_REPORTED_VALUE = 100_000;
 
     /** The logger keeps its earlier name, by which operators filter log lines. */
     private static final Logger LOG = LoggerFactory.getLogger("dockshed.edge.Edges");
@@ -166,10 +166,10 @@
      * or pending set-ups; one whose address changed is reconnected.
      */
     public void updateAddresses(Map<String, InetSocketAddress> listed) {
-        listed.forEach((id, at) -> {
+        listed.forEach((id, address) -> {
             ServerEntry entry = servers.computeIfAbsent(id, ServerEntry::new);
-            if (!at.equals(entry.address)) {
-                entry.address = at;
+            if (!address.equals(entry.address)) {
+                entry.address = address;
                 close(entry);
                 if (entry.hasSessions) {
                     connectIfNone(entry);
@@ -339,12 +339,12 @@
 
     /** Sends a message at once, or once a connection is open; drops it if the queue is full. */
     private void sendOrQueue(ServerEntry entry, Message message) {
-        Connection up = entry.connections.stream()
+        Connection usable = entry.connections.stream()
                 .filter(c -> c.connected && !c.isDead())
                 .max(Comparator.comparing((Connection c) -> !c.unconfirmed))
                 .orElse(null);
-        if (up != null) {
-            up.send(message);
+        if (usable != null) {
+            usable.send(message);
         } else if (entry.queuedMessages.size() < MAX_BACKLOG_ENTRIES) {
             entry.queuedMessages.add(message);
             connectIfNone(entry);
@@ -419,6 +419,7 @@
         return connection.ended ? null : connection;
     }
 
+    /** Opens a connection to a server that has none, if it may be probed and the limit allows it. */
     private void connectIfNone(ServerEntry entry) {
         if (entry.connections.isEmpty()
                 && entry.address != null
@@ -485,6 +486,7 @@
 
     // ---- Detection of servers that are gone.
 
+    /** From now on it is unknown whether the server's process is alive. */
     private void markSuspect(ServerEntry entry) {
         if (entry.suspectSince < 0) {
             entry.suspectSince = clock.now();
@@ -535,8 +537,8 @@
     }
 
     /**
-     * Reconnects to a server with active sessions; with a delay, so that a server that closes each connection at once
-     * is not contacted in a tight loop.
+     * Reconnects to a server that has active sessions but no connection; with a delay, so that a server that closes
+     * each connection at once is not contacted in a tight loop.
      */
     private void keepConnected(ServerEntry entry) {
         if (entry.hasSessions && entry.connections.isEmpty()) {
@@ -666,7 +668,7 @@
             this.entry = entry;
         }
 
-        /** The order in which connections are closed to free descriptors, the lowest first. */
+        /** The lowest is closed first to free a descriptor; 2: the only connection to a server with sessions. */
         int closePriority() {
             return !entry.hasSessions ? 0 : entry.connections.size() > 1 ? 1 : 2;
         }
@@ -705,7 +707,7 @@
                 } else if (done.isSuccess()) {
                     onConnected();
                 } else {
-                    failed(done.cause());
+                    onConnectFailed(done.cause());
                 }
             });
         }
@@ -751,7 +753,7 @@
             }
         }
 
-        private void failed(Throwable cause) {
+        private void onConnectFailed(Throwable cause) {
             if (cause instanceof ChannelException) { // no socket could be opened, so the server was not contacted
                 LOG.warn(
                         "no socket for a connection: id={} lines={} why={}",
@@ -949,7 +951,7 @@
                 };
         try {
             double value = Double.parseDouble(message.fields().getOrDefault("value", ""));
-            if (metric != null && value >= 0 && value <= MAX_FIGURE) {
+            if (metric != null && value >= 0 && value <= MAX_REPORTED_VALUE) {
                 broker.metricReceived(now, serverId, message.id(), metric, value);
             }
         } catch (NumberFormatException e) {
@@ -968,7 +970,8 @@
             try {
                 if (colon > 0) {
                     double value = Double.parseDouble(pair.substring(colon + 1).strip());
-                    if (!(value > -1 && value <= MAX_FIGURE)) { // measurement noise may put a value slightly below 0
+                    if (!(value > -1
+                            && value <= MAX_REPORTED_VALUE)) { // measurement noise may put a value slightly below 0
                         return LoadReport.NONE;
                     }
                     values.put(pair.substring(0, colon).strip(), Math.max(0, value));
--- a/src/main/java/dockshed/names/DnsDiscovery.java
+++ b/src/main/java/dockshed/names/DnsDiscovery.java
@@ -24,7 +24,9 @@
  * that is queried periodically. While the name server is unreachable the last list stays in force.
  */
 public final class DnsDiscovery {
+    /** The name whose SRV records are the edge servers. */
     static final String SERVICE_NAME = "_work._tcp.fleet.local";
+
     static final long QUERY_INTERVAL_US = 250_000;
     /**
      * The delay within which an answer is expected. After twice this time without any answer the name server counts as
