--- a/src/main/java/dockshed/config/Config.java
+++ b/src/main/java/dockshed/config/Config.java
@@ -162,7 +162,7 @@
         try {
             return Long.parseUnsignedLong(seed, 16);
         } catch (NumberFormatException e) {
-            throw new JsonFields.InvalidInputException(config.path() + ": member 'seed' is not a hexadecimal number");
+            throw new JsonFields.InvalidInputException(config.path() + ": member 'seed' is not hex");
         }
     }
 
--- a/src/main/java/dockshed/config/JsonFields.java
+++ b/src/main/java/dockshed/config/JsonFields.java
@@ -95,7 +95,7 @@
         try {
             return HexFormat.of().parseHex(text(name));
         } catch (IllegalArgumentException e) {
-            throw new InvalidInputException(path + ": member '" + name + "' is not hexadecimal");
+            throw new InvalidInputException(path + ": member '" + name + "' is not hex");
         }
     }
 
