--- a/src/main/java/dockshed/config/ConfFile.java
+++ b/src/main/java/dockshed/config/ConfFile.java
@@ -50,8 +50,9 @@
         private final String name;
         private final int line;
         private final Map<String, Entry> entries = new LinkedHashMap<>();
-        private final Map<String, List<Entry>> repeatedEntries =
-                new LinkedHashMap<>(); // second and further occurrences
+        /** Second and further occurrences of a directive. */
+        private final Map<String, List<Entry>> repeatedEntries = new LinkedHashMap<>();
+
         private final List<String> knownKeys = new ArrayList<>();
         /** Keys used in the file under their name of an earlier version; their error is recorded already. */
         private final Set<String> renamedKeys = new HashSet<>();
--- a/src/main/java/dockshed/config/JsonFields.java
+++ b/src/main/java/dockshed/config/JsonFields.java
@@ -22,6 +22,7 @@
     private final String path;
     private final Map<?, ?> members;
 
+    /** Wraps a parsed JSON value, which must be an object; {@code path} is its name in error messages. */
     public JsonFields(String path, Object value) {
         this.path = path;
         if (!(value instanceof Map<?, ?> map)) {
@@ -44,6 +45,7 @@
         return members.keySet();
     }
 
+    /** A member of any type. */
     public Object value(String name) {
         Object value = members.get(name);
         if (value == null) {
@@ -113,6 +115,7 @@
         return has(name) ? millisAsMicros(name) : defaultValue;
     }
 
+    /** A member that is an object; its path is this object's path and the member's name. */
     public JsonFields object(String name) {
         return new JsonFields(path + "." + name, value(name));
     }
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -161,8 +161,7 @@
     @Test
     void allowedButRarelyIntendedValuesGiveWarnings() {
         // Guards against mistakes that pass unnoticed: a server without a flavor, behind an uplink smaller than its
-        // link,
-        // was given a single session.
+        // link, was given a single session.
         HlsConfig hlsConfig =
                 hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
                         + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
--- a/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -266,8 +266,7 @@
     @Test
     void silentServerIsProbedWithANewConnection() throws Exception {
         // Guards against sessions that never end: a machine that vanishes leaves its connections open and silent, so
-        // only
-        // a new connection shows that it is gone.
+        // only a new connection shows that it is gone.
         startBroker(30_000_000, 1000);
         startSession("v1");
         accept();
@@ -278,8 +277,7 @@
     @Test
     void connectionAboutToBeClosedAsIdleIsNotUsedForASetUp() throws Exception {
         // Guards against a lost set-up, which may be a paid one: the server closes an idle connection just as the
-        // set-up is
-        // written.
+        // set-up is written.
         startBroker(1, 0); // an idle timeout that has expired as soon as anything else has happened
         request("v1", "safe");
         accept();
@@ -360,8 +358,8 @@
     @Test
     void retryAfterAServerDiedIsNotSentOnItsOtherDeadConnections() throws Exception {
         // Guards against wasted attempts: when a process died, the system reset all its connections at once, and until
-        // the
-        // last reset was reported, a millisecond later, each retry of a request was sent on another dead connection.
+        // the last reset was reported, a millisecond later, each retry of a request was sent on another dead
+        // connection.
         net.callOnLoop(() -> harness.onOutcome = id -> {
             if (harness.count("module outcome") <= 2) {
                 actions.send(id, "a", 0);
@@ -528,8 +526,7 @@
     @Test
     void silentConnectionGetsTheReleaseAndIsNotUsedAgain() throws Exception {
         // Guards against orphaned sessions: closing the connection at once left a session active whose answer was on
-        // its
-        // way, and nobody notified its viewer of the end.
+        // its way, and nobody notified its viewer of the end.
         harness.onRequest = request -> actions.send(request.id(), "a", 300_000);
         request("v1", "safe");
         accept();
@@ -615,8 +612,7 @@
     @Test
     void withoutADescriptorASetUpIsNotSentAndTheServerIsNotBlamed() throws Exception {
         // Guards against ending live sessions: the lack of a descriptor was reported as a refused connection, which
-        // proves
-        // that the server's process is gone.
+        // proves that the server's process is gone.
         try (ServerSocket b = limitToOneConnection()) {
             request("0000000000000001", "safe");
             accept();
@@ -665,8 +661,7 @@
     @Test
     void cancelledIdIsNotSentToTheSameServerAgainAtOnce() throws Exception {
         // Guards against mixed-up answers: the answer to the first set-up, on its way when that was cancelled, was
-        // taken for
-        // the answer to the second one.
+        // taken for the answer to the second one.
         request("v1", "safe");
         accept();
         assertEquals("setup", read().type());
@@ -737,8 +732,7 @@
     @Test
     void drainWhileConnectingStopsTheSetUp() throws Exception {
         // Guards against set-ups at a draining server: a waiting set-up was sent once the connection was open, however
-        // long
-        // after the drain was announced.
+        // long after the drain was announced.
         Director.Settings s = harness.settings;
         Director.Rules none = new Director.Rules(300_000, 0.4, 12_000_000, 2.5, 2_000_000, 0, 0, 0);
         net.callOnLoop(() -> {
@@ -797,8 +791,7 @@
     @Test
     void cancelledSetUpThatTheServerHasNotReadIsNotDelivered() throws Exception {
         // Guards against set-ups for viewers who left: bytes that the system had not taken yet were sent once the
-        // server
-        // read again, long after the viewer had gone.
+        // server read again, long after the viewer had gone.
         serverSocket.setReceiveBufferSize(4096);
         startBroker(30_000_000, 3_000_000, 2); // one connection per server
         int last = 0;
--- a/src/test/java/dockshed/load/LoadReporterTest.java
+++ b/src/test/java/dockshed/load/LoadReporterTest.java
@@ -200,8 +200,7 @@
     @Test
     void oneBrokerServes150ViewersOnFourServersWithoutReports() {
         // Guards against refusals where no load is reported: such a link counted as nearly full, and only 4 of 150
-        // viewers
-        // were served.
+        // viewers were served.
         Node node = new Node(0, 1, 4, ListScope.SNAPSHOT, "std", 200, 4 * LINK_KB_S);
         requestSessions(150);
         assertEquals(150, node.served);
--- a/src/test/java/dockshed/names/EdgeServerListUpdaterTest.java
+++ b/src/test/java/dockshed/names/EdgeServerListUpdaterTest.java
@@ -28,13 +28,13 @@
     }
 
     private void addKnownServers(int count) {
-        List<ListedServer> listings = new ArrayList<>();
+        List<ListedServer> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            listings.add(new ListedServer(
+            servers.add(new ListedServer(
                     new Server(String.format("s-%08x", i), "east", "std", i % 7, State.UP, 4, 0),
                     new InetSocketAddress("127.0.0.1", 5000)));
         }
-        list.applyConfigured(5, ListScope.DISK, listings);
+        list.applyConfigured(5, ListScope.DISK, servers);
     }
 
     private static AnswerBuilder listAnswer(int from, int to, int serial, int draining) {
@@ -52,13 +52,13 @@
 
     /** All questions that are asked now. */
     private List<EdgeServerListUpdater.Question> questions() {
-        List<EdgeServerListUpdater.Question> out = new ArrayList<>();
+        List<EdgeServerListUpdater.Question> questions = new ArrayList<>();
         for (EdgeServerListUpdater.Question question = updater.nextQuestion(now);
                 question != null;
                 question = updater.nextQuestion(now)) {
-            out.add(question);
+            questions.add(question);
         }
-        return out;
+        return questions;
     }
 
     private List<Server> reply(EdgeServerListUpdater.Question question, String... texts) throws Exception {
--- a/src/test/java/dockshed/net/SignalsTest.java
+++ b/src/test/java/dockshed/net/SignalsTest.java
@@ -33,8 +33,7 @@
     @Test
     void sessionsPlayUntilShortlyBeforeTheKill() {
         // Guards against ending sessions too early: they ended 0.8 s after SIGTERM, though they could have played on
-        // for
-        // seconds.
+        // for seconds.
         assertEquals(List.of("1850 TELL", "1860 TELL_AGAIN", "1910 HALT"), steps(1400, ms -> false, ms -> false));
         assertEquals("3450 TELL", steps(3000, ms -> false, ms -> false).get(0));
         assertEquals("3450 TELL", steps(4000, ms -> false, ms -> false).get(0)); // counted as 3 s
@@ -54,8 +53,7 @@
     @Test
     void haltWaitsForUnwrittenData() {
         // Guards against lost notices: the process halted 50 ms after notifying the sessions, whether or not the bytes
-        // had
-        // been written.
+        // had been written.
         assertEquals(List.of("1850 TELL", "1860 TELL_AGAIN", "2000 HALT"), steps(1400, ms -> false, ms -> ms <= 1950));
         assertEquals(List.of("1850 TELL", "1860 TELL_AGAIN", "2080 HALT"), steps(1400, ms -> false, ms -> true));
     }
