--- a/src/main/java/dockshed/edge/LineDecoder.java
+++ b/src/main/java/dockshed/edge/LineDecoder.java
@@ -29,6 +29,7 @@
         this.maxBytes = maxBytes;
     }
 
+    /** Appends received bytes; {@link #next} then returns the lines that are complete. */
     void add(byte[] bytes) {
         if (writeIndex + bytes.length > buffer.length) {
             byte[] kept = Arrays.copyOfRange(buffer, readIndex, writeIndex);
--- a/src/main/java/dockshed/edge/Message.java
+++ b/src/main/java/dockshed/edge/Message.java
@@ -80,8 +80,8 @@
         private final String input;
         private int position;
 
-        JsonReader(String in) {
-            this.input = in;
+        JsonReader(String input) {
+            this.input = input;
         }
 
         /** Reads the whole input as one message. */
--- a/src/main/java/dockshed/names/Dns.java
+++ b/src/main/java/dockshed/names/Dns.java
@@ -76,8 +76,8 @@
         private final byte[] packet;
         private int position;
 
-        Reader(byte[] in) {
-            this.packet = in;
+        Reader(byte[] packet) {
+            this.packet = packet;
         }
 
         Answer readAnswer() throws MalformedMessageException {
--- a/src/main/java/dockshed/names/EdgeServerList.java
+++ b/src/main/java/dockshed/names/EdgeServerList.java
@@ -89,6 +89,7 @@
         return before == null ? List.of() : apply(List.of(asGone(before)));
     }
 
+    /** The server with this id, or null. */
     ListedServer get(String id) {
         return current.get(id);
     }
--- a/src/main/java/dockshed/net/HttpStyleMessage.java
+++ b/src/main/java/dockshed/net/HttpStyleMessage.java
@@ -26,6 +26,7 @@
         return headers.get(name);
     }
 
+    /** The value of a header, its name given in lower case; {@code defaultValue} if absent. */
     public String header(String name, String defaultValue) {
         return headers.getOrDefault(name, defaultValue);
     }
