--- a/src/main/java/dockshed/names/Dns.java
+++ b/src/main/java/dockshed/names/Dns.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The part of RFC 1035 and RFC 2782 that the fleet's list needs. */
+/** DNS messages, as far as the list of edge servers needs RFC 1035 and RFC 2782. */
 final class Dns {
     static final int A = 1;
     static final int SOA = 6;
     static final int TXT = 16;
     static final int SRV = 33;
-    /** The response code of a name that has no records (RFC 1035, 4.1.1). */
+    /** The response code for a name that does not exist (RFC 1035, 4.1.1). */
     static final int NXDOMAIN = 3;
 
-    /** Bytes that are no answer that can be used. */
+    /** A datagram is not a DNS answer that can be used. */
     static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** A record; of {@code priority} to {@code serial} only what belongs to its type is set. */
+    /** A resource record; of {@code priority} to {@code serial} only those of its type are set. */
     record Record(
             String name,
             int type,
@@ -36,87 +36,98 @@
             List<String> texts,
             long serial) {}
 
-    /** {@code code}: the response code; {@code cut}: the answer did not fit. */
+    /**
+     * An answer with the records of all its sections.
+     *
+     * @param id        of the query
+     * @param truncated whether the answer did not fit into the datagram; only the complete records are listed
+     * @param question  the name asked for, in lower case
+     * @param type      the record type asked for
+     */
     record Answer(int id, int responseCode, boolean truncated, String question, int type, List<Record> records) {}
 
     private Dns() {}
 
+    /** Encodes a query for the records of a name. */
     static byte[] query(int id, String name, int type) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream query = new ByteArrayOutputStream();
         for (int part : new int[] {id, 0x0100, 1, 0, 0, 0}) {
-            out.write(part >> 8);
-            out.write(part);
+            query.write(part >> 8);
+            query.write(part);
         }
         for (String label : name.split("\\.")) {
             byte[] bytes = label.getBytes(StandardCharsets.US_ASCII);
             if (bytes.length == 0 || bytes.length > 63) {
-                throw new IllegalArgumentException("name with a bad label: " + name);
+                throw new IllegalArgumentException("expected labels of 1 to 63 bytes, got name " + name);
             }
-            out.write(bytes.length);
-            out.writeBytes(bytes);
+            query.write(bytes.length);
+            query.writeBytes(bytes);
         }
-        out.writeBytes(new byte[] {0, 0, (byte) type, 0, 1});
-        return out.toByteArray();
+        query.writeBytes(new byte[] {0, 0, (byte) type, 0, 1});
+        return query.toByteArray();
     }
 
+    /** Parses an answer with exactly one question. */
     static Answer parse(byte[] packet) throws MalformedMessageException {
-        return new Reader(packet).answer();
+        return new Reader(packet).readAnswer();
     }
 
     private static final class Reader {
-        private final byte[] in;
-        private int at;
+        private final byte[] packet;
+        private int position;
 
-        Reader(byte[] in) {
-            this.in = in;
+        Reader(byte[] packet) {
+            this.packet = packet;
         }
 
-        Answer answer() throws MalformedMessageException {
-            int id = u16();
-            int flags = u16();
+        Answer readAnswer() throws MalformedMessageException {
+            int id = readU16();
+            int flags = readU16();
             if ((flags & 0x8000) == 0) {
-                throw new MalformedMessageException("not an answer");
+                throw new MalformedMessageException("expected an answer, got a query");
             }
-            int questions = u16();
-            int records = u16() + u16() + u16();
+            int questions = readU16();
+            int records = readU16() + readU16() + readU16();
             if (questions != 1) {
-                throw new MalformedMessageException("questions: " + questions);
+                throw new MalformedMessageException("expected one question, got " + questions);
             }
-            String question = name();
-            int type = u16();
-            u16();
-            List<Record> out = new ArrayList<>();
-            boolean cut = (flags & 0x0200) != 0;
-            for (int i = 0; i < records && !(cut && at >= in.length); i++) {
+            String question = readName();
+            int type = readU16();
+            readU16();
+            List<Record> parsed = new ArrayList<>();
+            boolean truncated = (flags & 0x0200) != 0;
+            for (int i = 0; i < records && !(truncated && position >= packet.length); i++) {
                 try {
-                    out.add(record());
+                    parsed.add(readRecord());
                 } catch (MalformedMessageException e) {
-                    if (!cut) {
+                    if (!truncated) {
                         throw e;
                     }
-                    break; // cut within a record: those before it are whole
+                    break; // truncated within a record: those before it are complete
                 }
             }
-            return new Answer(id, flags & 15, cut, question, type, out);
+            return new Answer(id, flags & 15, truncated, question, type, parsed);
         }
 
-        private Record record() throws MalformedMessageException {
-            String name = name();
-            int type = u16();
-            u16();
-            u16();
-            u16();
-            int length = u16();
-            int end = at + length;
-            if (end > in.length) {
-                throw new MalformedMessageException("record beyond the end");
+        private Record readRecord() throws MalformedMessageException {
+            String name = readName();
+            int type = readU16();
+            readU16();
+            readU16();
+            readU16();
+            int length = readU16();
+            int end = position + length;
+            if (end > packet.length) {
+                throw new MalformedMessageException("record extends beyond the end of the datagram");
             }
-            Record r =
+            Record record =
                     switch (type) {
-                        case SRV -> new Record(name, type, u16(), u16(), u16(), name(), null, List.of(), 0);
+                        case SRV ->
+                            new Record(name, type, readU16(), readU16(), readU16(), readName(), null, List.of(), 0);
                         case A -> {
                             if (length != 4) {
-                                throw new MalformedMessageException("address of " + length + " bytes");
+                                throw new MalformedMessageException(
+                                        "expected an address of 4 bytes, got " + length + " bytes");
                             }
                             yield new Record(
                                     name,
@@ -125,87 +136,92 @@
                                     0,
                                     0,
                                     null,
-                                    u8() + "." + u8() + "." + u8() + "." + u8(),
+                                    readU8() + "." + readU8() + "." + readU8() + "." + readU8(),
                                     List.of(),
                                     0);
                         }
                         case TXT -> {
                             List<String> texts = new ArrayList<>();
-                            while (at < end) {
-                                int size = u8();
-                                if (at + size > end) {
-                                    throw new MalformedMessageException("text beyond its record");
+                            while (position < end) {
+                                int size = readU8();
+                                if (position + size > end) {
+                                    throw new MalformedMessageException("text extends beyond its record");
                                 }
-                                texts.add(new String(in, at, size, StandardCharsets.UTF_8));
-                                at += size;
+                                texts.add(new String(packet, position, size, StandardCharsets.UTF_8));
+                                position += size;
                             }
                             yield new Record(name, type, 0, 0, 0, null, null, texts, 0);
                         }
                         case SOA -> {
-                            name();
-                            name();
-                            yield new Record(name, type, 0, 0, 0, null, null, List.of(), (long) u16() << 16 | u16());
+                            readName();
+                            readName();
+                            yield new Record(
+                                    name, type, 0, 0, 0, null, null, List.of(), (long) readU16() << 16 | readU16());
                         }
                         default -> new Record(name, type, 0, 0, 0, null, null, List.of(), 0);
                     };
-            if (at > end) {
-                throw new MalformedMessageException("record longer than it says");
+            if (position > end) {
+                throw new MalformedMessageException("record data extends beyond its stated length");
             }
-            at = end;
-            return r;
+            position = end;
+            return record;
         }
 
-        /** A name, followed through its pointers, which must lead backwards; in lower case. */
-        private String name() throws MalformedMessageException {
-            StringBuilder out = new StringBuilder();
-            int here = at;
-            int least = at;
+        /**
+         * Reads a name in lower case and follows its compression pointers. Each pointer must lead further back than the
+         * one before, so that a loop is refused.
+         */
+        private String readName() throws MalformedMessageException {
+            StringBuilder name = new StringBuilder();
+            int offset = position;
+            int lowestOffset = position;
             boolean jumped = false;
             while (true) {
-                if (here >= in.length) {
-                    throw new MalformedMessageException("name beyond the end");
+                if (offset >= packet.length) {
+                    throw new MalformedMessageException("name extends beyond the end of the datagram");
                 }
-                int length = in[here] & 0xff;
+                int length = packet[offset] & 0xff;
                 if (length == 0) {
                     if (!jumped) {
-                        at = here + 1;
+                        position = offset + 1;
                     }
-                    return out.toString();
+                    return name.toString();
                 }
                 if (length >= 0xc0) {
-                    if (here + 1 >= in.length) {
-                        throw new MalformedMessageException("name beyond the end");
+                    if (offset + 1 >= packet.length) {
+                        throw new MalformedMessageException("name extends beyond the end of the datagram");
                     }
-                    int to = (length & 0x3f) << 8 | in[here + 1] & 0xff;
+                    int target = (length & 0x3f) << 8 | packet[offset + 1] & 0xff;
                     if (!jumped) {
-                        at = here + 2;
+                        position = offset + 2;
                     }
                     jumped = true;
-                    if (to >= least) {
-                        throw new MalformedMessageException("pointer that does not lead back");
+                    if (target >= lowestOffset) {
+                        throw new MalformedMessageException("compression pointer does not lead further back");
                     }
-                    least = to;
-                    here = to;
+                    lowestOffset = target;
+                    offset = target;
                     continue;
                 }
-                if (length > 63 || here + 1 + length > in.length || out.length() + length > 255) {
-                    throw new MalformedMessageException("bad label");
+                if (length > 63 || offset + 1 + length > packet.length || name.length() + length > 255) {
+                    throw new MalformedMessageException("label or name too long");
                 }
-                out.append(out.length() == 0 ? "" : ".")
-                        .append(new String(in, here + 1, length, StandardCharsets.US_ASCII).toLowerCase(Locale.ROOT));
-                here += 1 + length;
+                name.append(name.length() == 0 ? "" : ".")
+                        .append(new String(packet, offset + 1, length, StandardCharsets.US_ASCII)
+                                .toLowerCase(Locale.ROOT));
+                offset += 1 + length;
             }
         }
 
-        private int u8() throws MalformedMessageException {
-            if (at >= in.length) {
-                throw new MalformedMessageException("ends early");
+        private int readU8() throws MalformedMessageException {
+            if (position >= packet.length) {
+                throw new MalformedMessageException("datagram ends within a field");
             }
-            return in[at++] & 0xff;
+            return packet[position++] & 0xff;
         }
 
-        private int u16() throws MalformedMessageException {
-            return u8() << 8 | u8();
+        private int readU16() throws MalformedMessageException {
+            return readU8() << 8 | readU8();
         }
     }
 }
--- a/src/main/java/dockshed/peers/UdpPeers.java
+++ b/src/main/java/dockshed/peers/UdpPeers.java
@@ -13,28 +13,34 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Datagrams between the brokers of the tier; they may be late or lost, and hold 256 bytes at most. */
+/** UDP datagrams between the brokers of a fleet; they may be late or lost. */
 public final class UdpPeers implements Peers, DatagramPeers {
+    /** Longer datagrams are neither sent nor accepted. */
     static final int MAX_DATAGRAM_BYTES = 256;
+
     private static final Logger LOG = LoggerFactory.getLogger(UdpPeers.class);
 
-    private final List<InetSocketAddress> each;
-    private final InetSocketAddress all;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final List<InetSocketAddress> brokers;
+    private final InetSocketAddress allBrokersAddress;
+    private final Map<InetSocketAddress, Integer> numberByAddress = new HashMap<>();
     private Channel channel;
 
-    /** {@code all} may be null: then each is written to. */
-    public UdpPeers(List<InetSocketAddress> each, InetSocketAddress all) {
-        this.each = List.copyOf(each);
-        this.all = all;
-        for (int i = 0; i < each.size(); i++) {
-            numbers.putIfAbsent(each.get(i), i);
+    /**
+     * The brokers' addresses in the order of their numbers.
+     *
+     * @param allBrokersAddress reaches all brokers at once; null: each one is sent to
+     */
+    public UdpPeers(List<InetSocketAddress> brokers, InetSocketAddress allBrokersAddress) {
+        this.brokers = List.copyOf(brokers);
+        this.allBrokersAddress = allBrokersAddress;
+        for (int i = 0; i < brokers.size(); i++) {
+            numberByAddress.putIfAbsent(brokers.get(i), i);
         }
     }
 
-    /** The number of the broker that sends from there; -1: none does. */
+    /** The number of the broker that sends from this address; -1 if none does. */
     public int brokerNumber(InetSocketAddress sender) {
-        return numbers.getOrDefault(sender, -1);
+        return numberByAddress.getOrDefault(sender, -1);
     }
 
     @Override
@@ -44,7 +50,7 @@
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                         int from = brokerNumber(packet.sender());
                         if (from < 0 || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
-                            LOG.debug("datagram from nobody known: sender={}", packet.sender());
+                            LOG.debug("datagram dropped, unknown sender or too long: sender={}", packet.sender());
                             return;
                         }
                         receiver.receive(from, Net.toBytes(packet.content()));
@@ -65,19 +71,21 @@
             LOG.warn("datagram not sent: bytes={}", message.length);
             return;
         }
-        List<InetSocketAddress> to = all != null
-                ? List.of(all)
-                : each.stream().filter(a -> !a.equals(channel.localAddress())).toList();
-        for (InetSocketAddress a : to) {
-            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), a));
+        List<InetSocketAddress> to = allBrokersAddress != null
+                ? List.of(allBrokersAddress)
+                : brokers.stream()
+                        .filter(address -> !address.equals(channel.localAddress()))
+                        .toList();
+        for (InetSocketAddress address : to) {
+            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), address));
         }
     }
 
-    /** To one of them; dropped where the system takes no more: a later one tells more anyway. */
+    /** Drops a datagram that cannot be sent: a later one has newer information anyway. */
     @Override
     public void send(int to, byte[] message) {
-        if (channel != null && message.length <= MAX_DATAGRAM_BYTES && to >= 0 && to < each.size()) {
-            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), each.get(to)));
+        if (channel != null && message.length <= MAX_DATAGRAM_BYTES && to >= 0 && to < brokers.size()) {
+            channel.writeAndFlush(new DatagramPacket(Net.toByteBuf(message), brokers.get(to)));
         }
     }
 }
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the program is told: read, checked, and complained of by the key at fault. */
+/** Reading and checking of the configuration files; errors name the key concerned. */
 public class ConfigTest {
-    /** A whole configuration; the tests of the program use it too. */
+    /** A complete configuration, which the tests of the program use too. */
     public static final String COMPLETE_CONFIG = """
             {"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
             "sockets":512},"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:7946"],"peers_all":"127.0.0.1:7947",
@@ -36,44 +36,46 @@
     }
 
     @Test
-    void allOfItIsRead() {
-        Config c = read(COMPLETE_CONFIG);
-        assertEquals("n3", c.name());
-        assertEquals(0x8c1f30d27a5be964L, c.seed());
-        assertEquals(512, c.maxSockets());
-        assertEquals(9, c.nameServer().getPort());
-        assertEquals(7947, c.allPeersAddress().getPort());
-        assertEquals(20_000_000, c.idleTimeout());
-        assertEquals(List.of("busy_reqs", "x0"), c.reportFields());
-        assertEquals(1_000_000, c.settings().rules().drainGrace());
-        assertEquals(1, c.settings().classes().get(0).floor());
+    void completeFileIsRead() {
+        Config config = read(COMPLETE_CONFIG);
+        assertEquals("n3", config.name());
+        assertEquals(0x8c1f30d27a5be964L, config.seed());
+        assertEquals(512, config.maxSockets());
+        assertEquals(9, config.nameServer().getPort());
+        assertEquals(7947, config.allPeersAddress().getPort());
+        assertEquals(20_000_000, config.idleTimeout());
+        assertEquals(List.of("busy_reqs", "x0"), config.reportFields());
+        assertEquals(1_000_000, config.settings().rules().drainGrace());
+        assertEquals(1, config.settings().classes().get(0).floor());
         assertEquals(
                 State.DRAINING,
-                c.knownServers().get(1).servers().get(0).server().state());
+                config.knownServers().get(1).servers().get(0).server().state());
         assertEquals(
-                1_500_000, c.knownServers().get(1).servers().get(0).server().upSince());
-        assertEquals(ListScope.DISK, Config.scope(c.knownServers().get(0), true));
-        assertEquals(ListScope.CHANGES, Config.scope(c.knownServers().get(1), false));
-        assertEquals(ListScope.SNAPSHOT, Config.scope(c.knownServers().get(0), false));
+                1_500_000,
+                config.knownServers().get(1).servers().get(0).server().upSince());
+        assertEquals(ListScope.DISK, Config.scope(config.knownServers().get(0), true));
+        assertEquals(ListScope.CHANGES, Config.scope(config.knownServers().get(1), false));
+        assertEquals(ListScope.SNAPSHOT, Config.scope(config.knownServers().get(0), false));
     }
 
     @Test
-    void whatMayBeAbsentHasADefaultAndTheEnvironmentComesFirst() {
-        String less = COMPLETE_CONFIG
+    void absentMembersHaveDefaultsAndTheEnvironmentOverrides() {
+        String withoutOptional = COMPLETE_CONFIG
                 .replace("\"peer_listen\":\"127.0.0.1:0\",", "")
                 .replace("\"peers_all\":\"127.0.0.1:7947\",", "")
                 .replace(",\"idle_close\":20000.0", "")
                 .replace("\"limits\":{\"cores\":1.0,\"memory_mb\":192,\n\"sockets\":512},", "");
-        Config c = Config.read(Config.parse(less, "config"), Map.of("EDGE_NAME", "n9", "EDGE_LISTEN", "127.0.0.2:80"));
-        assertEquals("n9", c.name());
-        assertEquals("127.0.0.2", c.listen().getHostString());
-        assertNull(c.peerListen());
-        assertNull(c.allPeersAddress());
-        assertEquals(30_000_000, c.idleTimeout());
-        assertEquals(1024, c.maxSockets());
+        Config config = Config.read(
+                Config.parse(withoutOptional, "config"), Map.of("EDGE_NAME", "n9", "EDGE_LISTEN", "127.0.0.2:80"));
+        assertEquals("n9", config.name());
+        assertEquals("127.0.0.2", config.listen().getHostString());
+        assertNull(config.peerListen());
+        assertNull(config.allPeersAddress());
+        assertEquals(30_000_000, config.idleTimeout());
+        assertEquals(1024, config.maxSockets());
     }
 
-    private static void complains(String from, String to, String key) {
+    private static void assertErrorNames(String from, String to, String key) {
         assertTrue(COMPLETE_CONFIG.contains(from), from);
         JsonFields.InvalidInputException e =
                 assertThrows(JsonFields.InvalidInputException.class, () -> read(COMPLETE_CONFIG.replace(from, to)), to);
@@ -81,28 +83,30 @@
     }
 
     @Test
-    void aComplaintNamesTheKey() {
-        complains("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"localhost:0\"", "config: member 'listen'");
-        complains("\"names\":\"127.0.0.1:9\"", "\"names\":\"127.0.0.1\"", "config: member 'names'");
-        complains("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"soon\"", "'seed'");
-        complains("\"sockets\":512", "\"sockets\":3", "config.limits: member 'sockets'");
-        complains("\"phase\":\"leaving\"", "\"phase\":\"odd\"", "config.known.notices.pool.members: member 'phase'");
-        complains("\"id\":\"s-1\",", "", "config.known.notices.pool.members: member 'id'");
-        complains("\"try_limit\":3,", "", "config.settings.limits: member 'try_limit'");
-        complains("\"effect\":\"at_most_once\"", "\"effect\":\"odd\"", "config.settings.classes: member 'effect'");
-        complains("\"points\":1.0", "\"points\":-1", "member 'points'");
-        complains("\"deadline\":4000.0", "\"deadline\":0", "deadline of class paid");
-        complains("\"lowest_rung\":[1]", "\"lowest_rung\":[2]", "lowest_rung");
-        complains("\"me\":0", "\"me\":2", "me or balancers");
-        complains("\"cold_from\":0.4", "\"cold_from\":4", "cold_from");
-        complains("\"try_limit\":3", "\"try_limit\":0", "try_limit");
-        complains("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots of kind std");
+    void errorsNameTheKey() {
+        assertErrorNames("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"localhost:0\"", "config: member 'listen'");
+        assertErrorNames("\"names\":\"127.0.0.1:9\"", "\"names\":\"127.0.0.1\"", "config: member 'names'");
+        assertErrorNames("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"soon\"", "'seed'");
+        assertErrorNames("\"sockets\":512", "\"sockets\":3", "config.limits: member 'sockets'");
+        assertErrorNames(
+                "\"phase\":\"leaving\"", "\"phase\":\"odd\"", "config.known.notices.pool.members: member 'phase'");
+        assertErrorNames("\"id\":\"s-1\",", "", "config.known.notices.pool.members: member 'id'");
+        assertErrorNames("\"try_limit\":3,", "", "config.settings.limits: member 'try_limit'");
+        assertErrorNames(
+                "\"effect\":\"at_most_once\"", "\"effect\":\"odd\"", "config.settings.classes: member 'effect'");
+        assertErrorNames("\"points\":1.0", "\"points\":-1", "member 'points'");
+        assertErrorNames("\"deadline\":4000.0", "\"deadline\":0", "deadline of class paid");
+        assertErrorNames("\"lowest_rung\":[1]", "\"lowest_rung\":[2]", "lowest_rung");
+        assertErrorNames("\"me\":0", "\"me\":2", "me or balancers");
+        assertErrorNames("\"cold_from\":0.4", "\"cold_from\":4", "cold_from");
+        assertErrorNames("\"try_limit\":3", "\"try_limit\":0", "try_limit");
+        assertErrorNames("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots of kind std");
         String paid =
                 "{\"deadline\":4000.0,\"effect\":\"at_most_once\",\n\"goal_time\":800.0,\"name\":\"paid\",\"points\":1.0}";
-        complains(paid, paid + "," + paid, "config.settings.classes: member 'name' is there twice: paid");
-        complains("\"lowest_rung\":[1]", "\"lowest_rung\":[]", "'lowest_rung'");
-        complains("\"peers\":[\"127.0.0.1:7946\"]", "\"peers\":[3]", "config: member 'peers'");
-        complains("{\"name\"", "{,\"name\"", "config: not JSON");
+        assertErrorNames(paid, paid + "," + paid, "config.settings.classes: member 'name' is used twice: paid");
+        assertErrorNames("\"lowest_rung\":[1]", "\"lowest_rung\":[]", "'lowest_rung'");
+        assertErrorNames("\"peers\":[\"127.0.0.1:7946\"]", "\"peers\":[3]", "config: member 'peers'");
+        assertErrorNames("{\"name\"", "{,\"name\"", "config: not JSON");
         assertThrows(JsonFields.InvalidInputException.class, () -> Config.load(Map.of()));
         assertThrows(
                 JsonFields.InvalidInputException.class,
@@ -110,20 +114,20 @@
     }
 
     @Test
-    void aClassWithoutWorthIsReadAndOneOfEachFigureMayDiffer() {
-        // A customer's class that earns nothing ended the start.
-        for (String none : List.of("", ",\"points\":0")) {
-            Config c = read(COMPLETE_CONFIG
+    void classWithoutPointsIsReadAndMayDifferInEachValue() {
+        // Guards against a broker that does not start: a customer's configuration has a class without points.
+        for (String points : List.of("", ",\"points\":0")) {
+            Config config = read(COMPLETE_CONFIG
                     .replace(
                             "\"points\":1.0}",
                             "\"points\":7.0},{\"deadline\":900.0,\"effect\":\"idempotent\","
-                                    + "\"goal_time\":300.0,\"name\":\"odd one\"" + none + "}")
+                                    + "\"goal_time\":300.0,\"name\":\"odd one\"" + points + "}")
                     .replace("\"class_scale\":[1]", "\"class_scale\":[1,0.3]")
                     .replace("\"class_seats\":[0]", "\"class_seats\":[0,9]")
                     .replace("\"lowest_rung\":[1]", "\"lowest_rung\":[1,0]")
                     .replace("\"top_by_class\":[1]", "\"top_by_class\":[1,9]"));
-            Director.SessionClass odd = c.settings().classes().get(1);
-            assertTrue(odd.worth() > 0 && odd.worth() < 1e-5 && odd.top() == 1, odd.toString());
+            Director.SessionClass unpaid = config.settings().classes().get(1);
+            assertTrue(unpaid.worth() > 0 && unpaid.worth() < 1e-5 && unpaid.top() == 1, unpaid.toString());
         }
     }
 
@@ -132,12 +136,12 @@
     }
 
     @Test
-    void theFileOfTheHlsFrontIsReadAndChecked() {
-        HlsConfig h = hls("{\"listen\":\"127.0.0.1:8080\",\"eureka\":{\"at\":\"127.0.0.1:8761\",\"app\":\"B\"},"
+    void hlsFileIsReadAndChecked() {
+        HlsConfig hlsConfig = hls("{\"listen\":\"127.0.0.1:8080\",\"eureka\":{\"at\":\"127.0.0.1:8761\",\"app\":\"B\"},"
                 + "\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\",\"cell\":2}]}");
-        assertEquals(new HlsConfig.Eureka(h.eureka().address(), "/eureka", "B", 5_000_000), h.eureka());
-        assertEquals(20_000_000, h.idleTimeout());
-        assertEquals(State.UP, h.servers().get(0).server().state());
+        assertEquals(new HlsConfig.Eureka(hlsConfig.eureka().address(), "/eureka", "B", 5_000_000), hlsConfig.eureka());
+        assertEquals(20_000_000, hlsConfig.idleTimeout());
+        assertEquals(State.UP, hlsConfig.servers().get(0).server().state());
         for (Map.Entry<String, String> bad : Map.of(
                         "{}",
                         "servers",
@@ -155,25 +159,28 @@
     }
 
     @Test
-    void whatIsAllowedAndSeldomMeantIsTold() {
-        // A server without a flavor, before an uplink that carries less than its link, took one session and no more.
-        HlsConfig h = hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
-                + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
-        assertEquals(1, h.warnings(read(COMPLETE_CONFIG).settings()).size());
+    void allowedButRarelyIntendedValuesGiveWarnings() {
+        // Guards against mistakes that pass unnoticed: a server without a flavor, behind an uplink smaller than its
+        // link, was given a single session.
+        HlsConfig hlsConfig =
+                hls("{\"listen\":\"127.0.0.1:1\",\"servers\":[{\"id\":\"a\",\"host_port\":\"127.0.0.1:9\"},"
+                        + "{\"id\":\"b\",\"host_port\":\"127.0.0.1:9\",\"flavor\":\"std\"}]}");
+        assertEquals(1, hlsConfig.warnings(read(COMPLETE_CONFIG).settings()).size());
         String link = COMPLETE_CONFIG.replace("\"weight_kb\":9000.0", "\"weight_kb\":90000.0");
-        List<String> both = h.warnings(read(link).settings());
+        List<String> both = hlsConfig.warnings(read(link).settings());
         assertEquals(2, both.size());
         assertTrue(both.get(0).contains("server a") && both.get(1).contains("uplink_kb"), both.toString());
-        // No uplink at all is no doubt.
+        // No uplink at all gives no warning.
         assertEquals(
                 1,
-                h.warnings(read(link.replace("\"uplink_kb\":9000.0", "\"uplink_kb\":0"))
+                hlsConfig
+                        .warnings(read(link.replace("\"uplink_kb\":9000.0", "\"uplink_kb\":0"))
                                 .settings())
                         .size());
     }
 
     @Test
-    void theFileUnderDeployIsSound() {
+    void deployedHlsFileIsValid() {
         assertEquals("LESSON-BOXES", HlsConfig.load("deploy/hls.json").eureka().app());
     }
 }
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -20,12 +20,12 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The name server's answers, and what a list changes. */
+/** Parsing of DNS answers, and the changes that a list makes. */
 class DnsTest {
-    /** Lays out an answer as a name server does, names compressed to pointers where they repeat. */
+    /** Encodes an answer as a name server does, with compression pointers for repeated names. */
     static final class AnswerBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        private final Map<String, Integer> seen = new HashMap<>();
+        private final Map<String, Integer> offsetByName = new HashMap<>();
         private int records;
         private int flags = 0x8400;
 
@@ -43,10 +43,10 @@
         AnswerBuilder name(String name) {
             String rest = name;
             while (!rest.isEmpty()) {
-                if (seen.containsKey(rest)) {
-                    return u16(0xc000 | seen.get(rest));
+                if (offsetByName.containsKey(rest)) {
+                    return u16(0xc000 | offsetByName.get(rest));
                 }
-                seen.put(rest, out.size());
+                offsetByName.put(rest, out.size());
                 String label = rest.split("\\.", 2)[0];
                 out.write(label.length());
                 out.writeBytes(label.getBytes(StandardCharsets.US_ASCII));
@@ -84,9 +84,9 @@
 
         AnswerBuilder txt(String name, String... texts) {
             return record(name, Dns.TXT, () -> {
-                for (String t : texts) {
-                    out.write(t.length());
-                    out.writeBytes(t.getBytes(StandardCharsets.US_ASCII));
+                for (String text : texts) {
+                    out.write(text.length());
+                    out.writeBytes(text.getBytes(StandardCharsets.US_ASCII));
                 }
             });
         }
@@ -114,7 +114,7 @@
             return this;
         }
 
-        /** Marked as cut, and so many bytes long at most. */
+        /** The answer marked as truncated, cut off after {@code limit} bytes. */
         byte[] truncated(int limit) {
             flags |= 0x0200;
             return Arrays.copyOf(bytes(), Math.min(limit, bytes().length));
@@ -130,7 +130,7 @@
         }
     }
 
-    private static byte[] fleet() {
+    private static byte[] exampleAnswer() {
         return new AnswerBuilder(7, DnsDiscovery.SERVICE_NAME, Dns.SRV)
                 .srv("s-1.east.hosts", 0, 40, 5080)
                 .srv("s-2.west.hosts", 1, 15, 5081)
@@ -143,15 +143,15 @@
     }
 
     @Test
-    void aQueryHasItsForm() {
+    void queryIsEncoded() {
         assertArrayEquals(
                 new byte[] {1, 2, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1, 'a', 2, 'b', 'c', 0, 0, 33, 0, 1},
                 Dns.query(0x0102, "a.bc", Dns.SRV));
     }
 
     @Test
-    void theFleetIsReadFromCompressedNames() throws Exception {
-        Dns.Answer a = Dns.parse(fleet());
+    void listIsParsedFromCompressedNames() throws Exception {
+        Dns.Answer a = Dns.parse(exampleAnswer());
         assertEquals(7, a.id());
         assertEquals(70_000, EdgeServerList.serial(a.records()));
         EdgeServerList list = new EdgeServerList();
@@ -166,29 +166,29 @@
                                 new Server("s-2", "west", "big", 3, State.DRAINING, 1.5, 1_500_500),
                                 new InetSocketAddress("127.0.0.10", 5081))),
                 list.all());
-        assertNull(survey.nextQuestion(0), "nothing is lacking");
+        assertNull(survey.nextQuestion(0), "no record is missing");
     }
 
     @Test
-    void everyCutAndEveryPointerLoopIsMalformed() {
-        byte[] whole = fleet();
-        for (int i = 0; i < whole.length; i++) {
-            byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(cut), "cut at " + i);
+    void truncatedMessagesAndPointerLoopsAreMalformed() {
+        byte[] complete = exampleAnswer();
+        for (int i = 0; i < complete.length; i++) {
+            byte[] truncated = Arrays.copyOf(complete, i);
+            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(truncated), "cut at " + i);
         }
-        byte[] loop = new AnswerBuilder(1, "a", Dns.A).bytes();
-        loop[12] = (byte) 0xc0;
-        loop[13] = 12;
-        assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(loop));
+        byte[] pointerLoop = new AnswerBuilder(1, "a", Dns.A).bytes();
+        pointerLoop[12] = (byte) 0xc0;
+        pointerLoop[13] = 12;
+        assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(pointerLoop));
         assertThrows(
                 Dns.MalformedMessageException.class, () -> Dns.parse(Dns.query(1, "a", Dns.A)), "a query is no answer");
     }
 
     @Property(seed = "20261201", tries = 2000)
-    void damageIsMalformedOrRead(@ForAll int where, @ForAll byte what, @ForAll byte[] garbage) {
-        byte[] hurt = fleet();
-        hurt[Math.floorMod(where, hurt.length)] = what;
-        for (byte[] packet : new byte[][] {hurt, garbage}) {
+    void damagedMessagesAreParsedOrMalformed(@ForAll int position, @ForAll byte value, @ForAll byte[] garbage) {
+        byte[] damaged = exampleAnswer();
+        damaged[Math.floorMod(position, damaged.length)] = value;
+        for (byte[] packet : new byte[][] {damaged, garbage}) {
             try {
                 assertTrue(Dns.parse(packet).records() != null);
             } catch (Dns.MalformedMessageException e) {
@@ -197,28 +197,36 @@
         }
     }
 
-    private static ListedServer listing(String id, State state, long since) {
-        return new ListedServer(new Server(id, "z", "k", 0, state, 1, since), new InetSocketAddress("127.0.0.1", 1));
+    private static ListedServer listedServer(String id, State state, long upSince) {
+        return new ListedServer(new Server(id, "z", "k", 0, state, 1, upSince), new InetSocketAddress("127.0.0.1", 1));
     }
 
     @Test
-    void aWholeListTellsOnlyWhatChangedAndLateAnswersNothing() {
+    void completeListYieldsOnlyChangesAndAnOutdatedOneNothing() {
         EdgeServerList list = new EdgeServerList();
         list.applyConfigured(
                 3,
                 ListScope.DISK,
-                List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0)));
+                List.of(
+                        listedServer("a", State.UP, 0),
+                        listedServer("b", State.UP, 0),
+                        listedServer("c", State.UP, 0)));
         assertEquals(
                 List.of(),
                 list.replaceAll(
-                        3, List.of(listing("a", State.UP, 0), listing("b", State.UP, 0), listing("c", State.UP, 0))),
+                        3,
+                        List.of(
+                                listedServer("a", State.UP, 0),
+                                listedServer("b", State.UP, 0),
+                                listedServer("c", State.UP, 0))),
                 "the same list again changes nothing");
-        List<Server> changed = list.replaceAll(5, List.of(listing("a", State.DRAINING, 0), listing("c", State.UP, 9)));
+        List<Server> changed =
+                list.replaceAll(5, List.of(listedServer("a", State.DRAINING, 0), listedServer("c", State.UP, 9)));
         assertEquals(
                 List.of("b GONE", "a DRAINING", "c UP"),
                 changed.stream().map(s -> s.id() + " " + s.state()).toList());
         assertEquals(List.of("a", "c"), List.copyOf(list.addresses().keySet()));
-        // An answer that was overtaken on its way must not bring a drained server back.
-        assertNull(list.replaceAll(4, List.of(listing("a", State.UP, 0))));
+        // Guards against an outdated answer, overtaken on its way, that revokes a server's drain.
+        assertNull(list.replaceAll(4, List.of(listedServer("a", State.UP, 0))));
     }
 }
