--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -95,12 +95,13 @@
         assertErrorNames(
                 "\"effect\":\"at_most_once\"", "\"effect\":\"odd\"", "config.settings.classes: member 'effect'");
         assertErrorNames("\"points\":1.0", "\"points\":-1", "member 'points'");
-        assertErrorNames("\"deadline\":4000.0", "\"deadline\":0", "deadline of class paid");
+        assertErrorNames(
+                "\"deadline\":4000.0", "\"deadline\":0", "goal_time, deadline: expected times over 0 for class paid");
         assertErrorNames("\"lowest_rung\":[1]", "\"lowest_rung\":[2]", "lowest_rung");
-        assertErrorNames("\"me\":0", "\"me\":2", "me or balancers");
+        assertErrorNames("\"me\":0", "\"me\":2", "me, balancers: expected me from 0 to balancers - 1");
         assertErrorNames("\"cold_from\":0.4", "\"cold_from\":4", "cold_from");
         assertErrorNames("\"try_limit\":3", "\"try_limit\":0", "try_limit");
-        assertErrorNames("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots of kind std");
+        assertErrorNames("\"kind_slots\":[22]", "\"kind_slots\":[0]", "kind_slots: expected 1 or more for kind std");
         String paid =
                 "{\"deadline\":4000.0,\"effect\":\"at_most_once\",\n\"goal_time\":800.0,\"name\":\"paid\",\"points\":1.0}";
         assertErrorNames(paid, paid + "," + paid, "config.settings.classes: member 'name' is used twice: paid");
