--- a/bench/capacity-page.sh
+++ b/bench/capacity-page.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Every figure that docs/CAPACITY.md works out, computed from docs/capacity; --write puts them into the page. Last: what disagrees.
+# Computes every calculated figure of docs/CAPACITY.md from docs/capacity; --write writes them into the page.
+# Prints the differences last.
 set -eu
 cd "$(dirname "$0")/.."
 . bench/classpath.sh
--- a/bench/connection.sh
+++ b/bench/connection.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# What one more connection costs, idle and with a session, and a mass reconnect: docs/capacity/connection.csv and reconnect.csv.
+# Measures the cost of a connection, idle and with a session, and of a mass reconnect:
+# docs/capacity/connection.csv and reconnect.csv.
 # --quick: small sizes, writes nothing; --append: adds a run to the files.
 set -eu
 cd "$(dirname "$0")/.."
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# What control traffic costs and how late its news is, on the simulated network in virtual time: docs/capacity/control.csv and fitted lines.
+# Measures cost and delay of control traffic on the simulated network in virtual time:
+# docs/capacity/control.csv and fitted lines.
 # control.sh [--quick] [--append] [SERIES[:BROKERS]]...: --quick: small fleets, writes nothing, under 30 s; --append: adds a run to the file.
 set -eu
 cd "$(dirname "$0")/.."
--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Overload handled by the brokers as one, the part off, on, and told all at once; the last line holds the figures. --quick: two seeds.
+# Overload with fleet coordination off, on, and with an exchange without delay; the last line has the figures.
+# --quick: two seeds.
 set -eu
 cd "$(dirname "$0")/.."
 . bench/classpath.sh
--- a/bench/ready.sh
+++ b/bench/ready.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# How long a hundred brokers that start together take to be ready, the list out of reach: ready.sh [BROKERS [CORES]].
+# Measures how long a hundred brokers that start together take to be ready while the list is unreachable:
+# ready.sh [BROKERS [CORES]].
 set -eu
 cd "$(dirname "$0")/.."
 mvn -q -B -DskipTests package
--- a/bench/scale.sh
+++ b/bench/scale.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# The control part at 510 brokers: real ones of the jar beside hollow ones, scenes on sockets and on the simulated network;
-# the last line holds the figures. --quick: the short script, under 55 s. See docs/capacity/scale.md.
+# Fleet coordination at 510 brokers: real ones of the jar and hollow ones, scenes on sockets and on the simulated network;
+# the last line has the figures. --quick: the short script, under 55 s. See docs/capacity/scale.md.
 set -eu
 cd "$(dirname "$0")/.."
-# What stands built is taken as it is where no source is newer: the run has its own bound of time.
+# An existing build is reused if no source is newer, as the run has a time limit of its own.
 if [ ! -f target/dockshed.jar ] || [ ! -f target/classpath.txt ] \
     || [ -n "$(find src pom.xml -newer target/dockshed.jar | head -n 1)" ]; then
     mvn -q -B -DskipTests package
--- a/bench/setup.sh
+++ b/bench/setup.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# What a set-up costs in the decision module, by edge servers, lessons and sessions: docs/capacity/setup.csv and fitted lines.
+# Measures the cost of a set-up in the decision module, by edge servers, lessons and sessions:
+# docs/capacity/setup.csv and fitted lines.
 # --quick: few batches, writes nothing, under 30 s; --append: adds a run to the file.
 set -eu
 cd "$(dirname "$0")/.."
--- a/bench/storm-sockets.sh
+++ b/bench/storm-sockets.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# A broker killed and started again on loopback sockets, the storm part off and on. --quick: the outage alone, 42 s; --calm: without it.
+# A broker killed and restarted on loopback sockets, storm protection off and on.
+# --quick: only the outage, 42 s; --calm: without it.
 set -eu
 cd "$(dirname "$0")/.."
 . bench/classpath.sh
--- a/bench/storm.sh
+++ b/bench/storm.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Scripted outages with the storm part on and off; the last line holds the figures. --quick: two seeds, under 45 s.
+# Scripted outages with storm protection on and off; the last line has the figures. --quick: two seeds, under 45 s.
 set -eu
 cd "$(dirname "$0")/.."
 . bench/classpath.sh
--- a/bench/zones.sh
+++ b/bench/zones.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Sharing of state in a fleet with zones, on the simulated network: ages of figures, bytes, false deaths.
+# Measures sharing of state in a fleet with zones, on the simulated network: ages of figures, bytes, false deaths.
 # Without arguments: 510 brokers in 7 zones with 1% and 20% of datagrams lost, and 1,020 in 14 scopes.
 set -e
 cd "$(dirname "$0")/.."
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,6 @@
-# Keeps the classes of a broker ready in target/dockshed.jsa: one session is played, with the JVM's limits of `run`, and
-# what it loaded is written down at its end. Without the file, or with one of another JVM, a broker starts all the same,
-# only later; so nothing that fails here fails the build.
+# Archives the classes of a broker in target/dockshed.jsa: plays one session with the JVM's limits of `run` and writes the
+# classes that were loaded at the exit. Without the file, or with one of another JVM, a broker starts as well, only more
+# slowly; so a failure here does not fail the build.
 cd "$(dirname "$0")/.." || exit 0
 rm -f target/dockshed.jsa
 flags=$(sed -n 's/^run = "exec java \(.*\) -jar .*/\1/p' deploy/balancer.toml | sed 's/-XX:SharedArchiveFile=[^ ]*//')
