--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -134,7 +134,7 @@
                     fleet::sendExtension,
                     new FileVoteStorage(rolloutConfig.stateDirectory(), brokerNumber),
                     document -> net.loop().execute(() -> apply(document)));
-            fleet.extend(host);
+            fleet.setExtension(host);
             return host;
         } catch (StorageException e) {
             throw new IllegalStateException("rollout: " + e.getMessage(), e);
--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -253,7 +253,7 @@
     private void sendByzantineDatagrams(ByzantinePeer peer) {
         schedule(now + 10 * MS, () -> sendByzantineDatagrams(peer));
         for (BrokerNode node : nodes) {
-            byte[] datagram = peer.next(now);
+            byte[] datagram = peer.nextDatagram(now);
             if (node.number != scenario.byzantineBroker && node.gossipNode != null) {
                 node.gossipNode.receive(now, datagram, node::sendToPeer);
             }
@@ -635,7 +635,7 @@
                 gossipNode.tick(now, this::sendToPeer);
                 snapshot = gossipNode.snapshot(now);
                 schedule(
-                        Math.min(now + (scenario.instantExchange ? 20 : 100) * MS, gossipNode.next(now)),
+                        Math.min(now + (scenario.instantExchange ? 20 : 100) * MS, gossipNode.nextTickAt(now)),
                         () -> gossip(startedNode));
             }
         }
--- a/src/test/java/dockshed/rig/FleetRig.java
+++ b/src/test/java/dockshed/rig/FleetRig.java
@@ -125,7 +125,9 @@
                                 for (int receiver = 0; receiver < brokers.size(); receiver++) {
                                     if (receiver != impersonated) {
                                         network.forward(
-                                                impersonated, receiver, peer.next(System.currentTimeMillis() * 1000));
+                                                impersonated,
+                                                receiver,
+                                                peer.nextDatagram(System.currentTimeMillis() * 1000));
                                     }
                                 }
                             },
--- a/src/test/java/dockshed/rollout/RolloutMutantsTest.java
+++ b/src/test/java/dockshed/rollout/RolloutMutantsTest.java
@@ -36,7 +36,7 @@
     @TempDir
     Path dir;
 
-    record Change(String file, String sound, String spoilt) {}
+    record Change(String file, String original, String replacement) {}
 
     record Mutant(String name, List<Change> changes) {
         @Override
@@ -91,9 +91,9 @@
     @ParameterizedTest
     @MethodSource("mutants")
     void eachIsFound(Mutant mutant) throws Exception {
-        Method all = compiled(mutant.changes());
+        Method all = compileMutant(mutant.changes());
         for (long seed = 0; seed < SEEDS; seed++) {
-            if (played(all, seed).isPresent()) {
+            if (runScenarios(all, seed).isPresent()) {
                 return;
             }
         }
@@ -102,27 +102,27 @@
 
     @Test
     void theSoundProgramPassesTheSameWay() throws Exception {
-        Method all = compiled(List.of());
+        Method all = compileMutant(List.of());
         for (long seed = 0; seed < 3; seed++) {
-            assertEquals(Optional.empty(), played(all, seed));
+            assertEquals(Optional.empty(), runScenarios(all, seed));
         }
     }
 
-    private static Optional<?> played(Method all, long seed) throws ReflectiveOperationException {
+    private static Optional<?> runScenarios(Method all, long seed) throws ReflectiveOperationException {
         return (Optional<?>) all.invoke(null, seed);
     }
 
     /** The scenarios, over a program with some texts replaced. */
-    private Method compiled(List<Change> changes) throws IOException, ReflectiveOperationException {
+    private Method compileMutant(List<Change> changes) throws IOException, ReflectiveOperationException {
         List<String> sources = new ArrayList<>();
         try (Stream<Path> files = Files.list(MAIN)) {
             for (Path file :
                     files.filter(f -> f.toString().endsWith(".java")).sorted().toList()) {
-                sources.add(copied(file, changes));
+                sources.add(copySource(file, changes));
             }
         }
         for (String file : SIMULATION) {
-            sources.add(copied(TEST.resolve(file), List.of()));
+            sources.add(copySource(TEST.resolve(file), List.of()));
         }
         Path classes = Files.createDirectories(dir.resolve("classes"));
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
@@ -143,12 +143,12 @@
         return loader.loadClass("dockshed.rollout.RolloutScenarios").getMethod("all", long.class);
     }
 
-    private String copied(Path file, List<Change> changes) throws IOException {
+    private String copySource(Path file, List<Change> changes) throws IOException {
         String text = Files.readString(file);
         for (Change change : changes) {
             if (file.getFileName().toString().equals(change.file() + ".java")) {
-                assertTrue(text.contains(change.sound()), change.file() + " has no " + change.sound());
-                text = text.replace(change.sound(), change.spoilt());
+                assertTrue(text.contains(change.original()), change.file() + " has no " + change.original());
+                text = text.replace(change.original(), change.replacement());
             }
         }
         Path copy = dir.resolve(file.getFileName().toString());
