--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -130,7 +130,7 @@
                     fleet::sendExtension,
                     new FileVoteStorage(rolloutConfig.stateDirectory(), me),
                     document -> net.loop().execute(() -> apply(document)));
-            fleet.extend(host);
+            fleet.setExtension(host);
             return host;
         } catch (StorageException e) {
             throw new IllegalStateException("rollout: " + e.getMessage(), e);
--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -26,22 +26,22 @@
  */
 public final class AdmissionFilter extends DirectorFilter {
     /** Microseconds between two load samples. */
-    static final long REPORT_PERIOD = 250_000;
+    static final long LOAD_SAMPLE_PERIOD_US = 250_000;
     /** Microseconds before its retry time at which a client still keeps it. */
-    static final long EARLY = 250_000;
+    static final long EARLY_RETRY_TOLERANCE_US = 250_000;
     /** Microseconds after its retry time at which a client still keeps it. */
-    static final long LATE = 500_000;
+    static final long LATE_RETRY_TOLERANCE_US = 500_000;
     /** The shortest retry time that is advised, in microseconds. */
-    static final long MIN_RETRY_AFTER = 250_000;
+    static final long MIN_RETRY_AFTER_US = 250_000;
     /** Retries of the whole fleet over its requests. */
     static final double MAX_RETRY_RATIO = 0.15;
     /** Retries of this broker over its own requests, whatever others claim; and one more. */
     static final double MAX_OWN_RETRY_RATIO = 0.5;
 
     /** Microseconds over which retries and requests are counted. */
-    private static final long RETRY_WINDOW = 5_000_000;
+    private static final long RETRY_WINDOW_US = 5_000_000;
 
-    private static final String TIMER = "fleet";
+    private static final String TIMER_KEY = "fleet";
     /** The age of a request whose session was displaced: see {@link SheddingThreshold#step}. */
     private static final int AGE_DISPLACED = 2;
     /** The age of a request that returns at its retry time. */
@@ -49,7 +49,7 @@
 
     private static final int AGE_FRESH = 0;
     /** Bounds the age of a snapshot in the log, which has none before the first. */
-    private static final long MAX_LOGGED_AGE = 1_000_000_000;
+    private static final long MAX_LOGGED_AGE_US = 1_000_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionFilter.class);
 
@@ -79,7 +79,7 @@
     /** Servers that are being probed; bounded by the server list. */
     private final Set<String> avoided = new HashSet<>();
     /** The counter of the latest storm note handed on, by broker. */
-    private final Map<Integer, Integer> handedOnNotes = new HashMap<>();
+    private final Map<Integer, Integer> forwardedMessages = new HashMap<>();
 
     private final ArrayDeque<Long> retryTimes = new ArrayDeque<>();
     private final ArrayDeque<Long> requestTimes = new ArrayDeque<>();
@@ -143,7 +143,7 @@
             alone = !fresh;
             LOG.atInfo()
                     .setMessage(alone ? "fleet snapshot stale, serving alone" : "fleet snapshot fresh")
-                    .addKeyValue("snapshot_age_ms", Math.min(MAX_LOGGED_AGE, now - latest.takenAt()) / 1000)
+                    .addKeyValue("snapshot_age_ms", Math.min(MAX_LOGGED_AGE_US, now - latest.takenAt()) / 1000)
                     .log();
         }
         return fresh ? latest : FleetSnapshot.ALONE;
@@ -169,7 +169,11 @@
     private boolean keepsRetryTime(Request r) {
         long unit = Math.max(1, out.retryAfterUnit(r.id()));
         return SheddingThreshold.keepsRetryTime(
-                clientHash(r), now, settings.limits().maxRetryAfter(), EARLY + unit, LATE + unit);
+                clientHash(r),
+                now,
+                settings.limits().maxRetryAfter(),
+                EARLY_RETRY_TOLERANCE_US + unit,
+                LATE_RETRY_TOLERANCE_US + unit);
     }
 
     /** Whether a request that came now would be shed: alike at every broker with the same snapshot. */
@@ -204,7 +208,7 @@
         if (longest < unit) {
             return 0;
         }
-        long delay = SheddingThreshold.retryAfter(clientHash(r), now, MIN_RETRY_AFTER, longest);
+        long delay = SheddingThreshold.retryAfter(clientHash(r), now, MIN_RETRY_AFTER_US, longest);
         return Math.max(unit, Math.min(longest, delay) / unit * unit);
     }
 
@@ -214,25 +218,25 @@
     protected void beforeEvent(long at) {
         now = Math.max(now, at);
         if (!timerSet) {
-            setTimer(now + REPORT_PERIOD);
+            setTimer(now + LOAD_SAMPLE_PERIOD_US);
         }
     }
 
     private void setTimer(long at) {
         timerSet = true;
-        out.timer(TIMER, at);
+        out.timer(TIMER_KEY, at);
     }
 
     @Override
     public void timer(long at, String key) {
         beforeEvent(at);
-        if (!key.equals(TIMER)) {
+        if (!key.equals(TIMER_KEY)) {
             nextDirector.timer(at, key);
             return;
         }
         sampleLoad();
-        handOnNotes();
-        setTimer(now + REPORT_PERIOD);
+        forwardStormMessages();
+        setTimer(now + LOAD_SAMPLE_PERIOD_US);
     }
 
     private void sampleLoad() {
@@ -248,9 +252,9 @@
         retries = 0;
     }
 
-    private void handOnNotes() {
-        snapshot().stormNotes().forEach((from, note) -> {
-            Integer previous = handedOnNotes.put(from, note.counter());
+    private void forwardStormMessages() {
+        snapshot().stormMessages().forEach((from, note) -> {
+            Integer previous = forwardedMessages.put(from, note.counter());
             if (previous == null || previous != note.counter()) {
                 nextDirector.peerMessageReceived(now, from, note.value());
             }
@@ -313,7 +317,7 @@
         }
         boolean down = false;
         for (VersionedEntry report : fleet.healthReports().getOrDefault(StableHash.of(server), List.of())) {
-            boolean recent = now - report.writtenAt() < HealthProbeSchedule.REPORT_MAX_AGE;
+            boolean recent = now - report.writtenAt() < HealthProbeSchedule.REPORT_VALIDITY_US;
             if (recent && report.value().length > 0) {
                 if (report.value()[0] == HealthProbeSchedule.UP) {
                     return false;
@@ -330,7 +334,7 @@
     }
 
     private void dropOldTimes(ArrayDeque<Long> times) {
-        while (!times.isEmpty() && times.peekFirst() < now - RETRY_WINDOW) {
+        while (!times.isEmpty() && times.peekFirst() < now - RETRY_WINDOW_US) {
             times.removeFirst();
         }
     }
@@ -346,7 +350,7 @@
             return true;
         }
         dropOldTimes();
-        double fleetRequests = fleet.requestsPerSecond() * RETRY_WINDOW / 1e6;
+        double fleetRequests = fleet.requestsPerSecond() * RETRY_WINDOW_US / 1e6;
         double fleetRetries = MAX_RETRY_RATIO * Math.max(requestTimes.size(), fleetRequests);
         double limit = Math.min(1 + share * fleetRetries, 1 + MAX_OWN_RETRY_RATIO * requestTimes.size());
         boolean allowed = retryTimes.size() + 1 <= limit;
--- a/src/main/java/dockshed/fleet/ContactSchedule.java
+++ b/src/main/java/dockshed/fleet/ContactSchedule.java
@@ -15,9 +15,9 @@
  */
 final class ContactSchedule {
     /** Microseconds between two contacts at most. */
-    static final long MAX_PERIOD = 500_000;
+    static final long MAX_PERIOD_US = 500_000;
     /** Microseconds between two contacts at least, where few brokers have to reach many scopes. */
-    static final long MIN_PERIOD = 125_000;
+    static final long MIN_PERIOD_US = 125_000;
     /** Contacts a second that a scope has from each other one, as far as the bounds of the period allow. */
     private static final double CONTACTS_PER_SECOND = 2;
 
@@ -34,7 +34,7 @@
         this.random = random;
         int others = zones.scopes().size() - 1;
         double wanted = own.size() / (CONTACTS_PER_SECOND * Math.max(1, others));
-        period = (long) Math.max(MIN_PERIOD, Math.min(MAX_PERIOD, wanted * 1e6));
+        period = (long) Math.max(MIN_PERIOD_US, Math.min(MAX_PERIOD_US, wanted * 1e6));
         dueAt = others == 0 ? Long.MAX_VALUE : now + random.nextLong(period);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** The broker to contact now; the next contact is due a period later, give or take a quarter. */
-    int next(long now) {
+    int nextContact(long now) {
         dueAt = now + period * 3 / 4 + random.nextLong(period / 2);
         if (round.isEmpty()) {
             for (Scope scope : zones.scopes()) {
--- a/src/main/java/dockshed/fleet/EntryStore.java
+++ b/src/main/java/dockshed/fleet/EntryStore.java
@@ -21,15 +21,15 @@
 final class EntryStore {
     /** Entries of one owner at most: one of each single kind, and health reports. */
     static final int MAX_ENTRIES_PER_OWNER = 24;
-    /** Within {@link #STRIKE_WINDOW} a relay's copies are overtaken by their owner's less often than this. */
+    /** Within {@link #STRIKE_WINDOW_US} a relay's copies are overtaken by their owner's less often than this. */
     static final int MAX_STRIKES = 3;
 
     /** Microseconds for which a strike counts. */
-    static final long STRIKE_WINDOW = 10_000_000;
+    static final long STRIKE_WINDOW_US = 10_000_000;
     /** Buckets of the digest: owners by their number. */
     static final int DIGEST_BUCKETS = 16;
 
-    private static final long DEFAULT_TIME_TO_LIVE = 10_000_000;
+    private static final long DEFAULT_TIME_TO_LIVE_US = 10_000_000;
     /** An item's kind and length, and the entry's header. */
     private static final int ITEM_OVERHEAD = 2 + VersionedEntry.HEADER_BYTES;
 
@@ -65,7 +65,7 @@
         this.me = me;
         this.scope = scope;
         this.incarnation = incarnation;
-        Arrays.fill(timeToLive, DEFAULT_TIME_TO_LIVE);
+        Arrays.fill(timeToLive, DEFAULT_TIME_TO_LIVE_US);
     }
 
     /** Sets how long entries of a kind are held, in microseconds from when they were written. */
@@ -142,7 +142,7 @@
         }
         int order = received.compareVersion(held.entry);
         if (order < 0 && source == received.owner() && held.source != source) {
-            strike(now, held.source, onForger);
+            recordStrike(now, held.source, onForger);
             remove(held);
             set(new StoredEntry(received, source));
             return true;
@@ -172,10 +172,10 @@
         return true;
     }
 
-    private void strike(long now, int relay, Consumer<Integer> onForger) {
+    private void recordStrike(long now, int relay, Consumer<Integer> onForger) {
         forged++;
         List<Long> times = strikes.computeIfAbsent(relay, x -> new ArrayList<>());
-        times.removeIf(time -> now - time > STRIKE_WINDOW);
+        times.removeIf(time -> now - time > STRIKE_WINDOW_US);
         times.add(now);
         if (times.size() >= MAX_STRIKES) {
             strikes.remove(relay);
--- a/src/main/java/dockshed/fleet/FleetHost.java
+++ b/src/main/java/dockshed/fleet/FleetHost.java
@@ -30,11 +30,11 @@
     static final int MAX_PENDING_EVENTS = 1024;
 
     /** Microseconds between two log lines of figures. */
-    private static final long LOG_PERIOD = 10_000_000;
+    private static final long FIGURES_LOG_PERIOD_US = 10_000_000;
 
-    private static final long MIN_TICK_DELAY = 1000;
+    private static final long MIN_TICK_DELAY_US = 1000;
     /** Microseconds between two snapshots at least. */
-    private static final long MIN_PUBLISH_GAP = 50_000;
+    private static final long MIN_PUBLISH_GAP_US = 50_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetHost.class);
 
@@ -78,8 +78,8 @@
 
     /** Begins to listen and to gossip. Throws IllegalStateException if the address cannot be listened on. */
     public void start(InetSocketAddress at) {
-        nextLogAt = clock.now() + LOG_PERIOD;
-        peers.listen(net, at, (from, message) -> guarded(() -> receive(from, message)));
+        nextLogAt = clock.now() + FIGURES_LOG_PERIOD_US;
+        peers.listen(net, at, (from, message) -> runGuarded(() -> receive(from, message)));
         net.loop().execute(this::tick);
     }
 
@@ -94,7 +94,7 @@
         if (!queued) {
             droppedEvents.incrementAndGet();
         } else if (wakeUpScheduled.compareAndSet(false, true)) {
-            net.loop().execute(() -> guarded(this::handlePending));
+            net.loop().execute(() -> runGuarded(this::handlePending));
         }
         return queued;
     }
@@ -102,12 +102,12 @@
     /** Replicates the retry-storm part's message as an entry, so that all messages share one form and one budget. */
     @Override
     public void broadcast(byte[] message) {
-        offer(new LocalEvent.StormNote(message.clone()));
+        offer(new LocalEvent.StormMessage(message.clone()));
     }
 
     /** Carries another protocol along in the gossip's datagrams; to be called before {@link #start}. */
-    public void extend(GossipExtension extension) {
-        node.extend(extension);
+    public void setExtension(GossipExtension extension) {
+        node.setExtension(extension);
     }
 
     /** Queues a body of the extension; on the fleet's loop only, from where the extension is called. */
@@ -131,21 +131,21 @@
     }
 
     private void tick() {
-        guarded(() -> {
+        runGuarded(() -> {
             handlePending();
             node.tick(clock.now(), peers::send);
             publishIfDue();
         });
         long now = clock.now();
-        long due = node.next(now);
+        long due = node.nextTickAt(now);
         if (publishDue) {
-            due = Math.min(due, publishedAt + MIN_PUBLISH_GAP);
+            due = Math.min(due, publishedAt + MIN_PUBLISH_GAP_US);
         }
-        net.loop().schedule(this::tick, Math.max(MIN_TICK_DELAY, due - now), TimeUnit.MICROSECONDS);
+        net.loop().schedule(this::tick, Math.max(MIN_TICK_DELAY_US, due - now), TimeUnit.MICROSECONDS);
     }
 
     /** An internal error does not end the loop; if no snapshot comes of it any more, the broker serves alone. */
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -156,7 +156,7 @@
 
     /** In a fleet with zones there are a hundred ticks a second; nobody needs as many snapshots. */
     private void publishIfDue() {
-        publishDue = clock.now() - publishedAt < MIN_PUBLISH_GAP;
+        publishDue = clock.now() - publishedAt < MIN_PUBLISH_GAP_US;
         if (!publishDue) {
             publishedAt = clock.now();
             publish();
@@ -171,7 +171,7 @@
         logLease(now, current);
         logScopeChanges(current);
         if (now >= nextLogAt) {
-            nextLogAt = now + LOG_PERIOD;
+            nextLogAt = now + FIGURES_LOG_PERIOD_US;
             logFigures(now, current);
             logZones(current);
         }
@@ -261,12 +261,12 @@
                 .addKeyValue("extension_dropped", counts.extensionDropped)
                 .addKeyValue(
                         "others",
-                        current.otherScopes().stream().map(FleetHost::brief).toList())
+                        current.otherScopes().stream().map(FleetHost::describe).toList())
                 .log();
     }
 
     /** Zone, present brokers of those configured, and how old that figure is: {@code north-2:73/73:0.8s}. */
-    private static String brief(ScopeStatus status) {
+    private static String describe(ScopeStatus status) {
         String age = status.isKnown() ? String.format(Locale.ROOT, "%.1fs", status.age() / 1e6) : "unknown";
         return status.zone() + ":" + status.present() + "/" + status.configured() + ":" + age;
     }
--- a/src/main/java/dockshed/fleet/FleetSnapshot.java
+++ b/src/main/java/dockshed/fleet/FleetSnapshot.java
@@ -17,7 +17,7 @@
  * @param sheddingThreshold the priority below which to refuse; 0: none
  * @param requestsPerSecond of the whole fleet, as replicated
  * @param healthReports     on edge servers, by the hash of the server's id
- * @param stormNotes        of the retry-storm part, by broker
+ * @param stormMessages        of the retry-storm part, by broker
  * @param otherScopes       what is known of the other scopes of a divided fleet; all else is of the own scope, but for
  *     {@code sheddingThreshold} and {@code requestsPerSecond}
  */
@@ -32,10 +32,10 @@
         int sheddingThreshold,
         double requestsPerSecond,
         Map<Integer, List<VersionedEntry>> healthReports,
-        Map<Integer, VersionedEntry> stormNotes,
+        Map<Integer, VersionedEntry> stormMessages,
         List<ScopeStatus> otherScopes) {
     /** Microseconds after which a snapshot counts as none: the fleet's loop has stalled. */
-    public static final long MAX_AGE = 1_500_000;
+    public static final long MAX_AGE_US = 1_500_000;
 
     /** Stands in place of a share where none is kept. */
     public static final double UNSHARED = -1;
@@ -102,7 +102,7 @@
 
     /** Whether it is young enough to be used. */
     public boolean isFresh(long now) {
-        return now - takenAt <= MAX_AGE;
+        return now - takenAt <= MAX_AGE_US;
     }
 
     /** The share of new sessions in force, of 1, or {@link #UNSHARED}. */
--- a/src/main/java/dockshed/fleet/GossipExtension.java
+++ b/src/main/java/dockshed/fleet/GossipExtension.java
@@ -15,13 +15,13 @@
     void receive(long now, int from, byte[] body);
 
     /** Takes the announcement that came with another broker's datagram. */
-    void heardAnnouncement(long now, int from, byte[] announcement);
+    void receiveAnnouncement(long now, int from, byte[] announcement);
 
     /** Does what is due. */
     void tick(long now);
 
     /** When {@link #tick} is to be called at the latest. */
-    long next(long now);
+    long nextTickAt(long now);
 
     /** What goes along with every datagram that has room for it: at most {@link #MAX_ANNOUNCEMENT_BYTES}; empty: nothing. */
     byte[] announcement();
@@ -32,13 +32,13 @@
         public void receive(long now, int from, byte[] body) {}
 
         @Override
-        public void heardAnnouncement(long now, int from, byte[] announcement) {}
+        public void receiveAnnouncement(long now, int from, byte[] announcement) {}
 
         @Override
         public void tick(long now) {}
 
         @Override
-        public long next(long now) {
+        public long nextTickAt(long now) {
             return Long.MAX_VALUE;
         }
 
--- a/src/main/java/dockshed/fleet/GossipNode.java
+++ b/src/main/java/dockshed/fleet/GossipNode.java
@@ -20,58 +20,58 @@
  */
 public final class GossipNode {
     /** Microseconds without a call after which the process counts as stalled: its calls come every tenth of a second. */
-    static final long STALL = 1_000_000;
+    static final long STALL_THRESHOLD_US = 1_000_000;
     /** Microseconds after a stall in which datagrams are discarded: they had waited in the socket. */
-    static final long STALE_DATAGRAMS = 60_000;
+    static final long STALE_DATAGRAM_WINDOW_US = 60_000;
     /** Microseconds between two ticks at most. */
-    static final long MAX_TICK_GAP = 100_000;
+    static final long MAX_TICK_GAP_US = 100_000;
     /** Part of the byte budget that pushing the own entries to each peer in turn may take. */
-    private static final double PUSH_PART = 0.5;
+    private static final double PUSH_BUDGET_SHARE = 0.5;
     /** Bytes that a push takes, about. */
-    private static final double PUSH_BYTES = 70;
+    private static final double ESTIMATED_PUSH_BYTES = 70;
     /** Microseconds between two pushes at least. */
-    private static final long MIN_PUSH_GAP = 100_000;
+    private static final long MIN_PUSH_GAP_US = 100_000;
     /** Bytes a second that allow probes at their usual pace, a third of them for the probes themselves. */
-    private static final double PROBE_BYTES = 900;
+    private static final double FULL_PROBE_RATE_BYTES_PER_SECOND = 900;
     /** Part of the byte budget that pushing takes in a fleet with zones. */
-    private static final double ZONED_PUSH_PART = 0.85;
+    private static final double ZONED_PUSH_BUDGET_SHARE = 0.85;
     /** Bytes that a push takes in a fleet with zones, about, until some were sent. */
-    private static final double ZONED_PUSH_BYTES = 110;
+    private static final double INITIAL_ZONED_PUSH_BYTES = 110;
     /** How much a push changes the average of their bytes. */
     private static final double PUSH_BYTES_SMOOTHING = 0.05;
     /** Microseconds in which each peer of the scope is pushed to at most once. */
-    private static final long MIN_PUSH_ROUND = 500_000;
+    private static final long MIN_PUSH_ROUND_US = 500_000;
     /** Microseconds between two changes of the own load figures in a fleet with zones. */
-    private static final long LOAD_PERIOD = 200_000;
+    private static final long MIN_LOAD_CHANGE_GAP_US = 200_000;
     /** Part of the pushes that relay another scope's summary: each peer has several a second of each scope by that. */
-    private static final double RELAY_PART = 0.5;
+    private static final double RELAYING_PUSH_SHARE = 0.5;
     /**
      * Of the gossip's bytes a second, how many more the extension may send, and for how many seconds it may save them up.
      * It has an allowance of its own: the gossip uses all of its budget at times, and would hold it up for minutes.
      */
-    private static final double EXTENSION_PART = 0.5;
+    private static final double EXTENSION_BUDGET_SHARE = 0.5;
 
     private static final double EXTENSION_BURST_SECONDS = 10;
     /** Microseconds between two rounds of anti-entropy. */
-    private static final long REPAIR_PERIOD = 2_000_000;
+    private static final long REPAIR_PERIOD_US = 2_000_000;
     /** Microseconds between two answers to digests at least. */
-    private static final long REPAIR_REPLY_GAP = 400_000;
+    private static final long MIN_REPAIR_REPLY_GAP_US = 400_000;
     /** Datagrams of an answer to a digest at most. */
     private static final int MAX_REPAIR_DATAGRAMS = 3;
     /** By how many entries the start of an answer to a digest moves on each time. */
     private static final int REPAIR_STRIDE = 7;
     /** The time constant of the load figures, in microseconds. */
-    private static final double SMOOTHING = 1_000_000;
+    private static final double LOAD_TIME_CONSTANT_US = 1_000_000;
     /** Rounds of pushing that an entry of load figures outlives. */
-    private static final int LOAD_ROUNDS = 4;
+    private static final int LOAD_LIFETIME_ROUNDS = 4;
     /** Added to the life of an entry of load figures, in microseconds. */
-    private static final long LOAD_MARGIN = 500_000;
+    private static final long LOAD_LIFETIME_MARGIN_US = 500_000;
     /** How long a note of the retry-storm part is held, in microseconds. */
-    private static final long STORM_NOTE_LIFE = 3_000_000;
+    private static final long STORM_MESSAGE_LIFETIME_US = 3_000_000;
     /** Retries that a lease asks for at least, over requests. */
-    private static final double MIN_RETRY_DEMAND = 0.05;
+    private static final double MIN_RETRY_DEMAND_RATIO = 0.05;
     /** Milliseconds by which an incarnation may lie in the future: a clock is seldom off by more than a week. */
-    private static final long MAX_INCARNATION_LEAD = 7L * 24 * 3600 * 1000;
+    private static final long MAX_INCARNATION_LEAD_MS = 7L * 24 * 3600 * 1000;
     /** More refutations than this never occur in one incarnation: then the others speak of another one of this broker. */
     private static final long MAX_REFUTATIONS = 10_000;
     /** Budget saved up at most: this many seconds' worth, and a datagram. */
@@ -119,11 +119,11 @@
     private final SheddingThreshold threshold = new SheddingThreshold();
     private final ScopeSummaryStore summaries;
     private final ContactSchedule contacts;
-    private final OutsideSenders outside;
+    private final OutsideSenders outsideSenders;
     private final ExtensionQueue extensionQueue = new ExtensionQueue();
     private final Counts counts = new Counts();
     private GossipExtension extension = GossipExtension.NONE;
-    private double pushBytes = ZONED_PUSH_BYTES;
+    private double pushBytes = INITIAL_ZONED_PUSH_BYTES;
     private long loadWrittenAt = Long.MIN_VALUE / 2;
     private long summaryVersion;
     private long incarnation;
@@ -138,14 +138,14 @@
     private int pushTo;
     private long expireAt = Long.MIN_VALUE;
     private long repairAt;
-    private long repliedAt;
+    private long repairRepliedAt;
     private int repairStart;
     private final double[] demand = new double[SheddingThreshold.PRIORITY_STEPS];
     private double accepted;
     private double rejected;
     private double retries;
     private int proposal;
-    private boolean left;
+    private boolean hasLeft;
 
     /**
      * @param me      this broker's number of {@code brokers}
@@ -163,22 +163,23 @@
         scope = zones.scopeOf(me);
         random = new SplittableRandom(seed);
         incarnation = unixMs;
-        double stretch = Math.max(1, PROBE_BYTES / settings.bytesPerSecond());
+        double stretch = Math.max(1, FULL_PROBE_RATE_BYTES_PER_SECOND / settings.bytesPerSecond());
         membership = new Membership(me, scope, incarnation, now, stretch, random.split());
         entries = new EntryStore(me, scope, incarnation);
         leases = new LeasedShares(me, zones, settings.guaranteedShare(), incarnation, now, membership, random.split());
         summaries = new ScopeSummaryStore(zones, scope);
         contacts = new ContactSchedule(zones, scope, now, new SplittableRandom(seed + 1));
-        outside = new OutsideSenders(brokers, now);
-        entries.setTimeToLive(VersionedEntry.LOAD, LOAD_ROUNDS * (pushInterval() * scope.size() + LOAD_MARGIN));
-        entries.setTimeToLive(VersionedEntry.STORM_NOTE, STORM_NOTE_LIFE);
-        entries.setTimeToLive(VersionedEntry.HEALTH_REPORT, 4 * HealthProbeSchedule.REPORT_MAX_AGE);
-        entries.setTimeToLive(VersionedEntry.LEASE_COORDINATOR, LeasedShares.VOTE_TERM);
+        outsideSenders = new OutsideSenders(brokers, now);
+        entries.setTimeToLive(
+                VersionedEntry.LOAD, LOAD_LIFETIME_ROUNDS * (pushInterval() * scope.size() + LOAD_LIFETIME_MARGIN_US));
+        entries.setTimeToLive(VersionedEntry.STORM_MESSAGE, STORM_MESSAGE_LIFETIME_US);
+        entries.setTimeToLive(VersionedEntry.HEALTH_REPORT, 4 * HealthProbeSchedule.REPORT_VALIDITY_US);
+        entries.setTimeToLive(VersionedEntry.LEASE_COORDINATOR, LeasedShares.VOTE_TERM_US);
         lastCalledAt = now;
         tokensAt = now;
         steadyAt = now;
         pushAt = now + random.nextLong(pushInterval());
-        repairAt = now + REPAIR_PERIOD + random.nextLong(REPAIR_PERIOD);
+        repairAt = now + REPAIR_PERIOD_US + random.nextLong(REPAIR_PERIOD_US);
     }
 
     /** Counts since the start; they go on changing. */
@@ -190,7 +191,7 @@
     }
 
     /** Carries another protocol along; to be called before the first datagram. */
-    public void extend(GossipExtension other) {
+    public void setExtension(GossipExtension other) {
         extension = other;
     }
 
@@ -226,29 +227,30 @@
 
     private long pushInterval() {
         if (zones.zoned()) {
-            double gap = pushBytes / (settings.bytesPerSecond() * ZONED_PUSH_PART) * 1e6;
-            return Math.max(MIN_PUSH_ROUND / scope.size(), (long) gap);
+            double gap = pushBytes / (settings.bytesPerSecond() * ZONED_PUSH_BUDGET_SHARE) * 1e6;
+            return Math.max(MIN_PUSH_ROUND_US / scope.size(), (long) gap);
         }
-        return Math.max(MIN_PUSH_GAP, (long) (PUSH_BYTES / (settings.bytesPerSecond() * PUSH_PART) * 1e6));
+        return Math.max(
+                MIN_PUSH_GAP_US, (long) (ESTIMATED_PUSH_BYTES / (settings.bytesPerSecond() * PUSH_BUDGET_SHARE) * 1e6));
     }
 
     /** When {@link #tick} is to be called at the latest. */
-    public long next(long now) {
-        long due = Math.min(membership.next(), Math.min(pushAt, leases.next(now)));
-        due = Math.min(due, Math.min(contacts.dueAt(), extension.next(now)));
-        return Math.min(now + MAX_TICK_GAP, Math.max(now + 1000, due));
+    public long nextTickAt(long now) {
+        long due = Math.min(membership.nextTickAt(), Math.min(pushAt, leases.nextTickAt(now)));
+        due = Math.min(due, Math.min(contacts.dueAt(), extension.nextTickAt(now)));
+        return Math.min(now + MAX_TICK_GAP_US, Math.max(now + 1000, due));
     }
 
     // ---- Time.
 
-    private void begin(long now) {
+    private void detectStall(long now) {
         long gap = now - lastCalledAt;
         lastCalledAt = now;
-        if (gap > STALL) {
+        if (gap > STALL_THRESHOLD_US) {
             counts.stalls++;
-            membership.resumed(now, gap);
-            leases.resumed();
-            discardUntil = now + STALE_DATAGRAMS;
+            membership.resumeAfterStall(now, gap);
+            leases.resumeAfterStall();
+            discardUntil = now + STALE_DATAGRAM_WINDOW_US;
             steadyAt = Long.MAX_VALUE; // until somebody has answered
             pushAt = now;
         }
@@ -256,27 +258,27 @@
 
     /** Does what is due: probes, leases, a push, a round of anti-entropy. */
     public void tick(long now, Sink sink) {
-        begin(now);
-        if (left) {
+        detectStall(now);
+        if (hasLeft) {
             return;
         }
-        Membership.Out out = (to, items) -> send(now, to, items, sink);
+        Membership.ItemSender out = (to, items) -> send(now, to, items, sink);
         if (now >= expireAt) {
-            expireAt = now + MAX_TICK_GAP;
+            expireAt = now + MAX_TICK_GAP_US;
             entries.expire(now);
             summaries.expire(now);
         }
         membership.tick(now, out);
         if (settings.leases()) {
             double requests = sum(demand);
-            leases.demand(requests, Math.max(MIN_RETRY_DEMAND * requests, retries));
+            leases.demand(requests, Math.max(MIN_RETRY_DEMAND_RATIO * requests, retries));
             leases.tick(now, entries, out);
         }
         if (now >= pushAt) {
             push(now, sink);
         }
         if (now >= repairAt) {
-            repairAt = now + REPAIR_PERIOD + random.nextLong(REPAIR_PERIOD / 4);
+            repairAt = now + REPAIR_PERIOD_US + random.nextLong(REPAIR_PERIOD_US / 4);
             for (int to : membership.randomPresent(1, me)) {
                 out.send(to, List.of(digest(true)));
             }
@@ -316,14 +318,14 @@
 
     private List<Item> pushedItems(long now) {
         List<Item> items = new ArrayList<>();
-        for (int kind : new int[] {VersionedEntry.LOAD, VersionedEntry.STORM_NOTE}) {
+        for (int kind : new int[] {VersionedEntry.LOAD, VersionedEntry.STORM_MESSAGE}) {
             VersionedEntry entry = entries.get(me, kind, 0);
             if (entry != null) {
                 items.add(entry.write(now));
             }
         }
         ScopeSummary relayed =
-                zones.zoned() && random.nextDouble() < RELAY_PART ? summaries.nextToRelay(now, scope) : null;
+                zones.zoned() && random.nextDouble() < RELAYING_PUSH_SHARE ? summaries.nextToRelay(now, scope) : null;
         if (relayed != null && sizeOf(items) + relayed.write(now).size() <= Envelope.MAX_BYTES) {
             items.add(relayed.write(now));
         }
@@ -339,7 +341,7 @@
 
     /** Sends the own scope's summary to a broker of another one, and what was heard of further ones first hand. */
     private void contactOtherScope(long now, Sink sink) {
-        int to = contacts.next(now);
+        int to = contacts.nextContact(now);
         Scope theirs = zones.scopeOf(to);
         List<Item> items = new ArrayList<>(List.of(summarize(now).write(now)));
         int room = Envelope.MAX_BYTES - announcementBytes() - sizeOf(items);
@@ -353,7 +355,7 @@
             room -= item.size();
         }
         refill(now);
-        sendAsIs(now, to, items, sink);
+        sendDatagram(now, to, items, sink);
     }
 
     private ScopeSummary summarize(long now) {
@@ -367,7 +369,7 @@
     /** A datagram of a broker outside the scope makes no member of it. */
     private void receiveFromOutside(long now, Envelope envelope, Sink sink) {
         int from = envelope.sender();
-        if (!zones.contains(from) || !outside.admits(now, from)) {
+        if (!zones.contains(from) || !outsideSenders.admits(now, from)) {
             counts.discarded++;
             return;
         }
@@ -375,16 +377,16 @@
             if (item.kind() == Envelope.PING && item.body().length >= 2) {
                 // Of a broker that is not told of the zones: without an answer it would take this one for dead.
                 refill(now);
-                sendAsIs(now, from, List.of(new Item(Envelope.ACK, Arrays.copyOf(item.body(), 2))), sink);
+                sendDatagram(now, from, List.of(new Item(Envelope.ACK, Arrays.copyOf(item.body(), 2))), sink);
             } else {
-                fleetItem(now, from, item);
+                handleFleetItem(now, from, item);
             }
         }
         sendExtensionMessages(now, sink);
     }
 
     /** Handles an item of a kind that brokers of all scopes send one another. */
-    private void fleetItem(long now, int from, Item item) {
+    private void handleFleetItem(long now, int from, Item item) {
         switch (item.kind()) {
             case Envelope.SCOPE_SUMMARY -> {
                 if (zones.zoned()) {
@@ -392,7 +394,7 @@
                 }
             }
             case Envelope.EXTENSION -> extension.receive(now, from, item.body());
-            case Envelope.ANNOUNCEMENT -> extension.heardAnnouncement(now, from, item.body());
+            case Envelope.ANNOUNCEMENT -> extension.receiveAnnouncement(now, from, item.body());
             default -> {}
         }
     }
@@ -422,7 +424,7 @@
                 return;
             }
             extensionQueue.remove();
-            sendAsIs(now, next.to(), List.of(item), sink);
+            sendDatagram(now, next.to(), List.of(item), sink);
             extensionTokens -= size;
             tokens += size; // not the gossip's
         }
@@ -432,7 +434,7 @@
         if (!settings.loadShedding()) {
             return;
         }
-        if (zones.zoned() && now - loadWrittenAt < LOAD_PERIOD) {
+        if (zones.zoned() && now - loadWrittenAt < MIN_LOAD_CHANGE_GAP_US) {
             return;
         }
         loadWrittenAt = now;
@@ -460,18 +462,18 @@
 
     /** Handles a datagram; one that is malformed, repeated or not of the fleet is counted and discarded. */
     public void receive(long now, byte[] datagram, Sink sink) {
-        begin(now);
+        detectStall(now);
         counts.received++;
         counts.bytesReceived += datagram.length;
-        Envelope envelope = left || now < discardUntil ? null : Envelope.read(datagram);
+        Envelope envelope = hasLeft || now < discardUntil ? null : Envelope.read(datagram);
         if (envelope != null && !scope.contains(envelope.sender())) {
             receiveFromOutside(now, envelope, sink);
             return;
         }
-        if (envelope != null && membership.isBehind(envelope)) {
+        if (envelope != null && membership.hasStaleIncarnation(envelope)) {
             // It does not know what was said of it: an earlier datagram of its incarnation, or a clock that went back.
             if (membership.takeToken(now, envelope.sender())) {
-                send(now, envelope.sender(), List.of(membership.updateOn(envelope.sender())), sink);
+                send(now, envelope.sender(), List.of(membership.stateItem(envelope.sender())), sink);
             }
             envelope = null;
         }
@@ -479,32 +481,32 @@
             counts.discarded++;
             return;
         }
-        if (membership.heard(now, envelope)) {
-            welcome(now, envelope.sender(), sink);
+        if (membership.datagramReceived(now, envelope)) {
+            sendPublishedVotes(now, envelope.sender(), sink);
         }
-        Membership.Out out = (to, items) -> send(now, to, items, sink);
+        Membership.ItemSender out = (to, items) -> send(now, to, items, sink);
         for (Item item : envelope.items()) {
-            item(now, envelope.sender(), item, sink, out);
+            handleItem(now, envelope.sender(), item, sink, out);
         }
         sendExtensionMessages(now, sink);
     }
 
     /** The latest incarnation that is plausible. */
     static long latestIncarnation(long now) {
-        return now / 1000 + MAX_INCARNATION_LEAD;
+        return now / 1000 + MAX_INCARNATION_LEAD_MS;
     }
 
-    private void item(long now, int from, Item item, Sink sink, Membership.Out out) {
+    private void handleItem(long now, int from, Item item, Sink sink, Membership.ItemSender out) {
         switch (item.kind()) {
             case Envelope.ENTRY -> mergeEntry(now, from, item);
             case Envelope.DIGEST -> answerDigest(now, from, item, sink);
-            case Envelope.SCOPE_SUMMARY, Envelope.EXTENSION, Envelope.ANNOUNCEMENT -> fleetItem(now, from, item);
+            case Envelope.SCOPE_SUMMARY, Envelope.EXTENSION, Envelope.ANNOUNCEMENT -> handleFleetItem(now, from, item);
             case Envelope.VOTE_REQUEST, Envelope.VOTE, Envelope.LEASE_REQUEST, Envelope.LEASE_GRANT -> {
                 if (settings.leases()) {
-                    leases.item(now, from, item, out);
+                    leases.handleItem(now, from, item, out);
                 }
             }
-            default -> membership.item(now, from, item, out);
+            default -> membership.handleItem(now, from, item, out);
         }
         if (membership.incarnation() - incarnation > MAX_REFUTATIONS) {
             // The others know of an incarnation that began later: this clock went back.
@@ -521,13 +523,13 @@
     }
 
     /** A broker that joins is told at once whom to ask for its lease. */
-    private void welcome(long now, int to, Sink sink) {
+    private void sendPublishedVotes(long now, int to, Sink sink) {
         List<Item> items = new ArrayList<>();
         for (VersionedEntry vote : entries.ofKind(VersionedEntry.LEASE_COORDINATOR)) {
             items.add(vote.write(now));
         }
-        if (!items.isEmpty() && items.size() <= LeasedShares.VOTERS) {
-            sendAsIs(now, to, items, sink);
+        if (!items.isEmpty() && items.size() <= LeasedShares.VOTER_COUNT) {
+            sendDatagram(now, to, items, sink);
         }
     }
 
@@ -565,10 +567,10 @@
 
     /** Sends what the other does not hold alike, in a few datagrams, and asks it for the same once. */
     private void answerDigest(long now, int from, Item item, Sink sink) {
-        if (item.body().length < 1 + 4 * EntryStore.DIGEST_BUCKETS || now - repliedAt < REPAIR_REPLY_GAP) {
+        if (item.body().length < 1 + 4 * EntryStore.DIGEST_BUCKETS || now - repairRepliedAt < MIN_REPAIR_REPLY_GAP_US) {
             return;
         }
-        repliedAt = now;
+        repairRepliedAt = now;
         ByteBuffer in = item.read();
         boolean answerWanted = in.get() == 1;
         int[] theirs = new int[EntryStore.DIGEST_BUCKETS];
@@ -578,7 +580,7 @@
         sendRepair(now, from, entries.differing(theirs, repairStart), sink);
         repairStart += REPAIR_STRIDE;
         if (answerWanted) {
-            sendAsIs(now, from, List.of(digest(false)), sink);
+            sendDatagram(now, from, List.of(digest(false)), sink);
         }
     }
 
@@ -589,7 +591,7 @@
         for (VersionedEntry entry : differing) {
             Item item = entry.write(now);
             if (size + item.size() > Envelope.MAX_BYTES) {
-                sendAsIs(now, to, items, sink);
+                sendDatagram(now, to, items, sink);
                 items.clear();
                 size = Envelope.HEADER_BYTES;
                 if (++datagrams == MAX_REPAIR_DATAGRAMS) {
@@ -600,7 +602,7 @@
             size += item.size();
         }
         if (!items.isEmpty()) {
-            sendAsIs(now, to, items, sink);
+            sendDatagram(now, to, items, sink);
         }
     }
 
@@ -608,24 +610,24 @@
 
     /** Takes in an event of this broker. */
     public void handle(long now, LocalEvent event, Sink sink) {
-        begin(now);
+        detectStall(now);
         if (event instanceof LocalEvent.LoadSample sample) {
-            smooth(sample);
+            updateRates(sample);
         } else if (event instanceof LocalEvent.HealthReport report) {
             int health = report.up() ? HealthProbeSchedule.UP : HealthProbeSchedule.DOWN;
             entries.put(now, VersionedEntry.HEALTH_REPORT, report.server(), new byte[] {(byte) health});
-        } else if (event instanceof LocalEvent.StormNote note) {
+        } else if (event instanceof LocalEvent.StormMessage note) {
             if (note.bytes().length <= VersionedEntry.MAX_VALUE_BYTES) {
-                entries.put(now, VersionedEntry.STORM_NOTE, 0, note.bytes());
+                entries.put(now, VersionedEntry.STORM_MESSAGE, 0, note.bytes());
             }
         } else if (event instanceof LocalEvent.Leaving) {
             membership.leave(now, (to, items) -> send(now, to, items, sink));
-            left = true;
+            hasLeft = true;
         }
     }
 
-    private void smooth(LocalEvent.LoadSample sample) {
-        double keep = Math.exp(-sample.micros() / SMOOTHING);
+    private void updateRates(LocalEvent.LoadSample sample) {
+        double keep = Math.exp(-sample.micros() / LOAD_TIME_CONSTANT_US);
         double perSecond = (1 - keep) * 1e6 / Math.max(1, sample.micros());
         for (int step = 0; step < demand.length; step++) {
             demand[step] = keep * demand[step] + perSecond * sample.requests()[step];
@@ -650,7 +652,7 @@
             room -= updates.stream().mapToInt(Item::size).sum();
             all.addAll(entries.deltas(now, room, membership.gossipTimes() / 3 + 1));
         }
-        sendAsIs(now, to, all, sink);
+        sendDatagram(now, to, all, sink);
     }
 
     private double maxTokens() {
@@ -660,12 +662,12 @@
     private void refill(long now) {
         double added = (now - tokensAt) * settings.bytesPerSecond() / 1e6;
         tokens = Math.min(maxTokens(), tokens + added);
-        double most = EXTENSION_BURST_SECONDS * EXTENSION_PART * settings.bytesPerSecond();
-        extensionTokens = Math.min(most, extensionTokens + EXTENSION_PART * added);
+        double most = EXTENSION_BURST_SECONDS * EXTENSION_BUDGET_SHARE * settings.bytesPerSecond();
+        extensionTokens = Math.min(most, extensionTokens + EXTENSION_BUDGET_SHARE * added);
         tokensAt = now;
     }
 
-    private void sendAsIs(long now, int to, List<Item> items, Sink sink) {
+    private void sendDatagram(long now, int to, List<Item> items, Sink sink) {
         Item announcement = announcement();
         List<Item> all = items;
         if (announcement.body().length > 0 && sizeOf(items) + announcement.size() <= Envelope.MAX_BYTES) {
@@ -683,7 +685,7 @@
 
     /** What this broker knows of the fleet now. */
     public FleetSnapshot snapshot(long now) {
-        begin(now);
+        detectStall(now);
         List<Integer> proposals = new ArrayList<>();
         double requests = 0;
         for (LoadFigures figures : loadFigures(true)) {
@@ -694,7 +696,8 @@
         for (Estimate estimate : estimates) {
             requests += estimate.load().totalDemand();
         }
-        int inForce = SheddingThreshold.inForce(SheddingThreshold.inForce(proposals), proposals.size(), estimates);
+        int inForce = SheddingThreshold.effectiveThreshold(
+                SheddingThreshold.effectiveThreshold(proposals), proposals.size(), estimates);
         boolean steady = now >= steadyAt;
         return new FleetSnapshot(
                 now,
@@ -707,7 +710,7 @@
                 settings.loadShedding() && steady ? inForce : 0,
                 requests,
                 healthReports(),
-                stormNotes(),
+                stormMessages(),
                 otherScopes(estimates));
     }
 
@@ -724,7 +727,7 @@
                         other.zone().region(),
                         other.size(),
                         estimate == null ? 0 : estimate.present(),
-                        estimate == null ? ScopeSummaryStore.MAX_AGE : estimate.age()));
+                        estimate == null ? ScopeSummaryStore.MAX_AGE_US : estimate.age()));
             }
         }
         return List.copyOf(out);
@@ -740,9 +743,9 @@
         return Map.copyOf(reports);
     }
 
-    private Map<Integer, VersionedEntry> stormNotes() {
+    private Map<Integer, VersionedEntry> stormMessages() {
         Map<Integer, VersionedEntry> notes = new HashMap<>();
-        for (VersionedEntry note : entries.ofKind(VersionedEntry.STORM_NOTE)) {
+        for (VersionedEntry note : entries.ofKind(VersionedEntry.STORM_MESSAGE)) {
             if (note.owner() != me) {
                 notes.put(note.owner(), note);
             }
--- a/src/main/java/dockshed/fleet/HealthProbeSchedule.java
+++ b/src/main/java/dockshed/fleet/HealthProbeSchedule.java
@@ -8,20 +8,20 @@
 
 /**
  * Which broker probes an edge server that is suspect, silent or coming back. Rendezvous hashing over the present brokers
- * gives each server an order of brokers; they take turns, {@link #TURN} apart from the time of the suspicion, until one has
+ * gives each server an order of brokers; they take turns, {@link #TURN_US} apart from the time of the suspicion, until one has
  * reported a result. So a dead server is probed by one broker in each turn, whatever the size of the fleet, and a prober
  * that is dead or partitioned off costs one turn.
  *
  * <p>Trust: a server counts as down only by the probes of two brokers, this one included, both later than the server's
- * last sign of life here. A report that it is up is believed for {@link #MAX_WAIT} of a suspicion; then this broker probes.
+ * last sign of life here. A report that it is up is believed for {@link #MAX_WAIT_US} of a suspicion; then this broker probes.
  */
 final class HealthProbeSchedule {
     /** Microseconds between two brokers' turns: a connection attempt that fails takes a quarter of a second. */
-    static final long TURN = 700_000;
+    static final long TURN_US = 700_000;
     /** Microseconds that a health report counts. */
-    static final long REPORT_MAX_AGE = 2_500_000;
+    static final long REPORT_VALIDITY_US = 2_500_000;
     /** Microseconds from the suspicion on that a broker waits for the others at most. */
-    static final long MAX_WAIT = 6_000_000;
+    static final long MAX_WAIT_US = 6_000_000;
     /** The value of a report that the server is up. */
     static final int UP = 1;
     /** The value of a report that the server is down. */
@@ -54,7 +54,7 @@
             if (report.owner() == me || !counts(now, report, suspicion)) {
                 continue;
             }
-            if (report.value()[0] == UP && now - suspicion.suspectedSince() < MAX_WAIT) {
+            if (report.value()[0] == UP && now - suspicion.suspectedSince() < MAX_WAIT_US) {
                 return Verdict.UP;
             }
             down += report.value()[0] == DOWN ? 1 : 0;
@@ -67,14 +67,14 @@
 
     private static boolean counts(long now, VersionedEntry report, Suspicion suspicion) {
         return report.value().length > 0
-                && now - report.writtenAt() <= REPORT_MAX_AGE
+                && now - report.writtenAt() <= REPORT_VALIDITY_US
                 && report.writtenAt() >= suspicion.lastSignOfLife();
     }
 
     private static boolean probeDue(long now, int me, List<Integer> brokers, int server, Suspicion suspicion) {
         int turn = order(brokers, server).indexOf(me);
-        long wait = Math.min(MAX_WAIT, Math.max(0, turn) * TURN);
-        boolean firstOrRepeat = suspicion.consecutiveFailures() == 0 || now - suspicion.lastProbedAt() >= MAX_WAIT;
+        long wait = Math.min(MAX_WAIT_US, Math.max(0, turn) * TURN_US);
+        boolean firstOrRepeat = suspicion.consecutiveFailures() == 0 || now - suspicion.lastProbedAt() >= MAX_WAIT_US;
         return now - suspicion.suspectedSince() >= wait && firstOrRepeat;
     }
 }
--- a/src/main/java/dockshed/fleet/LeaseCoordinator.java
+++ b/src/main/java/dockshed/fleet/LeaseCoordinator.java
@@ -12,14 +12,14 @@
  */
 final class LeaseCoordinator {
     /** Part of the leased share that is reserved for brokers that join. */
-    private static final double RESERVED_PART = 0.1;
+    private static final double RESERVED_FRACTION = 0.1;
     /** Part of the leased share that is split evenly; the rest follows the demand. */
-    private static final double EVEN_PART = 0.2;
+    private static final double EVEN_FRACTION = 0.2;
 
     /** Microseconds of the shortest lease that is worth granting. */
-    private static final long MIN_LEASE = LeasedShares.RETRY_AFTER;
+    private static final long MIN_LEASE_US = LeasedShares.REQUEST_RETRY_DELAY_US;
     /** Microseconds after which a broker that asks no more does not count. */
-    private static final long DEMAND_MAX_AGE = 2 * LeasedShares.MAX_LEASE;
+    private static final long DEMAND_VALIDITY_US = 2 * LeasedShares.MAX_LEASE_US;
 
     /** A lease to be sent: its length in microseconds, and the shares. */
     record Grant(long micros, ResourceAmounts shares) {}
@@ -54,7 +54,7 @@
 
     /** When the next round of vote requests is due. */
     long nextRoundAt() {
-        return roundAt + LeasedShares.VOTE_TERM / 4;
+        return roundAt + LeasedShares.VOTE_TERM_US / 4;
     }
 
     /** Begins a round of vote requests and returns its number. */
@@ -70,13 +70,13 @@
 
     /** A voter's vote. It counts from when it was requested, so it ends before the voter's own term. */
     void voted(long now, int voter, int votedRound) {
-        if (votedRound != round || now - roundAt >= LeasedShares.VOTE_TERM) {
+        if (votedRound != round || now - roundAt >= LeasedShares.VOTE_TERM_US) {
             return;
         }
         if (!isCoordinator(now)) {
             running.clear(); // all leases of an earlier term ended with it
         }
-        votes.put(voter, roundAt + LeasedShares.VOTE_TERM);
+        votes.put(voter, roundAt + LeasedShares.VOTE_TERM_US);
     }
 
     /** Whether a majority's votes run. */
@@ -96,25 +96,26 @@
 
     /** Grants a lease to a broker by its demand; null if the own term is nearly over. */
     Grant grant(long now, int holder, ResourceAmounts wanted) {
-        long micros = (long) (Math.min(LeasedShares.MAX_LEASE, termEnd(now) - now) * (1 - 2 * LeasedShares.DRIFT));
-        if (micros < MIN_LEASE) {
+        long micros = (long)
+                (Math.min(LeasedShares.MAX_LEASE_US, termEnd(now) - now) * (1 - 2 * LeasedShares.MAX_CLOCK_DRIFT));
+        if (micros < MIN_LEASE_US) {
             return null;
         }
         demands.put(holder, new Demand(wanted, now));
-        demands.values().removeIf(demand -> now - demand.reportedAt() > DEMAND_MAX_AGE);
+        demands.values().removeIf(demand -> now - demand.reportedAt() > DEMAND_VALIDITY_US);
         running.values().forEach(leases -> leases.removeIf(lease -> lease.until() <= now));
         running.values().removeIf(List::isEmpty);
         ResourceAmounts shares = ResourceAmounts.of(resource -> share(holder, wanted, resource));
-        long until = now + (long) (micros * (1 + 2 * LeasedShares.DRIFT));
+        long until = now + (long) (micros * (1 + 2 * LeasedShares.MAX_CLOCK_DRIFT));
         running.computeIfAbsent(holder, x -> new ArrayList<>()).add(new RunningLease(shares, until));
         return new Grant(micros, shares);
     }
 
     private double share(int holder, ResourceAmounts wanted, SharedResource resource) {
         double free = leasable - heldByOthers(holder, resource);
-        double aim = part(wanted, resource) * leasable * (1 - RESERVED_PART);
+        double aim = part(wanted, resource) * leasable * (1 - RESERVED_FRACTION);
         boolean known = running.containsKey(holder);
-        double limit = known ? free - RESERVED_PART / 2 * leasable : free;
+        double limit = known ? free - RESERVED_FRACTION / 2 * leasable : free;
         double share = Math.max(0, Math.min(aim, limit));
         return Math.floor(share * ResourceAmounts.SHARE_UNIT) / ResourceAmounts.SHARE_UNIT;
     }
@@ -128,7 +129,7 @@
         if (all <= 0) {
             return 1.0 / holders;
         }
-        return EVEN_PART / holders + (1 - EVEN_PART) * wanted.get(resource) / all;
+        return EVEN_FRACTION / holders + (1 - EVEN_FRACTION) * wanted.get(resource) / all;
     }
 
     /** What the others may hold: the largest running lease of each, since a later, smaller one may be lost. */
--- a/src/main/java/dockshed/fleet/LeaseHolder.java
+++ b/src/main/java/dockshed/fleet/LeaseHolder.java
@@ -3,7 +3,7 @@
 /** A broker as holder of a lease: asks for one by its demand, renews it in time, and counts it from its request. */
 final class LeaseHolder {
     /** A lease is renewed once this part of it is over. */
-    private static final double RENEW_AFTER = 0.65;
+    private static final double RENEWAL_FRACTION = 0.65;
 
     private static final int NOBODY = -1;
 
@@ -52,8 +52,8 @@
 
     /** When the next request is due: a renewal, or another try. */
     long nextRequestAt() {
-        long renewal = (long) (RENEW_AFTER * Math.max(1, heldUntil - heldSince));
-        return requestedAt + (granted ? renewal : LeasedShares.RETRY_AFTER);
+        long renewal = (long) (RENEWAL_FRACTION * Math.max(1, heldUntil - heldSince));
+        return requestedAt + (granted ? renewal : LeasedShares.REQUEST_RETRY_DELAY_US);
     }
 
     /** Begins a request to a coordinator and returns its number. */
@@ -77,7 +77,7 @@
         }
         granted = true;
         heldSince = requestedAt;
-        heldUntil = requestedAt + Math.min(grant.micros(), LeasedShares.MAX_LEASE);
+        heldUntil = requestedAt + Math.min(grant.micros(), LeasedShares.MAX_LEASE_US);
         held = grant.shares().atMost(leasable);
     }
 }
--- a/src/main/java/dockshed/fleet/LeaseVoter.java
+++ b/src/main/java/dockshed/fleet/LeaseVoter.java
@@ -13,7 +13,8 @@
 
     private static final int VOTE_BYTES = 8;
     /** A term as this clock counts it: longer than the candidate's, whichever clock is faster. */
-    private static final long OWN_TERM = (long) (LeasedShares.VOTE_TERM * (1 + 2 * LeasedShares.DRIFT));
+    private static final long OWN_VOTE_TERM_US =
+            (long) (LeasedShares.VOTE_TERM_US * (1 + 2 * LeasedShares.MAX_CLOCK_DRIFT));
 
     private final int me;
     private int votedFor = NOBODY;
@@ -24,7 +25,7 @@
 
     LeaseVoter(int me, long now) {
         this.me = me;
-        votedUntil = now + OWN_TERM;
+        votedUntil = now + OWN_VOTE_TERM_US;
     }
 
     /** Votes for a candidate, or renews its vote; false while another vote runs. */
@@ -35,7 +36,7 @@
         }
         votedFor = candidate;
         votedIncarnation = incarnation;
-        votedUntil = now + OWN_TERM;
+        votedUntil = now + OWN_VOTE_TERM_US;
         return true;
     }
 
@@ -46,7 +47,7 @@
         }
         long vote = (long) votedFor << INCARNATION_BITS | votedIncarnation;
         VersionedEntry published = entries.get(me, VersionedEntry.LEASE_COORDINATOR, 0);
-        boolean recent = published != null && now - published.writtenAt() < LeasedShares.VOTE_TERM / 2;
+        boolean recent = published != null && now - published.writtenAt() < LeasedShares.VOTE_TERM_US / 2;
         if (recent && ByteBuffer.wrap(published.value()).getLong() == vote) {
             return;
         }
@@ -56,8 +57,9 @@
 
     /** The vote of a replicated entry, or null if it is none or its term is over. */
     static Long published(long now, VersionedEntry entry) {
-        boolean running =
-                entry != null && entry.value().length >= VOTE_BYTES && now - entry.writtenAt() < LeasedShares.VOTE_TERM;
+        boolean running = entry != null
+                && entry.value().length >= VOTE_BYTES
+                && now - entry.writtenAt() < LeasedShares.VOTE_TERM_US;
         return running ? ByteBuffer.wrap(entry.value()).getLong() : null;
     }
 
--- a/src/main/java/dockshed/fleet/LeasedShares.java
+++ b/src/main/java/dockshed/fleet/LeasedShares.java
@@ -33,20 +33,20 @@
  * <li>A coordinator grants a lease only if it and all granted ones that may still run add up to the leased part. What it
  * counts for a holder is the largest of that holder's running leases, as a later, smaller one may be lost.
  * <li>Each of these compares two times of one process's own clock, so the clocks' settings have no part in it; their rates
- * may differ by {@link #DRIFT}. A process that stalled compares the time again before it uses a share.
+ * may differ by {@link #MAX_CLOCK_DRIFT}. A process that stalled compares the time again before it uses a share.
  * </ul>
  */
 final class LeasedShares {
     /** Of 1: how much faster one clock may run than another. */
-    static final double DRIFT = 0.01;
+    static final double MAX_CLOCK_DRIFT = 0.01;
     /** Microseconds of a vote's term. */
-    static final long VOTE_TERM = 4_000_000;
+    static final long VOTE_TERM_US = 4_000_000;
     /** Microseconds of a lease at most. */
-    static final long MAX_LEASE = 3_000_000;
+    static final long MAX_LEASE_US = 3_000_000;
     /** Voters; a majority of them makes a coordinator. */
-    static final int VOTERS = 5;
+    static final int VOTER_COUNT = 5;
     /** Microseconds between two requests for a lease that was not granted. */
-    static final long RETRY_AFTER = 300_000;
+    static final long REQUEST_RETRY_DELAY_US = 300_000;
 
     private static final int NOBODY = -1;
     /** Keeps the order of candidates apart from other orders by hash. */
@@ -55,7 +55,7 @@
     private static final int VOTE_REQUEST_BYTES = 4 + 6;
     private static final int LAYOUT_HASH_BYTES = 4;
     /** Stands for the layout of a fleet without zones, whose requests for votes name none. */
-    private static final int UNDIVIDED = 0;
+    private static final int UNDIVIDED_LAYOUT = 0;
 
     private static final int VOTE_BYTES = 4;
     private static final int LEASE_REQUEST_BYTES = 4 + ResourceAmounts.BYTES;
@@ -94,12 +94,12 @@
         this.me = me;
         brokers = zones.brokers();
         scope = zones.scopeOf(me);
-        layoutHash = zones.zoned() ? zones.layoutHash() : UNDIVIDED;
+        layoutHash = zones.zoned() ? zones.layoutHash() : UNDIVIDED_LAYOUT;
         this.guaranteed = guaranteed;
         this.incarnation = incarnation;
         this.membership = membership;
         preference = preference(scope);
-        voters = preference.subList(0, Math.min(VOTERS, scope.size()));
+        voters = preference.subList(0, Math.min(VOTER_COUNT, scope.size()));
         voter = new LeaseVoter(me, now);
         // Numbers start at random: an answer to an earlier incarnation must not pass for one to this one.
         double leasable = (1 - guaranteed) * scope.size() / brokers;
@@ -148,7 +148,7 @@
     // ---- Time.
 
     /** When {@link #tick} is due. */
-    long next(long now) {
+    long nextTickAt(long now) {
         long request = holder.nextRequestAt();
         long round = coordinator.nextRoundAt();
         // What is due and could not be done, for want of a coordinator or of a reason, waits for the next regular tick.
@@ -156,9 +156,9 @@
     }
 
     /** Does what is due: requests votes, replicates the own vote, requests a lease. */
-    void tick(long now, EntryStore entries, Membership.Out out) {
+    void tick(long now, EntryStore entries, Membership.ItemSender out) {
         int current = currentCoordinator(now, entries);
-        if (shouldStand(current) && now >= coordinator.nextRoundAt()) {
+        if (shouldRequestVotes(current) && now >= coordinator.nextRoundAt()) {
             requestVotes(now, out);
         }
         voter.publish(now, entries);
@@ -168,7 +168,7 @@
     }
 
     /** This process stalled: answers to what it asked for before say nothing of now. */
-    void resumed() {
+    void resumeAfterStall() {
         holder.voidRequest();
         coordinator.voidRound();
     }
@@ -195,7 +195,7 @@
     }
 
     /** Whether this broker stands for election: it is the coordinator, or the candidate while there is none. */
-    private boolean shouldStand(int current) {
+    private boolean shouldRequestVotes(int current) {
         if (current == me) {
             return true;
         }
@@ -212,10 +212,10 @@
         return me;
     }
 
-    private void requestVotes(long now, Membership.Out out) {
+    private void requestVotes(long now, Membership.ItemSender out) {
         int round = coordinator.startRound(now);
         BodyWriter body = new BodyWriter().u32(round).u48(incarnation);
-        if (layoutHash != UNDIVIDED) {
+        if (layoutHash != UNDIVIDED_LAYOUT) {
             body.u32(layoutHash);
         }
         Item request = body.item(Envelope.VOTE_REQUEST);
@@ -226,16 +226,16 @@
         }
     }
 
-    private void requestLease(long now, int from, Membership.Out out) {
+    private void requestLease(long now, int from, Membership.ItemSender out) {
         BodyWriter request = new BodyWriter().u32(holder.startRequest(now, from));
         holder.demand().write(request, ResourceAmounts.DEMAND_UNIT);
         send(now, from, request.item(Envelope.LEASE_REQUEST), out);
     }
 
     /** Sends an item; one to this broker itself is handled at once. */
-    private void send(long now, int to, Item item, Membership.Out out) {
+    private void send(long now, int to, Item item, Membership.ItemSender out) {
         if (to == me) {
-            item(now, me, item, out);
+            handleItem(now, me, item, out);
         } else {
             out.send(to, List.of(item));
         }
@@ -244,7 +244,7 @@
     // ---- What arrives.
 
     /** Handles an item of a kind that is about leases; others, and those too short, are ignored. */
-    void item(long now, int from, Item item, Membership.Out out) {
+    void handleItem(long now, int from, Item item, Membership.ItemSender out) {
         ByteBuffer in = item.read();
         switch (item.kind()) {
             case Envelope.VOTE_REQUEST -> {
@@ -281,17 +281,18 @@
 
     /** Whether a candidate divides the fleet into the same scopes as this broker. */
     private boolean sameLayout(ByteBuffer rest) {
-        int layout = rest.remaining() >= LAYOUT_HASH_BYTES ? rest.getInt() : UNDIVIDED;
+        int layout = rest.remaining() >= LAYOUT_HASH_BYTES ? rest.getInt() : UNDIVIDED_LAYOUT;
         return layout == layoutHash;
     }
 
-    private void voteRequested(long now, int candidate, int round, long candidateIncarnation, Membership.Out out) {
+    private void voteRequested(
+            long now, int candidate, int round, long candidateIncarnation, Membership.ItemSender out) {
         if (voters.contains(me) && voter.vote(now, candidate, candidateIncarnation)) {
             send(now, candidate, new BodyWriter().u32(round).item(Envelope.VOTE), out);
         }
     }
 
-    private void leaseRequested(long now, int from, int request, ResourceAmounts wanted, Membership.Out out) {
+    private void leaseRequested(long now, int from, int request, ResourceAmounts wanted, Membership.ItemSender out) {
         LeaseCoordinator.Grant grant = coordinator.grant(now, from, wanted);
         if (grant == null) {
             return;
--- a/src/main/java/dockshed/fleet/LoadFigures.java
+++ b/src/main/java/dockshed/fleet/LoadFigures.java
@@ -12,13 +12,13 @@
  */
 record LoadFigures(double[] demand, double accepted, double rejected, int proposal) {
     /** Rates are encoded in twentieths of a request a second. */
-    private static final double RATE_UNIT = 20;
+    private static final double RATE_UNITS_PER_REQUEST = 20;
     /** Proposals are encoded without their lowest bits. */
     private static final int PROPOSAL_SHIFT = 4;
 
     private static final int MAX_U16 = 0xFFFF;
     /** The highest rate that one broker can tell. */
-    static final double MAX_RATE = MAX_U16 / RATE_UNIT;
+    static final double MAX_RATE = MAX_U16 / RATE_UNITS_PER_REQUEST;
 
     /** A mask of the steps with any demand, two rates and the proposal. */
     private static final int HEADER_BYTES = 4 + 2 + 2 + 2;
@@ -42,11 +42,11 @@
     }
 
     private static int encodeRate(double perSecond) {
-        return (int) Math.min(MAX_U16, Math.round(perSecond * RATE_UNIT));
+        return (int) Math.min(MAX_U16, Math.round(perSecond * RATE_UNITS_PER_REQUEST));
     }
 
     private static double decodeRate(ByteBuffer in) {
-        return (in.getShort() & MAX_U16) / RATE_UNIT;
+        return (in.getShort() & MAX_U16) / RATE_UNITS_PER_REQUEST;
     }
 
     /** Returns null if the value cannot be decoded; bytes behind the known fields are ignored. */
--- a/src/main/java/dockshed/fleet/LocalEvent.java
+++ b/src/main/java/dockshed/fleet/LocalEvent.java
@@ -17,7 +17,7 @@
     record HealthReport(int server, boolean up) implements LocalEvent {}
 
     /** A message of the retry-storm part for all other brokers. */
-    record StormNote(byte[] bytes) implements LocalEvent {}
+    record StormMessage(byte[] bytes) implements LocalEvent {}
 
     /** A graceful shutdown has begun. */
     record Leaving() implements LocalEvent {}
--- a/src/main/java/dockshed/fleet/Member.java
+++ b/src/main/java/dockshed/fleet/Member.java
@@ -24,7 +24,7 @@
     /** The latest known. */
     long incarnation;
     /** When a datagram of its own last arrived. */
-    long heardAt = Long.MIN_VALUE / 2;
+    long lastReceivedAt = Long.MIN_VALUE / 2;
     /** When it entered its state. */
     long stateSince;
     /** The highest serial of its own datagrams. */
@@ -32,7 +32,7 @@
     /** Which of the 64 serials up to the highest have arrived: bit 0 is the highest. */
     long serialWindow;
     /** Whether a datagram of its own ever arrived in its incarnation. */
-    boolean heard;
+    boolean hasReceived;
     /** How often its state was gossiped. */
     int timesSent;
     /** Those that called it suspect or dead. */
--- a/src/main/java/dockshed/fleet/Membership.java
+++ b/src/main/java/dockshed/fleet/Membership.java
@@ -23,9 +23,9 @@
  */
 final class Membership {
     /** Microseconds between two probes; grows with the local health score. */
-    static final long PROBE_PERIOD = 500_000;
+    static final long PROBE_PERIOD_US = 500_000;
     /** Microseconds for an answer before others are asked to probe; grows with the local health score. */
-    static final long ACK_TIMEOUT = 150_000;
+    static final long ACK_TIMEOUT_US = 150_000;
     /** Members asked for an indirect probe; also the accusers that shorten a suspicion to its minimum. */
     static final int INDIRECT_PROBES = 3;
     /** The local health score at its worst: periods are five times as long then. */
@@ -37,13 +37,13 @@
     /** The longest suspicion over the shortest. */
     private static final double MAX_SUSPICION_FACTOR = 4;
     /** Microseconds after which a dead member is probed again: nobody announces the end of a partition. */
-    static final long DEAD_RETRY_PERIOD = 3_000_000;
+    static final long DEAD_RETRY_PERIOD_US = 3_000_000;
     /** Datagrams of one sender that are read a second; a correct one sends under ten. */
-    static final double MAX_DATAGRAM_RATE = 40;
+    static final double MAX_DATAGRAMS_PER_SECOND = 40;
     /** Datagrams of one sender that are read at once. */
     static final double MAX_DATAGRAM_BURST = 80;
     /** Microseconds for which a relay caught forging is not believed about others. */
-    static final long DISTRUST_TIME = 60_000_000;
+    static final long DISTRUST_TIME_US = 60_000_000;
     /** Serials behind the highest that are still read, each once. */
     private static final int SERIAL_WINDOW = 64;
     /** Indirect probes under way for others. */
@@ -70,7 +70,7 @@
     private record RelayedProbe(int requester, int number, long until) {}
 
     /** Where datagrams go: to whom, and the items that have to be in it. */
-    interface Out {
+    interface ItemSender {
         void send(int to, List<Item> items);
     }
 
@@ -105,7 +105,7 @@
      */
     Membership(int me, Scope scope, long incarnation, long now, double stretch, SplittableRandom random) {
         this.me = me;
-        basePeriod = (long) (PROBE_PERIOD * stretch);
+        basePeriod = (long) (PROBE_PERIOD_US * stretch);
         this.incarnation = incarnation;
         this.random = random;
         this.scope = scope;
@@ -116,8 +116,8 @@
         }
         member(me).state = State.ALIVE;
         member(me).incarnation = incarnation;
-        nextProbeAt = now + random.nextLong(PROBE_PERIOD / 4);
-        nextDeadProbeAt = now + DEAD_RETRY_PERIOD;
+        nextProbeAt = now + random.nextLong(PROBE_PERIOD_US / 4);
+        nextDeadProbeAt = now + DEAD_RETRY_PERIOD_US;
     }
 
     Scope scope() {
@@ -148,7 +148,7 @@
     }
 
     private long ackTimeout() {
-        return ACK_TIMEOUT * (1 + healthScore);
+        return ACK_TIMEOUT_US * (1 + healthScore);
     }
 
     /** The time for which a member is suspected: shorter, the more members accuse it (Lifeguard). */
@@ -163,7 +163,7 @@
     // ---- Time.
 
     /** When {@link #tick} is due. */
-    long next() {
+    long nextTickAt() {
         if (leaving) {
             return Long.MAX_VALUE;
         }
@@ -179,13 +179,13 @@
     }
 
     /** This process stalled for {@code gap}: whatever was due meanwhile says nothing of the others. */
-    void resumed(long now, long gap) {
+    void resumeAfterStall(long now, long gap) {
         probes.clear();
         relayedProbes.clear();
         healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + STALL_HEALTH_SCORE);
         for (Member member : members) {
             member.stateSince += member.state == State.SUSPECT ? gap : 0;
-            member.heardAt += gap;
+            member.lastReceivedAt += gap;
             member.tokensAt = now;
             member.tokens = MAX_DATAGRAM_BURST;
         }
@@ -193,7 +193,7 @@
     }
 
     /** Does what is due: indirect probes, probe time-outs, ends of suspicions, the next probe. */
-    void tick(long now, Out out) {
+    void tick(long now, ItemSender out) {
         if (leaving) {
             return;
         }
@@ -203,7 +203,7 @@
         }
         for (Member member : members) {
             if (member.state == State.SUSPECT && now - member.stateSince >= suspicionTime(member)) {
-                become(now, member, State.DEAD);
+                setState(now, member, State.DEAD);
             }
         }
         if (now >= nextProbeAt) {
@@ -215,7 +215,7 @@
         }
     }
 
-    private void checkProbe(long now, int number, Probe probe, Out out) {
+    private void checkProbe(long now, int number, Probe probe, ItemSender out) {
         if (!probe.indirect && now - probe.sentAt >= ackTimeout()) {
             probe.indirect = true;
             for (int relay : randomPresent(INDIRECT_PROBES, probe.target.number)) {
@@ -232,14 +232,14 @@
         }
     }
 
-    private void ping(long now, Member target, Out out) {
+    private void ping(long now, Member target, ItemSender out) {
         int number = nextProbeNumber();
         if (target.state != State.DEAD && target.state != State.LEFT) {
             probes.put(number, new Probe(target, now));
         }
         List<Item> items = new ArrayList<>(List.of(new BodyWriter().u16(number).item(Envelope.PING)));
         if (target.state == State.SUSPECT || target.state == State.DEAD) {
-            items.add(update(target)); // it can refute only what it hears
+            items.add(memberItem(target)); // it can refute only what it hears
         }
         out.send(target.number, items);
     }
@@ -258,7 +258,7 @@
             }
         }
         if (now >= nextDeadProbeAt) {
-            nextDeadProbeAt = now + DEAD_RETRY_PERIOD;
+            nextDeadProbeAt = now + DEAD_RETRY_PERIOD_US;
             Member gone = randomMember(m -> m.state == State.DEAD || m.state == State.UNKNOWN);
             if (gone != null) {
                 return gone;
@@ -350,7 +350,7 @@
         if (!takeToken(now, sender) || envelope.incarnation() < sender.incarnation) {
             return false;
         }
-        if (envelope.incarnation() == sender.incarnation && sender.heard) {
+        if (envelope.incarnation() == sender.incarnation && sender.hasReceived) {
             return isNewSerial(sender, envelope.serial());
         }
         return true;
@@ -362,7 +362,7 @@
     }
 
     private static boolean takeToken(long now, Member sender) {
-        double refilled = sender.tokens + (now - sender.tokensAt) * MAX_DATAGRAM_RATE / 1e6;
+        double refilled = sender.tokens + (now - sender.tokensAt) * MAX_DATAGRAMS_PER_SECOND / 1e6;
         sender.tokens = Math.min(MAX_DATAGRAM_BURST, refilled);
         sender.tokensAt = now;
         if (sender.tokens < 1) {
@@ -378,32 +378,32 @@
     }
 
     /** Whether a datagram's sender does not know yet under which incarnation the others speak of it. */
-    boolean isBehind(Envelope envelope) {
+    boolean hasStaleIncarnation(Envelope envelope) {
         return scope.contains(envelope.sender())
                 && envelope.sender() != me
                 && envelope.incarnation() < member(envelope.sender()).incarnation;
     }
 
     /** The state held of a member, so that it can refute it. */
-    Item updateOn(int number) {
-        return update(member(number));
+    Item stateItem(int number) {
+        return memberItem(member(number));
     }
 
     /** A datagram of the sender's own arrived: whatever others say, it is present. True if it was not, or started anew. */
-    boolean heard(long now, Envelope envelope) {
+    boolean datagramReceived(long now, Envelope envelope) {
         Member sender = member(envelope.sender());
         boolean later = envelope.incarnation() > sender.incarnation;
-        boolean joined = later || !sender.heard || !sender.isPresent();
-        recordSerial(sender, envelope.serial(), later || !sender.heard);
+        boolean joined = later || !sender.hasReceived || !sender.isPresent();
+        recordSerial(sender, envelope.serial(), later || !sender.hasReceived);
         sender.incarnation = envelope.incarnation();
-        sender.heard = true;
-        sender.heardAt = now;
+        sender.hasReceived = true;
+        sender.lastReceivedAt = now;
         if (sender.state == State.LEFT && !later) {
             return false;
         }
         clearedSuspicions += sender.state == State.SUSPECT ? 1 : 0;
         if (sender.state != State.ALIVE) {
-            become(now, sender, State.ALIVE);
+            setState(now, sender, State.ALIVE);
         }
         sender.accusers.clear();
         return joined;
@@ -423,7 +423,7 @@
     }
 
     /** Handles an item of a kind that is about membership; others are ignored. */
-    void item(long now, int from, Item item, Out out) {
+    void handleItem(long now, int from, Item item, ItemSender out) {
         ByteBuffer in = item.read();
         switch (item.kind()) {
             case Envelope.PING -> {
@@ -450,7 +450,7 @@
         }
     }
 
-    private void relayProbe(long now, int requester, int number, int target, Out out) {
+    private void relayProbe(long now, int requester, int number, int target, ItemSender out) {
         if (!scope.contains(target) || target == me || relayedProbes.size() >= MAX_RELAYED_PROBES) {
             return;
         }
@@ -459,7 +459,7 @@
         out.send(target, List.of(new BodyWriter().u16(own).item(Envelope.PING)));
     }
 
-    private void acknowledged(long now, int from, int number, Out out) {
+    private void acknowledged(long now, int from, int number, ItemSender out) {
         RelayedProbe relayed = relayedProbes.remove(number);
         if (relayed != null) {
             out.send(
@@ -478,7 +478,7 @@
             probes.remove(number); // a relay reached it: it is present, though not heard here
             healthScore = Math.max(0, healthScore - 1);
             if (probe.target.state == State.SUSPECT) {
-                become(now, probe.target, State.ALIVE);
+                setState(now, probe.target, State.ALIVE);
             }
         }
     }
@@ -506,11 +506,11 @@
         if (state == State.ALIVE && (later || member.state == State.UNKNOWN)) {
             member.incarnation = updatedIncarnation;
             if (member.state == State.SUSPECT || member.state == State.UNKNOWN) {
-                become(now, member, State.ALIVE);
+                setState(now, member, State.ALIVE);
             }
         } else if (state == State.LEFT && from == member.number) {
-            become(now, member, State.LEFT);
-        } else if (isNegative(state) && member.isPresent() && now - member.heardAt > basePeriod) {
+            setState(now, member, State.LEFT);
+        } else if (isNegative(state) && member.isPresent() && now - member.lastReceivedAt > basePeriod) {
             // Whatever others say, it has the time of a suspicion to answer for itself.
             suspect(now, member, from);
         }
@@ -534,11 +534,11 @@
     private void suspect(long now, Member member, int accuser) {
         member.accusers.add(accuser);
         if (member.state == State.ALIVE) {
-            become(now, member, State.SUSPECT);
+            setState(now, member, State.SUSPECT);
         }
     }
 
-    private void become(long now, Member member, State state) {
+    private void setState(long now, Member member, State state) {
         if (member.state == state) {
             return;
         }
@@ -550,14 +550,14 @@
         }
     }
 
-    /** A relay was caught forging: for {@link #DISTRUST_TIME} it is not believed about others. */
+    /** A relay was caught forging: for {@link #DISTRUST_TIME_US} it is not believed about others. */
     void distrust(long now, int number) {
-        member(number).distrustedUntil = now + DISTRUST_TIME;
+        member(number).distrustedUntil = now + DISTRUST_TIME_US;
     }
 
     // ---- Gossip.
 
-    private Item update(Member member) {
+    private Item memberItem(Member member) {
         return new BodyWriter()
                 .u16(member.number)
                 .u8(member.state.ordinal())
@@ -581,7 +581,7 @@
                 break;
             }
             member.timesSent++;
-            out.add(update(member));
+            out.add(memberItem(member));
         }
         return out;
     }
@@ -592,11 +592,11 @@
     }
 
     /** A graceful shutdown begins: announced to some at once, and gossiped by them. */
-    void leave(long now, Out out) {
+    void leave(long now, ItemSender out) {
         leaving = true;
         member(me).state = State.LEFT;
         for (int to : randomPresent(2 * INDIRECT_PROBES, me)) {
-            out.send(to, List.of(update(member(me))));
+            out.send(to, List.of(memberItem(member(me))));
         }
     }
 }
--- a/src/main/java/dockshed/fleet/OutsideSenders.java
+++ b/src/main/java/dockshed/fleet/OutsideSenders.java
@@ -3,7 +3,7 @@
 /** Bounds the datagrams that are read of each broker outside the own scope; of these no other state is kept. */
 final class OutsideSenders {
     /** Datagrams a second that are read of one broker; a sound one sends less than one on average. */
-    static final double MAX_DATAGRAM_RATE = 10;
+    static final double MAX_DATAGRAMS_PER_SECOND = 10;
     /** Datagrams at once. */
     static final double MAX_DATAGRAM_BURST = 30;
 
@@ -19,7 +19,7 @@
 
     /** Whether a datagram of that broker is read. */
     boolean admits(long now, int broker) {
-        double refilled = tokens[broker] + (now - tokensAt[broker]) * MAX_DATAGRAM_RATE / 1e6;
+        double refilled = tokens[broker] + (now - tokensAt[broker]) * MAX_DATAGRAMS_PER_SECOND / 1e6;
         double available = Math.min(MAX_DATAGRAM_BURST, refilled);
         boolean admitted = available >= 1;
         tokens[broker] = (float) (admitted ? available - 1 : available);
--- a/src/main/java/dockshed/fleet/ScopeSummary.java
+++ b/src/main/java/dockshed/fleet/ScopeSummary.java
@@ -19,12 +19,12 @@
     static final int HEADER_BYTES = 2 + 6 + 2 + 1 + 2 + 1 + 2 + 2 + 4;
 
     /** Microseconds in which ages travel. */
-    private static final long AGE_UNIT = 50_000;
+    private static final long AGE_UNIT_US = 50_000;
 
     private static final int MAX_U16 = 0xFFFF;
     private static final int MAX_U8 = 0xFF;
     /** Rates are encoded in twentieths of a request a second, times two to the power of the exponent. */
-    private static final double RATE_UNIT = 20;
+    private static final double RATE_UNITS_PER_REQUEST = 20;
     /** Of the largest scope at the largest rates that one broker can tell no more is needed. */
     private static final int MAX_EXPONENT = 8;
     /** Proposals are encoded without their lowest bits. */
@@ -32,12 +32,12 @@
 
     Item write(long now) {
         int exponent = exponent();
-        double unit = RATE_UNIT / (1 << exponent);
+        double unit = RATE_UNITS_PER_REQUEST / (1 << exponent);
         int mask = 0;
         for (int step = 0; step < SheddingThreshold.PRIORITY_STEPS; step++) {
             mask |= encode(load.demand()[step], unit) > 0 ? 1 << step : 0;
         }
-        long age = Math.max(0, now - madeAt) / AGE_UNIT;
+        long age = Math.max(0, now - madeAt) / AGE_UNIT_US;
         BodyWriter body = new BodyWriter()
                 .u16(maker)
                 .u48(version)
@@ -63,7 +63,7 @@
             highest = Math.max(highest, rate);
         }
         int exponent = 0;
-        while (exponent < MAX_EXPONENT && highest * RATE_UNIT / (1 << exponent) > MAX_U16) {
+        while (exponent < MAX_EXPONENT && highest * RATE_UNITS_PER_REQUEST / (1 << exponent) > MAX_U16) {
             exponent++;
         }
         return exponent;
@@ -81,14 +81,14 @@
         }
         int maker = in.getShort() & MAX_U16;
         long version = Envelope.getU48(in);
-        long madeAt = now - (in.getShort() & MAX_U16) * AGE_UNIT;
+        long madeAt = now - (in.getShort() & MAX_U16) * AGE_UNIT_US;
         int present = in.get() & MAX_U8;
         int proposal = (in.getShort() & MAX_U16) << PROPOSAL_SHIFT;
         int exponent = in.get() & MAX_U8;
         if (exponent > MAX_EXPONENT) {
             return null;
         }
-        double unit = RATE_UNIT / (1 << exponent);
+        double unit = RATE_UNITS_PER_REQUEST / (1 << exponent);
         double accepted = (in.getShort() & MAX_U16) / unit;
         double rejected = (in.getShort() & MAX_U16) / unit;
         int mask = in.getInt();
@@ -105,7 +105,7 @@
     }
 
     /** Whether a scope of that size can have such a load: no broker can tell of more than {@link LoadFigures#MAX_RATE}. */
-    boolean isPossible(int scopeSize) {
+    boolean isPlausible(int scopeSize) {
         if (present < 1 || present > scopeSize || load.proposal() > SheddingThreshold.MAX_PRIORITY) {
             return false;
         }
--- a/src/main/java/dockshed/fleet/ScopeSummaryStore.java
+++ b/src/main/java/dockshed/fleet/ScopeSummaryStore.java
@@ -14,23 +14,23 @@
  *
  * <ul>
  *   <li>The summaries held of a scope are of different makers and came from different brokers, so one broker that lies
- *       stands behind one of them at most, and with {@link #VOICES} held it does not move the median beyond what the
+ *       stands behind one of them at most, and with {@link #MAX_SUMMARIES_PER_SCOPE} held it does not move the median beyond what the
  *       others say.
  *   <li>A summary is relayed only by a broker that had it from its maker, and a broker's word on its own scope is its own:
  *       what a relay forges goes no further than to whom it is sent.
- *   <li>A summary is forgotten {@link #MAX_AGE} after it was made, however often it is sent again.
+ *   <li>A summary is forgotten {@link #MAX_AGE_US} after it was made, however often it is sent again.
  * </ul>
  */
 final class ScopeSummaryStore {
     /** Summaries held of one scope. */
-    static final int VOICES = 3;
+    static final int MAX_SUMMARIES_PER_SCOPE = 3;
     /** Microseconds after which a summary says nothing any more: its scope is gone, or cut off. */
-    static final long MAX_AGE = 6_000_000;
+    static final long MAX_AGE_US = 6_000_000;
     /** Microseconds for which a summary is relayed. */
-    static final long MAX_RELAY_AGE = 2_000_000;
+    static final long MAX_RELAY_AGE_US = 2_000_000;
 
     /** A summary and the broker that sent it here. */
-    private record Voice(ScopeSummary summary, int from) {}
+    private record ReceivedSummary(ScopeSummary summary, int from) {}
 
     /**
      * What is known of another scope.
@@ -44,7 +44,7 @@
 
     private final ZoneMap zones;
     private final Scope own;
-    private final List<List<Voice>> voices = new ArrayList<>(); // by scope
+    private final List<List<ReceivedSummary>> received = new ArrayList<>(); // by scope
     private final ScopeSummary[] firstHand; // by scope: the latest that came from its maker
     private int relayTurn;
     /** Summaries that were refused, since the start. */
@@ -54,7 +54,7 @@
         this.zones = zones;
         this.own = own;
         for (int i = 0; i < zones.scopes().size(); i++) {
-            voices.add(new ArrayList<>(VOICES));
+            received.add(new ArrayList<>(MAX_SUMMARIES_PER_SCOPE));
         }
         firstHand = new ScopeSummary[zones.scopes().size()];
     }
@@ -71,11 +71,11 @@
         if (scope.equals(own)
                 || relayOfOwnScope
                 || summary.version() > latestVersion
-                || !summary.isPossible(scope.size())) {
+                || !summary.isPlausible(scope.size())) {
             refused++;
             return;
         }
-        if (now - summary.madeAt() > MAX_AGE) {
+        if (now - summary.madeAt() > MAX_AGE_US) {
             return;
         }
         if (ownWord) {
@@ -84,12 +84,13 @@
                 firstHand[scope.number()] = summary;
             }
         }
-        hold(new Voice(summary, from), voices.get(scope.number()));
+        store(new ReceivedSummary(summary, from), received.get(scope.number()));
     }
 
-    private static void hold(Voice voice, List<Voice> held) {
-        Voice ofSender = find(held, v -> v.from() == voice.from());
-        Voice ofMaker = find(held, v -> v.summary().maker() == voice.summary().maker());
+    private static void store(ReceivedSummary voice, List<ReceivedSummary> held) {
+        ReceivedSummary ofSender = find(held, v -> v.from() == voice.from());
+        ReceivedSummary ofMaker =
+                find(held, v -> v.summary().maker() == voice.summary().maker());
         if (ofSender != null) {
             // It replaces what the same broker sent before, and never another's.
             boolean ofAnother = ofMaker != null && ofMaker != ofSender;
@@ -100,10 +101,10 @@
             if (isLater(voice, ofMaker)) {
                 held.set(held.indexOf(ofMaker), voice);
             }
-        } else if (held.size() < VOICES) {
+        } else if (held.size() < MAX_SUMMARIES_PER_SCOPE) {
             held.add(voice);
         } else {
-            Voice oldest = held.stream()
+            ReceivedSummary oldest = held.stream()
                     .min(Comparator.comparingLong(v -> v.summary().madeAt()))
                     .orElseThrow();
             if (voice.summary().madeAt() > oldest.summary().madeAt()) {
@@ -112,15 +113,16 @@
         }
     }
 
-    private static boolean isLater(Voice voice, Voice than) {
+    private static boolean isLater(ReceivedSummary voice, ReceivedSummary than) {
         if (voice.summary().maker() == than.summary().maker()) {
             return voice.summary().version() > than.summary().version();
         }
         return voice.summary().madeAt() > than.summary().madeAt();
     }
 
-    private static Voice find(List<Voice> held, java.util.function.Predicate<Voice> wanted) {
-        for (Voice voice : held) {
+    private static ReceivedSummary find(
+            List<ReceivedSummary> held, java.util.function.Predicate<ReceivedSummary> wanted) {
+        for (ReceivedSummary voice : held) {
             if (wanted.test(voice)) {
                 return voice;
             }
@@ -130,11 +132,11 @@
 
     /** Forgets what is too old. */
     void expire(long now) {
-        for (List<Voice> held : voices) {
-            held.removeIf(voice -> now - voice.summary().madeAt() > MAX_AGE);
+        for (List<ReceivedSummary> held : received) {
+            held.removeIf(voice -> now - voice.summary().madeAt() > MAX_AGE_US);
         }
         for (int i = 0; i < firstHand.length; i++) {
-            if (firstHand[i] != null && now - firstHand[i].madeAt() > MAX_RELAY_AGE) {
+            if (firstHand[i] != null && now - firstHand[i].madeAt() > MAX_RELAY_AGE_US) {
                 firstHand[i] = null;
             }
         }
@@ -145,7 +147,7 @@
         for (int i = 0; i < firstHand.length; i++) {
             relayTurn = (relayTurn + 1) % firstHand.length;
             ScopeSummary summary = firstHand[relayTurn];
-            if (summary != null && relayTurn != but.number() && now - summary.madeAt() <= MAX_RELAY_AGE) {
+            if (summary != null && relayTurn != but.number() && now - summary.madeAt() <= MAX_RELAY_AGE_US) {
                 return summary;
             }
         }
@@ -154,8 +156,8 @@
 
     /** Whether anything is known of another scope that is young enough. */
     boolean isKnown(long now, Scope scope) {
-        for (Voice voice : voices.get(scope.number())) {
-            if (now - voice.summary().madeAt() <= MAX_AGE) {
+        for (ReceivedSummary voice : received.get(scope.number())) {
+            if (now - voice.summary().madeAt() <= MAX_AGE_US) {
                 return true;
             }
         }
@@ -164,9 +166,9 @@
 
     /** What is known of another scope; null where nothing is that is young enough. */
     Estimate estimate(long now, Scope scope) {
-        List<ScopeSummary> held = voices.get(scope.number()).stream()
-                .map(Voice::summary)
-                .filter(summary -> now - summary.madeAt() <= MAX_AGE)
+        List<ScopeSummary> held = received.get(scope.number()).stream()
+                .map(ReceivedSummary::summary)
+                .filter(summary -> now - summary.madeAt() <= MAX_AGE_US)
                 .sorted(Comparator.comparingLong(ScopeSummary::madeAt).reversed())
                 .toList();
         if (held.isEmpty()) {
@@ -211,12 +213,12 @@
 
     /** Summaries held, of all scopes. */
     int size() {
-        return voices.stream().mapToInt(List::size).sum();
+        return received.stream().mapToInt(List::size).sum();
     }
 
     /** Drops everything, as after a start. */
     void clear() {
-        voices.forEach(List::clear);
+        received.forEach(List::clear);
         Arrays.fill(firstHand, null);
     }
 }
--- a/src/main/java/dockshed/fleet/SheddingThreshold.java
+++ b/src/main/java/dockshed/fleet/SheddingThreshold.java
@@ -26,15 +26,15 @@
     private static final int AGE_BITS = 2;
     private static final int MAX_AGE_VALUE = (1 << AGE_BITS) - 1;
     /** Microseconds after which the hashes change, so that no client stays last for long. */
-    static final long HASH_ROTATION = 60_000_000;
+    static final long HASH_ROTATION_US = 60_000_000;
     /** Shedding starts when this part of what the modules were given is rejected. */
-    static final double OVERLOAD_PART = 0.25;
+    static final double OVERLOAD_REJECTED_FRACTION = 0.25;
     /** The part that is still rejected while shedding: a little more than there is room for, so that all room is used. */
-    static final double TARGET_REJECTED_PART = 0.12;
+    static final double TARGET_REJECTED_FRACTION = 0.12;
     /** Part of the range in use by which the threshold moves in a second for an error of 1. */
-    private static final double ADJUST_SPEED = 0.25;
+    private static final double ADJUST_SPEED_PER_SECOND = 0.25;
     /** Part of the capacity estimate that decays in a second: a threshold that lowers what is accepted is too high. */
-    private static final double CAPACITY_DECAY = 0.08;
+    private static final double CAPACITY_DECAY_PER_SECOND = 0.08;
     /** The threshold falls so many times faster than it rises: surplus is rejected by the modules, unused room is lost. */
     private static final double FALL_FACTOR = 3;
     /** Added to the error while hardly anything is rejected. */
@@ -42,11 +42,11 @@
     /** A broker's figures count for at most so many times the median broker's, which bounds what forged ones can move. */
     private static final double MAX_WEIGHT = 3;
     /** Microseconds at the lowest threshold after which shedding ends. */
-    private static final long CALM_TIME = 2_000_000;
+    private static final long CALM_TIME_US = 2_000_000;
     /** Requests a second below which the rejected part means nothing. */
-    private static final double MIN_RATE = 2;
+    private static final double MIN_REQUESTS_PER_SECOND = 2;
 
-    private static final long SECOND = 1_000_000;
+    private static final long MAX_ADJUST_INTERVAL_US = 1_000_000;
     /** Keeps the hash for retry times apart from that for priorities. */
     private static final int RETRY_TIME_SALT = 0xa99;
 
@@ -61,9 +61,9 @@
         return Math.min(CLASS_LEVELS - 1, classLevel) << AGE_BITS | Math.min(MAX_AGE_VALUE, age);
     }
 
-    /** The priority of a client in a step: its hash orders it, and changes each {@link #HASH_ROTATION}. */
+    /** The priority of a client in a step: its hash orders it, and changes each {@link #HASH_ROTATION_US}. */
     static int priority(int step, int clientHash, long unixMicros) {
-        int hash = StableHash.mix(clientHash, (int) (unixMicros / HASH_ROTATION)) >>> 32 - HASH_BITS;
+        int hash = StableHash.mix(clientHash, (int) (unixMicros / HASH_ROTATION_US)) >>> 32 - HASH_BITS;
         return step << HASH_BITS | hash;
     }
 
@@ -156,9 +156,9 @@
      */
     int propose(long now, LoadFigures own, List<LoadFigures> others, List<Estimate> scopes) {
         FleetLoad load = FleetLoad.sum(own, others).plus(1 + others.size(), scopes);
-        long elapsed = Math.min(SECOND, now - movedAt);
+        long elapsed = Math.min(MAX_ADJUST_INTERVAL_US, now - movedAt);
         movedAt = now;
-        capacity = Math.max(load.accepted(), capacity * (1 - CAPACITY_DECAY * elapsed / 1e6));
+        capacity = Math.max(load.accepted(), capacity * (1 - CAPACITY_DECAY_PER_SECOND * elapsed / 1e6));
         if (active) {
             adjust(now, load, elapsed);
         } else {
@@ -168,8 +168,8 @@
     }
 
     private void startIfOverloaded(FleetLoad load) {
-        active = load.admitted() > MIN_RATE && load.rejectedPart() > OVERLOAD_PART;
-        proposal = active ? priorityAt(load.demand(), load.accepted() / (1 - TARGET_REJECTED_PART)) : 0;
+        active = load.admitted() > MIN_REQUESTS_PER_SECOND && load.rejectedPart() > OVERLOAD_REJECTED_FRACTION;
+        proposal = active ? priorityAt(load.demand(), load.accepted() / (1 - TARGET_REJECTED_FRACTION)) : 0;
         atLowestSince = 0;
     }
 
@@ -178,10 +178,10 @@
         int end = load.endStep();
         double range = (end - low) << HASH_BITS;
         double given = load.admitted();
-        double wanted = given > 0 ? capacity / (1 - TARGET_REJECTED_PART) / given - 1 : 1;
-        double faster = load.rejectedPart() < TARGET_REJECTED_PART / 2 ? EXTRA_FALL : 0;
+        double wanted = given > 0 ? capacity / (1 - TARGET_REJECTED_FRACTION) / given - 1 : 1;
+        double faster = load.rejectedPart() < TARGET_REJECTED_FRACTION / 2 ? EXTRA_FALL : 0;
         double move = Math.max(-1, Math.min(1, wanted + faster));
-        proposal -= ADJUST_SPEED * range * (move > 0 ? FALL_FACTOR : 1) * move * elapsed / 1e6;
+        proposal -= ADJUST_SPEED_PER_SECOND * range * (move > 0 ? FALL_FACTOR : 1) * move * elapsed / 1e6;
         // The highest class in use is left to the modules: it is not shed in favour of lower ones.
         int highestClass = end - 1 >> AGE_BITS << AGE_BITS;
         int lowest = low << HASH_BITS;
@@ -195,7 +195,7 @@
             atLowestSince = 0;
         } else if (atLowestSince == 0) {
             atLowestSince = now;
-        } else if (now - atLowestSince > CALM_TIME) {
+        } else if (now - atLowestSince > CALM_TIME_US) {
             active = false;
             proposal = 0;
         }
@@ -225,11 +225,11 @@
         FleetLoad load = FleetLoad.sum(own, others);
         List<Integer> proposals = new ArrayList<>(List.of(own.proposal()));
         others.forEach(figures -> proposals.add(figures.proposal()));
-        return new LoadFigures(load.demand(), load.accepted(), load.rejected(), inForce(proposals));
+        return new LoadFigures(load.demand(), load.accepted(), load.rejected(), effectiveThreshold(proposals));
     }
 
     /** The threshold in force in a fleet of several scopes: the median of their proposals, by their present brokers. */
-    static int inForce(int ownProposal, int ownPresent, List<Estimate> scopes) {
+    static int effectiveThreshold(int ownProposal, int ownPresent, List<Estimate> scopes) {
         List<Estimate> byProposal = new ArrayList<>(scopes);
         LoadFigures own = new LoadFigures(new double[PRIORITY_STEPS], 0, 0, ownProposal);
         byProposal.add(new Estimate(null, 0, ownPresent, own));
@@ -246,7 +246,7 @@
     }
 
     /** The threshold in force in one scope: the median of the proposals. */
-    static int inForce(List<Integer> proposals) {
+    static int effectiveThreshold(List<Integer> proposals) {
         if (proposals.isEmpty()) {
             return 0;
         }
@@ -260,7 +260,7 @@
         if (longest <= 0) {
             return 0;
         }
-        long delay = Math.floorMod(retryPlace(clientHash, longest) - unixMicros, longest);
+        long delay = Math.floorMod(retryPhase(clientHash, longest) - unixMicros, longest);
         return delay >= soonest ? delay : Math.min(longest, delay + longest);
     }
 
@@ -269,11 +269,11 @@
         if (longest <= 0) {
             return true;
         }
-        long after = Math.floorMod(unixMicros - retryPlace(clientHash, longest), longest);
+        long after = Math.floorMod(unixMicros - retryPhase(clientHash, longest), longest);
         return after <= late || after >= longest - early;
     }
 
-    private static long retryPlace(int clientHash, long longest) {
+    private static long retryPhase(int clientHash, long longest) {
         return (long) (StableHash.unit(StableHash.mix(clientHash, RETRY_TIME_SALT)) * longest);
     }
 }
--- a/src/main/java/dockshed/fleet/VersionedEntry.java
+++ b/src/main/java/dockshed/fleet/VersionedEntry.java
@@ -22,7 +22,7 @@
     /** A voter's vote for the lease coordinator: {@link LeasedShares}. */
     static final int LEASE_COORDINATOR = 3;
     /** A message of the retry-storm part. */
-    static final int STORM_NOTE = 4;
+    static final int STORM_MESSAGE = 4;
     /** A digest of lesson plans; not written yet. */
     static final int PLANS = 5;
     /** The highest kind that this version keeps; higher ones are discarded. */
@@ -33,7 +33,7 @@
     /** An entry fits into a datagram of its own. */
     static final int MAX_VALUE_BYTES = Envelope.MAX_BYTES - Envelope.HEADER_BYTES - 2 - HEADER_BYTES;
     /** Ages are encoded in units of 50 ms, up to nearly an hour. */
-    private static final long AGE_UNIT_MICROS = 50_000;
+    private static final long AGE_UNIT_US = 50_000;
 
     private static final int MAX_U16 = 0xFFFF;
 
@@ -45,7 +45,7 @@
 
     /** Whether entries of a kind change so often that each owner pushes its own to each peer in turn; nobody relays them. */
     static boolean isPushed(int kind) {
-        return kind == LOAD || kind == STORM_NOTE;
+        return kind == LOAD || kind == STORM_MESSAGE;
     }
 
     /** Identifies the entry: the same for all its versions. */
@@ -75,7 +75,7 @@
     }
 
     Envelope.Item write(long now) {
-        long age = Math.max(0, now - writtenAt) / AGE_UNIT_MICROS;
+        long age = Math.max(0, now - writtenAt) / AGE_UNIT_US;
         return new Envelope.BodyWriter()
                 .u16(owner)
                 .u8(kind)
@@ -98,7 +98,7 @@
         int key = in.getInt();
         long incarnation = Envelope.getU48(in);
         int counter = in.getInt();
-        long writtenAt = now - (in.getShort() & MAX_U16) * AGE_UNIT_MICROS;
+        long writtenAt = now - (in.getShort() & MAX_U16) * AGE_UNIT_US;
         if (kind == 0 || kind > HIGHEST_KNOWN_KIND || in.remaining() > MAX_VALUE_BYTES) {
             return null;
         }
--- a/src/main/java/dockshed/rollout/Announcement.java
+++ b/src/main/java/dockshed/rollout/Announcement.java
@@ -12,7 +12,7 @@
 record Announcement(long version, long digestPrefix, long chosen, boolean refused) {
     static final Announcement NONE = new Announcement(0, 0, 0, false);
 
-    boolean names(ConfigurationId id) {
+    boolean matches(ConfigurationId id) {
         return version == id.version() && digestPrefix == id.digest().prefix();
     }
 
--- a/src/main/java/dockshed/rollout/BoundedMap.java
+++ b/src/main/java/dockshed/rollout/BoundedMap.java
@@ -7,20 +7,20 @@
 final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
 
-    private final int most;
+    private final int maxEntries;
 
     BoundedMap(int most) {
-        this.most = most;
+        this.maxEntries = most;
     }
 
     /** Puts an entry as the latest written. */
-    void renew(K key, V value) {
+    void putLatest(K key, V value) {
         remove(key);
         put(key, value);
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > most;
+        return size() > maxEntries;
     }
 }
--- a/src/main/java/dockshed/rollout/ChunkServer.java
+++ b/src/main/java/dockshed/rollout/ChunkServer.java
@@ -11,38 +11,38 @@
 
 /**
  * Serves chunks of the contents that this broker has, within an allowance in all and one for each that asks. Long contents
- * go to {@link #SLOTS} brokers at a time and the others are told that it is busy: whoever has the whole soon serves it too,
+ * go to {@link #MAX_SLOTS} brokers at a time and the others are told that it is busy: whoever has the whole soon serves it too,
  * while parts at many help nobody.
  */
 final class ChunkServer {
     /** Bytes of chunks a second in all, and at once. */
-    static final double BYTES = 1_200;
+    static final double BYTES_PER_SECOND = 1_200;
 
-    static final double BURST = 16_000;
+    static final double BURST_BYTES = 16_000;
     /** The same to one broker: one longest content with its losses, then little. */
-    static final double BYTES_EACH = 1_000;
+    static final double BYTES_PER_SECOND_PER_BROKER = 1_000;
 
-    static final double BURST_EACH = 3.0 * Configuration.MOST_BYTES;
+    static final double BURST_BYTES_PER_BROKER = 3.0 * Configuration.MAX_BYTES;
     /** Brokers that are served long contents at a time; a slot is free again after a pause of the asker, and in any case. */
-    static final int SLOTS = 2;
+    static final int MAX_SLOTS = 2;
 
-    static final long SLOT_IDLE = 700_000;
-    static final long SLOT_LONGEST = 4_000_000;
+    static final long MAX_SLOT_IDLE_US = 700_000;
+    static final long MAX_SLOT_TIME_US = 4_000_000;
     /** Brokers whose allowance is remembered. */
-    static final int MOST_ASKERS = 256;
+    static final int MAX_TRACKED_BROKERS = 256;
 
     private record Slot(long since, long usedAt) {}
 
     private final NodeContext context;
     private final Supplier<List<Configuration>> contents;
-    private final Allowance all;
+    private final TokenBucket totalBucket;
     private final Map<Integer, Slot> slots = new HashMap<>();
-    private final BoundedMap<Integer, Allowance> each = new BoundedMap<>(MOST_ASKERS);
+    private final BoundedMap<Integer, TokenBucket> brokerBuckets = new BoundedMap<>(MAX_TRACKED_BROKERS);
 
     ChunkServer(NodeContext context, long now, Supplier<List<Configuration>> contents) {
         this.context = context;
         this.contents = contents;
-        all = new Allowance(now, BYTES, BURST);
+        totalBucket = new TokenBucket(now, BYTES_PER_SECOND, BURST_BYTES);
     }
 
     void serve(long now, int to, ChunkRequest request) {
@@ -68,18 +68,21 @@
 
     /** Chunks sent. */
     private int send(long now, int to, ChunkRequest request, Configuration content) {
-        int chunks = RolloutCodec.chunks(content.length());
+        int chunks = RolloutCodec.chunkCount(content.length());
         BitSet wanted = request.missing().get(0, chunks);
-        if (!slot(now, to, wanted.cardinality() <= Download.WINDOW)) {
+        if (!acquireSlot(now, to, wanted.cardinality() <= Download.MAX_CHUNKS_PER_REQUEST)) {
             return 0;
         }
-        Allowance own = each.computeIfAbsent(to, broker -> new Allowance(now, BYTES_EACH, BURST_EACH));
+        TokenBucket own = brokerBuckets.computeIfAbsent(
+                to, broker -> new TokenBucket(now, BYTES_PER_SECOND_PER_BROKER, BURST_BYTES_PER_BROKER));
         int sent = 0;
-        for (int i = wanted.nextSetBit(0); i >= 0 && sent < Download.WINDOW; i = wanted.nextSetBit(i + 1)) {
-            if (!all.has(now, RolloutCodec.CHUNK_BYTES) || !own.take(now, RolloutCodec.CHUNK_BYTES)) {
+        for (int i = wanted.nextSetBit(0);
+                i >= 0 && sent < Download.MAX_CHUNKS_PER_REQUEST;
+                i = wanted.nextSetBit(i + 1)) {
+            if (!totalBucket.hasTokens(now, RolloutCodec.CHUNK_BYTES) || !own.tryTake(now, RolloutCodec.CHUNK_BYTES)) {
                 break;
             }
-            all.take(now, RolloutCodec.CHUNK_BYTES);
+            totalBucket.tryTake(now, RolloutCodec.CHUNK_BYTES);
             byte[] bytes = content.chunk(i, RolloutCodec.CHUNK_BYTES);
             context.sender().send(now, to, new Chunk(request.request(), content.version(), content.length(), i, bytes));
             sent++;
@@ -91,14 +94,14 @@
     }
 
     /** Whether a broker may be served now; {@code last}: what it asks for are the last chunks, for which no slot is needed. */
-    private boolean slot(long now, int to, boolean last) {
-        slots.values().removeIf(s -> now - s.usedAt() > SLOT_IDLE || now - s.since() > SLOT_LONGEST);
+    private boolean acquireSlot(long now, int to, boolean last) {
+        slots.values().removeIf(s -> now - s.usedAt() > MAX_SLOT_IDLE_US || now - s.since() > MAX_SLOT_TIME_US);
         if (last) {
             slots.remove(to);
             return true;
         }
         Slot held = slots.get(to);
-        if (held == null && slots.size() >= SLOTS) {
+        if (held == null && slots.size() >= MAX_SLOTS) {
             return false;
         }
         slots.put(to, new Slot(held == null ? now : held.since(), now));
--- a/src/main/java/dockshed/rollout/Configuration.java
+++ b/src/main/java/dockshed/rollout/Configuration.java
@@ -3,16 +3,16 @@
 /** A version with its whole content: the bytes of the operator's document. Immutable. */
 public final class Configuration {
     /** Bytes of a document at most. */
-    public static final int MOST_BYTES = 2 * 1024;
+    public static final int MAX_BYTES = 2 * 1024;
 
     private final ConfigurationId id;
     private final byte[] content;
 
     /** The configuration of that version and content. Throws IllegalArgumentException where it is empty or too long. */
     public Configuration(long version, byte[] content) {
-        if (content.length == 0 || content.length > MOST_BYTES) {
+        if (content.length == 0 || content.length > MAX_BYTES) {
             throw new IllegalArgumentException(
-                    "a configuration has 1 to " + MOST_BYTES + " bytes, not " + content.length);
+                    "a configuration has 1 to " + MAX_BYTES + " bytes, not " + content.length);
         }
         this.content = content.clone();
         this.id = new ConfigurationId(version, ContentDigest.of(this.content));
--- a/src/main/java/dockshed/rollout/Download.java
+++ b/src/main/java/dockshed/rollout/Download.java
@@ -15,59 +15,59 @@
  */
 final class Download {
     /** Chunks that are asked for at once. */
-    static final int WINDOW = 16;
+    static final int MAX_CHUNKS_PER_REQUEST = 16;
     /** A source that sends nothing for so long gives way to another. */
-    static final long PATIENCE = 200_000;
+    static final long SOURCE_TIMEOUT_US = 200_000;
     /** Chunks of a window come close together: after so long without one the rest was lost. */
-    static final long GAP = 50_000;
+    static final long CHUNK_GAP_US = 50_000;
     /** And so does one that has not sent all after so long, so that none holds us up with crumbs. */
-    static final long SOURCE_PATIENCE = 4_000_000;
+    static final long MAX_SOURCE_TIME_US = 4_000_000;
     /** After a busy or missing source, another is asked after at most so long; the pause doubles up to the second one. */
-    static final long PAUSE = 120_000;
+    static final long MIN_PAUSE_US = 120_000;
 
-    static final long LONGEST_PAUSE = 500_000;
+    static final long MAX_PAUSE_US = 500_000;
     /** Without a chunk for so long it gives way to another download. */
-    static final long STALLED = 500_000;
+    static final long STALL_THRESHOLD_US = 500_000;
     /** A download without a whole content after so long is given up. */
-    static final long LONGEST = 12_000_000;
+    static final long MAX_DURATION_US = 12_000_000;
 
     /** Who has the content now; those that must not be asked are left out. */
     interface Sources {
-        List<Integer> now(long now);
+        List<Integer> current(long now);
     }
 
     /** Told of a source whose content had the wrong digest. */
-    interface Blame {
-        void bad(long now, int source);
+    interface DigestMismatchListener {
+        void digestMismatch(long now, int source);
     }
 
     private final NodeContext context;
     private final ConfigurationId id;
     private final Sources sources;
-    private final Blame blame;
-    private final long began;
+    private final DigestMismatchListener mismatchListener;
+    private final long startedAt;
     private final Set<Integer> contributors = new HashSet<>();
     private byte[][] chunks; // null: the length is not known yet
     private int length;
-    private boolean alone; // take all chunks from one source
+    private boolean singleSource; // take all chunks from one source
     private int source = -1;
     private int lastSource = -1;
     private int request;
-    private int asked;
-    private int arrived;
+    private int requestedChunks;
+    private int receivedChunks;
     private long sourceSince;
-    private long actAt;
+    private long nextActionAt;
     private long progressAt;
-    private long pause = PAUSE;
+    private long pause = MIN_PAUSE_US;
 
-    Download(NodeContext context, long now, ConfigurationId id, Sources sources, Blame blame) {
+    Download(NodeContext context, long now, ConfigurationId id, Sources sources, DigestMismatchListener blame) {
         this.context = context;
         this.id = id;
         this.sources = sources;
-        this.blame = blame;
-        began = now;
+        this.mismatchListener = blame;
+        startedAt = now;
         progressAt = now;
-        actAt = now;
+        nextActionAt = now;
         tick(now);
     }
 
@@ -75,113 +75,113 @@
         return id;
     }
 
-    boolean givenUp(long now) {
-        return now - began >= LONGEST;
+    boolean isTimedOut(long now) {
+        return now - startedAt >= MAX_DURATION_US;
     }
 
     /** Whether nothing came for a while: what else is to be fetched need not wait for it. */
-    boolean stalled(long now) {
-        return now - progressAt >= STALLED;
+    boolean isStalled(long now) {
+        return now - progressAt >= STALL_THRESHOLD_US;
     }
 
-    long next() {
-        return Math.min(actAt, began + LONGEST);
+    long nextTickAt() {
+        return Math.min(nextActionAt, startedAt + MAX_DURATION_US);
     }
 
     void tick(long now) {
-        if (now < actAt || givenUp(now)) {
+        if (now < nextActionAt || isTimedOut(now)) {
             return;
         }
-        boolean silent = asked > 0 && arrived == 0;
-        if (source < 0 || silent || now - sourceSince >= SOURCE_PATIENCE) {
+        boolean silent = requestedChunks > 0 && receivedChunks == 0;
+        if (source < 0 || silent || now - sourceSince >= MAX_SOURCE_TIME_US) {
             chooseSource(now);
         }
         if (source >= 0) {
-            ask(now);
+            requestChunks(now);
         } else {
-            actAt = now + context.jitter(PATIENCE);
+            nextActionAt = now + context.jitter(SOURCE_TIMEOUT_US);
         }
     }
 
     private void chooseSource(long now) {
-        List<Integer> all = sources.now(now);
+        List<Integer> all = sources.current(now);
         List<Integer> others = all.stream().filter(s -> s != lastSource).toList();
         List<Integer> candidates = others.isEmpty() ? all : others;
         source = candidates.isEmpty() ? -1 : candidates.get(context.random().nextInt(candidates.size()));
         lastSource = source;
         sourceSince = now;
-        if (alone) {
-            forget();
+        if (singleSource) {
+            discardChunks();
         }
     }
 
-    private void forget() {
+    private void discardChunks() {
         chunks = null;
         contributors.clear();
     }
 
-    private void ask(long now) {
+    private void requestChunks(long now) {
         BitSet missing = missing();
-        context.counts().chunksAgain += Math.max(0, asked - arrived);
+        context.counts().chunksRequestedAgain += Math.max(0, requestedChunks - receivedChunks);
         request = context.random().nextInt();
-        asked = Math.min(WINDOW, missing.cardinality());
-        arrived = 0;
-        actAt = now + PATIENCE / 2 + context.jitter(PATIENCE);
+        requestedChunks = Math.min(MAX_CHUNKS_PER_REQUEST, missing.cardinality());
+        receivedChunks = 0;
+        nextActionAt = now + SOURCE_TIMEOUT_US / 2 + context.jitter(SOURCE_TIMEOUT_US);
         ChunkRequest wanted =
                 new ChunkRequest(request, id.version(), id.digest().prefix(), missing);
         context.sender().send(now, source, wanted);
     }
 
     private BitSet missing() {
-        BitSet missing = new BitSet(RolloutCodec.MOST_CHUNKS);
-        for (int i = 0; i < (chunks == null ? RolloutCodec.MOST_CHUNKS : chunks.length); i++) {
+        BitSet missing = new BitSet(RolloutCodec.MAX_CHUNKS);
+        for (int i = 0; i < (chunks == null ? RolloutCodec.MAX_CHUNKS : chunks.length); i++) {
             missing.set(i, chunks == null || chunks[i] == null);
         }
         return missing;
     }
 
     /** Takes a message of a source; returns the whole content once it is there, and null until then. */
-    Configuration chunk(long now, int from, Chunk chunk) {
+    Configuration chunkReceived(long now, int from, Chunk chunk) {
         if (from != source || chunk.request() != request || chunk.version() != id.version()) {
             return null;
         }
         if (chunks != null && length != chunk.length()) {
-            wrong(now);
+            discardMismatch(now);
             return null;
         }
         if (chunks == null) {
             length = chunk.length();
-            chunks = new byte[RolloutCodec.chunks(length)][];
+            chunks = new byte[RolloutCodec.chunkCount(length)][];
         }
         if (chunks[chunk.index()] != null) {
             return null;
         }
         chunks[chunk.index()] = chunk.bytes();
         contributors.add(from);
-        arrived++;
+        receivedChunks++;
         progressAt = now;
-        pause = PAUSE;
+        pause = MIN_PAUSE_US;
         if (missing().isEmpty()) {
-            return whole(now);
+            return assemble(now);
         }
-        if (arrived == asked) {
-            ask(now);
+        if (receivedChunks == requestedChunks) {
+            requestChunks(now);
         } else {
-            actAt = now + GAP;
+            nextActionAt = now + CHUNK_GAP_US;
         }
         return null;
     }
 
-    void unavailable(long now, int from, Unavailable message) {
+    void unavailableReceived(long now, int from, Unavailable message) {
         if (from == source && message.request() == request) {
             source = -1;
-            asked = 0;
-            actAt = now + context.jitter(pause);
-            pause = Math.min(LONGEST_PAUSE, 2 * pause);
+            requestedChunks = 0;
+            nextActionAt = now + context.jitter(pause);
+            pause = Math.min(MAX_PAUSE_US, 2 * pause);
         }
     }
 
-    private Configuration whole(long now) {
+    private Configuration assemble(long now) {
         byte[] content = new byte[length];
         for (int i = 0; i < chunks.length; i++) {
             System.arraycopy(chunks[i], 0, content, i * RolloutCodec.CHUNK_BYTES, chunks[i].length);
@@ -190,20 +190,20 @@
         if (configuration.id().equals(id)) {
             return configuration;
         }
-        wrong(now);
+        discardMismatch(now);
         return null;
     }
 
     /** The content is not the one that was chosen: all that came is thrown away. */
-    private void wrong(long now) {
+    private void discardMismatch(long now) {
         context.counts().badDigests++;
         if (contributors.size() == 1 && contributors.contains(source)) {
-            blame.bad(now, source);
+            mismatchListener.digestMismatch(now, source);
         }
-        alone = true;
-        forget();
+        singleSource = true;
+        discardChunks();
         source = -1;
-        asked = 0;
-        actAt = now;
+        requestedChunks = 0;
+        nextActionAt = now;
     }
 }
--- a/src/main/java/dockshed/rollout/Learner.java
+++ b/src/main/java/dockshed/rollout/Learner.java
@@ -21,45 +21,46 @@
  */
 final class Learner {
     /** A first question waits for up to so long, as all brokers hear of a change at about the same time. */
-    static final long SPREAD = 1_000_000;
+    static final long MAX_FIRST_REQUEST_DELAY_US = 1_000_000;
     /** Between two rounds without a result: from the first to at most the second; the third where nobody announces more. */
-    static final long PAUSE = 300_000;
+    static final long MIN_RETRY_PAUSE_US = 300_000;
 
-    static final long LONGEST_PAUSE = 2_000_000;
-    static final long IDLE_PAUSE = 20_000_000;
+    static final long MAX_RETRY_PAUSE_US = 2_000_000;
+    static final long MAX_IDLE_RETRY_PAUSE_US = 20_000_000;
 
     /** What could not be saved is tried again after so long. */
-    static final long SAVE_AGAIN = 10_000_000;
+    static final long SAVE_RETRY_INTERVAL_US = 10_000_000;
 
     private final NodeContext context;
     private final SourceTable sources;
     private final Set<Integer> voterSources = new LinkedHashSet<>(); // voters that reported the target
     private Configuration inForce; // null: none
-    private Configuration before; // the one before it, still served
+    private Configuration previous; // the one before it, still served
     private ConfigurationId refused; // the highest that this program cannot use; null: none
     private VoterRound round;
     private Download download;
     private Configuration unsaved; // in force, and the storage did not take it yet
-    private long saveAt;
-    private long askAt;
-    private long pause = PAUSE;
-    private long heardAt = Long.MIN_VALUE;
+    private long saveRetryAt;
+    private long nextRoundAt;
+    private long pause = MIN_RETRY_PAUSE_US;
+    private long newerKnownSince = Long.MIN_VALUE;
 
     Learner(NodeContext context, SourceTable sources, long now) {
         this.context = context;
         this.sources = sources;
         loadInForce(now);
-        askAt = now + context.jitter(SPREAD); // whatever happened while this broker was away
+        nextRoundAt = now + context.jitter(MAX_FIRST_REQUEST_DELAY_US); // whatever happened while this broker was away
     }
 
     private void loadInForce(long now) {
         try {
             Optional<Configuration> loaded = context.storage().loadInForce();
             if (loaded.isPresent() && apply(now, loaded.get())) {
-                context.tell(now, new RolloutEvent.InForce(loaded.get().id(), 0));
+                context.notifyListener(
+                        now, new RolloutEvent.InForce(loaded.get().id(), 0));
             }
         } catch (StorageException e) {
-            context.tell(now, new RolloutEvent.StorageFailed(e.getMessage()));
+            context.notifyListener(now, new RolloutEvent.StorageFailed(e.getMessage()));
         }
     }
 
@@ -77,8 +78,8 @@
         if (inForce != null) {
             out.add(inForce);
         }
-        if (before != null) {
-            out.add(before);
+        if (previous != null) {
+            out.add(previous);
         }
         return out;
     }
@@ -88,133 +89,135 @@
     }
 
     /** The version above which something is to be learnt. */
-    private long settled() {
+    private long highestHandled() {
         return Math.max(version(), refused == null ? 0 : refused.version());
     }
 
     Announcement announcement() {
         long prefix = inForce == null ? 0 : inForce.id().digest().prefix();
-        long chosen = Math.max(settled(), download == null ? 0 : download.id().version());
-        return new Announcement(version(), prefix, chosen, settled() > version());
+        long chosen =
+                Math.max(highestHandled(), download == null ? 0 : download.id().version());
+        return new Announcement(version(), prefix, chosen, highestHandled() > version());
     }
 
     // ---- What is heard.
 
-    void heard(long now, int from, Announcement announcement) {
-        if (sources.avoided(now, from)) {
+    void announcementReceived(long now, int from, Announcement announcement) {
+        if (sources.isAvoided(now, from)) {
             return;
         }
-        sources.heard(now, from, announcement);
-        if (inForce != null && announcement.version() == version() && !announcement.names(inForce.id())) {
+        sources.received(now, from, announcement);
+        if (inForce != null && announcement.version() == version() && !announcement.matches(inForce.id())) {
             context.counts().conflicts++;
         }
-        if (announcement.highest() > settled()) {
-            newer(now);
+        if (announcement.highest() > highestHandled()) {
+            newerVersionKnown(now);
         }
     }
 
-    private void newer(long now) {
-        if (heardAt == Long.MIN_VALUE) {
-            heardAt = now;
+    private void newerVersionKnown(long now) {
+        if (newerKnownSince == Long.MIN_VALUE) {
+            newerKnownSince = now;
         }
-        if (round == null && download == null && askAt > now + LONGEST_PAUSE) {
-            askAt = now + context.random().nextLong(SPREAD);
+        if (round == null && download == null && nextRoundAt > now + MAX_RETRY_PAUSE_US) {
+            nextRoundAt = now + context.random().nextLong(MAX_FIRST_REQUEST_DELAY_US);
         }
     }
 
     /** This broker's own proposal was chosen. */
-    void chosen(long now, Configuration configuration) {
-        if (configuration.version() > settled()) {
-            if (heardAt == Long.MIN_VALUE) {
-                heardAt = now;
+    void proposalChosen(long now, Configuration configuration) {
+        if (configuration.version() > highestHandled()) {
+            if (newerKnownSince == Long.MIN_VALUE) {
+                newerKnownSince = now;
             }
-            take(now, configuration);
+            adopt(now, configuration);
         }
     }
 
     // ---- Time.
 
-    long next() {
+    long nextTickAt() {
         if (download != null) {
-            return download.next();
+            return download.nextTickAt();
         }
-        return round != null ? round.next() : askAt;
+        return round != null ? round.nextTickAt() : nextRoundAt;
     }
 
     void tick(long now) {
-        if (unsaved != null && now >= saveAt) {
+        if (unsaved != null && now >= saveRetryAt) {
             save(now, unsaved);
         }
         if (download != null) {
             download.tick(now);
-            if (download.givenUp(now)) {
+            if (download.isTimedOut(now)) {
                 download = null;
-                askAgain(now);
+                scheduleRetry(now);
             }
         } else if (round != null) {
             tickRound(now);
-        } else if (now >= askAt) {
-            ask(now);
+        } else if (now >= nextRoundAt) {
+            startRound(now);
         }
     }
 
-    private void ask(long now) {
-        askAt = Long.MAX_VALUE;
+    private void startRound(long now) {
+        nextRoundAt = Long.MAX_VALUE;
         context.counts().rounds++;
         round = new VoterRound(
                 context.settings(), context.random(), now, context.settings().majority(), this::askVoter);
     }
 
     private void askVoter(long now, int voter, int number) {
-        context.sender().send(now, voter, new ReportRequest(number, settled()));
+        context.sender().send(now, voter, new ReportRequest(number, highestHandled()));
     }
 
     private void tickRound(long now) {
-        if (!round.over(now)) {
+        if (!round.isOver(now)) {
             round.tick(now);
             return;
         }
         round = null;
-        context.counts().fruitlessRounds++;
-        askAgain(now);
+        context.counts().roundsWithoutResult++;
+        scheduleRetry(now);
     }
 
-    private void askAgain(long now) {
-        boolean announced = !sources.announcersAbove(now, settled()).isEmpty();
-        pause = Math.min(pause, announced ? LONGEST_PAUSE : IDLE_PAUSE);
-        askAt = now + context.jitter(pause);
+    private void scheduleRetry(long now) {
+        boolean announced = !sources.announcersAbove(now, highestHandled()).isEmpty();
+        pause = Math.min(pause, announced ? MAX_RETRY_PAUSE_US : MAX_IDLE_RETRY_PAUSE_US);
+        nextRoundAt = now + context.jitter(pause);
         pause *= 2;
     }
 
     // ---- What the voters answer.
 
     /** Takes a voter's answer; false: it was not asked for here. */
-    boolean answered(long now, int from, Report report) {
-        if (round == null || !round.answered(now, from, report)) {
+    boolean reportReceived(long now, int from, Report report) {
+        if (round == null || !round.reportReceived(now, from, report)) {
             return false;
         }
-        ConfigurationId chosen = round.chosenAbove(settled());
+        ConfigurationId chosen = round.chosenAbove(highestHandled());
         if (chosen != null) {
-            pause = PAUSE;
+            pause = MIN_RETRY_PAUSE_US;
             fetch(now, chosen);
-        } else if (round.voting() >= context.settings().majority()) {
-            nothingNew(now);
+        } else if (round.votingVoters() >= context.settings().majority()) {
+            noNewerVersionChosen(now);
         }
         return true;
     }
 
     /** A majority of the voters answered, and nothing newer is chosen yet. */
-    private void nothingNew(long now) {
+    private void noNewerVersionChosen(long now) {
         long highest = round.highest();
-        for (int announcer : sources.announcersAbove(now, Math.max(highest, settled()))) {
+        for (int announcer : sources.announcersAbove(now, Math.max(highest, highestHandled()))) {
             sources.avoid(now, announcer);
-            context.tell(now, new RolloutEvent.SourceAvoided(announcer, "announces a version that no voter knows"));
+            context.notifyListener(
+                    now, new RolloutEvent.SourceAvoided(announcer, "announces a version that no voter knows"));
         }
-        if (sources.announcersAbove(now, settled()).isEmpty()) {
+        if (sources.announcersAbove(now, highestHandled()).isEmpty()) {
             round = null;
-            heardAt = Long.MIN_VALUE;
-            askAt = Long.MAX_VALUE;
-            pause = PAUSE;
+            newerKnownSince = Long.MIN_VALUE;
+            nextRoundAt = Long.MAX_VALUE;
+            pause = MIN_RETRY_PAUSE_US;
         }
         // Otherwise the other voters' answers are waited for until the round is over.
     }
@@ -227,10 +230,10 @@
             }
         });
         round = null;
-        if (heardAt == Long.MIN_VALUE) {
-            heardAt = now;
+        if (newerKnownSince == Long.MIN_VALUE) {
+            newerKnownSince = now;
         }
-        download = new Download(context, now, id, t -> sourcesOf(t, id), this::bad);
+        download = new Download(context, now, id, t -> sourcesOf(t, id), this::digestMismatch);
     }
 
     /** Brokers that announce it, and voters that reported it: these have it from the first, and are asked least. */
@@ -238,13 +241,13 @@
         Set<Integer> all = new LinkedHashSet<>(sources.sourcesOf(now, id));
         all.addAll(voterSources);
         List<Integer> trusted =
-                all.stream().filter(b -> !sources.avoided(now, b)).toList();
+                all.stream().filter(b -> !sources.isAvoided(now, b)).toList();
         return trusted.isEmpty() ? List.copyOf(voterSources) : trusted;
     }
 
-    private void bad(long now, int source) {
+    private void digestMismatch(long now, int source) {
         sources.avoid(now, source);
-        context.tell(now, new RolloutEvent.SourceAvoided(source, "served a content with another digest"));
+        context.notifyListener(now, new RolloutEvent.SourceAvoided(source, "served a content with another digest"));
     }
 
     // ---- The content.
@@ -254,36 +257,36 @@
         if (download == null || !download.id().equals(configuration.id())) {
             return false;
         }
-        take(now, configuration);
+        adopt(now, configuration);
         return true;
     }
 
-    void chunk(long now, int from, Chunk chunk) {
-        Configuration whole = download == null ? null : download.chunk(now, from, chunk);
+    void chunkReceived(long now, int from, Chunk chunk) {
+        Configuration whole = download == null ? null : download.chunkReceived(now, from, chunk);
         if (whole != null) {
-            take(now, whole);
+            adopt(now, whole);
         }
     }
 
-    void unavailable(long now, int from, Unavailable message) {
+    void unavailableReceived(long now, int from, Unavailable message) {
         if (download != null) {
-            download.unavailable(now, from, message);
+            download.unavailableReceived(now, from, message);
         }
     }
 
-    private void take(long now, Configuration configuration) {
+    private void adopt(long now, Configuration configuration) {
         download = null;
         round = null;
-        long after = now - heardAt;
-        heardAt = Long.MIN_VALUE;
+        long after = now - newerKnownSince;
+        newerKnownSince = Long.MIN_VALUE;
         if (apply(now, configuration)) {
             save(now, configuration);
-            context.tell(now, new RolloutEvent.InForce(configuration.id(), after));
+            context.notifyListener(now, new RolloutEvent.InForce(configuration.id(), after));
         }
-        boolean more = !sources.announcersAbove(now, settled()).isEmpty();
-        askAt = Long.MAX_VALUE;
+        boolean more = !sources.announcersAbove(now, highestHandled()).isEmpty();
+        nextRoundAt = Long.MAX_VALUE;
         if (more) {
-            newer(now);
+            newerVersionKnown(now);
         }
     }
 
@@ -295,11 +298,11 @@
         Optional<String> reason = context.applier().validate(configuration);
         if (reason.isPresent()) {
             refused = configuration.id();
-            context.tell(now, new RolloutEvent.Refused(configuration.id(), reason.get()));
+            context.notifyListener(now, new RolloutEvent.Refused(configuration.id(), reason.get()));
             return false;
         }
         context.applier().apply(configuration);
-        before = inForce;
+        previous = inForce;
         inForce = configuration;
         return true;
     }
@@ -307,12 +310,12 @@
     /** A change does not wait for a full disk: it is in force, and saved as soon as that can be done. */
     private void save(long now, Configuration configuration) {
         unsaved = configuration;
-        saveAt = now + SAVE_AGAIN;
+        saveRetryAt = now + SAVE_RETRY_INTERVAL_US;
         try {
             context.storage().saveInForce(configuration);
             unsaved = null;
         } catch (StorageException e) {
-            context.tell(now, new RolloutEvent.StorageFailed(e.getMessage()));
+            context.notifyListener(now, new RolloutEvent.StorageFailed(e.getMessage()));
         }
     }
 }
--- a/src/main/java/dockshed/rollout/NodeContext.java
+++ b/src/main/java/dockshed/rollout/NodeContext.java
@@ -21,7 +21,7 @@
         return micros / 2 + random.nextLong(micros / 2 + 1);
     }
 
-    void tell(long now, RolloutEvent event) {
-        listener.happened(now, event);
+    void notifyListener(long now, RolloutEvent event) {
+        listener.onEvent(now, event);
     }
 }
--- a/src/main/java/dockshed/rollout/ProposalOutcome.java
+++ b/src/main/java/dockshed/rollout/ProposalOutcome.java
@@ -6,13 +6,13 @@
     record Chosen() implements ProposalOutcome {}
 
     /** Its number is not the next: nothing was put to the vote. */
-    record NotNext(long expected) implements ProposalOutcome {}
+    record NotNextVersion(long expectedVersion) implements ProposalOutcome {}
 
     /** Another content was chosen for this version. */
-    record Beaten(ConfigurationId by) implements ProposalOutcome {}
+    record OtherContentChosen(ConfigurationId chosen) implements ProposalOutcome {}
 
     /** Voters are split, or went on to a later version: the number is used up; {@code next} may be proposed. */
-    record Contested(long next) implements ProposalOutcome {}
+    record SplitVote(long nextVersion) implements ProposalOutcome {}
 
     /** A majority of the voters refused the content, as they cannot use it. */
     record Invalid() implements ProposalOutcome {}
--- a/src/main/java/dockshed/rollout/Proposer.java
+++ b/src/main/java/dockshed/rollout/Proposer.java
@@ -1,11 +1,11 @@
 package dockshed.rollout;
 
-import dockshed.rollout.ProposalOutcome.Beaten;
 import dockshed.rollout.ProposalOutcome.Chosen;
-import dockshed.rollout.ProposalOutcome.Contested;
 import dockshed.rollout.ProposalOutcome.Invalid;
-import dockshed.rollout.ProposalOutcome.NotNext;
+import dockshed.rollout.ProposalOutcome.NotNextVersion;
+import dockshed.rollout.ProposalOutcome.OtherContentChosen;
 import dockshed.rollout.ProposalOutcome.Rejected;
+import dockshed.rollout.ProposalOutcome.SplitVote;
 import dockshed.rollout.ProposalOutcome.Undecided;
 import dockshed.rollout.RolloutMessage.Proposal;
 import dockshed.rollout.RolloutMessage.Report;
@@ -18,16 +18,16 @@
  */
 final class Proposer {
     /** Microseconds for which it looks whether its number is the next, and for which it asks for votes. */
-    static final long CHECKING_PATIENCE = 6_000_000;
+    static final long VERSION_CHECK_TIMEOUT_US = 6_000_000;
 
-    static final long VOTING_PATIENCE = 20_000_000;
+    static final long VOTING_TIMEOUT_US = 20_000_000;
 
     /** A majority's answers are enough to say which version is the next; so long the others are waited for. */
-    static final long HEAR_OUT = 600_000;
+    static final long MAX_WAIT_FOR_ALL_VOTERS_US = 600_000;
 
     /** Hears of a proposal that was chosen. */
-    interface WhenChosen {
-        void chosen(long now, Configuration configuration);
+    interface ChosenListener {
+        void proposalChosen(long now, Configuration configuration);
     }
 
     private enum Stage {
@@ -38,30 +38,30 @@
 
     private final NodeContext context;
     private final Voter voter; // null: this broker is none
-    private final WhenChosen whenChosen;
+    private final ChosenListener chosenListener;
     private Stage stage = Stage.IDLE;
     private Configuration configuration;
     private VoterRound round;
-    private boolean heardOut; // in this round
-    private long highestHeard; // the highest version that any voter ever told this broker
-    private long until;
+    private boolean allVotersConsidered; // in this round
+    private long highestReported; // the highest version that any voter ever told this broker
+    private long deadline;
 
-    Proposer(NodeContext context, Voter voter, WhenChosen whenChosen) {
+    Proposer(NodeContext context, Voter voter, ChosenListener whenChosen) {
         this.context = context;
         this.voter = voter;
-        this.whenChosen = whenChosen;
+        this.chosenListener = whenChosen;
     }
 
     void propose(long now, Configuration proposed) {
         String rejected = rejection(proposed);
         if (rejected != null) {
-            context.tell(now, new RolloutEvent.ProposalEnded(proposed.id(), new Rejected(rejected)));
+            context.notifyListener(now, new RolloutEvent.ProposalEnded(proposed.id(), new Rejected(rejected)));
             return;
         }
         configuration = proposed;
         stage = Stage.CHECKING;
-        until = now + CHECKING_PATIENCE;
-        begin(now);
+        deadline = now + VERSION_CHECK_TIMEOUT_US;
+        startRound(now);
     }
 
     private String rejection(Configuration proposed) {
@@ -76,17 +76,17 @@
         return refusal.orElse(null);
     }
 
-    private void begin(long now) {
-        heardOut = false;
+    private void startRound(long now) {
+        allVotersConsidered = false;
         round = new VoterRound(
                 context.settings(),
                 context.random(),
                 now,
                 context.settings().voters().size(),
-                this::ask);
+                this::askVoter);
     }
 
-    private void ask(long now, int to, int number) {
+    private void askVoter(long now, int to, int number) {
         long above = configuration.version() - 1;
         RolloutMessage question = stage == Stage.CHECKING
                 ? new ReportRequest(number, above)
@@ -94,130 +94,132 @@
         context.sender().send(now, to, question);
     }
 
-    long next() {
+    long nextTickAt() {
         if (stage == Stage.IDLE) {
             return Long.MAX_VALUE;
         }
-        long due = Math.min(until, round.next());
-        return stage == Stage.CHECKING && !heardOut ? Math.min(due, round.heardOutAt(HEAR_OUT)) : due;
+        long due = Math.min(deadline, round.nextTickAt());
+        return stage == Stage.CHECKING && !allVotersConsidered
+                ? Math.min(due, round.allVotersConsideredAt(MAX_WAIT_FOR_ALL_VOTERS_US))
+                : due;
     }
 
     void tick(long now) {
         if (stage == Stage.IDLE) {
             return;
         }
-        if (now >= until) {
-            outOfTime(now);
-        } else if (round.over(now)) {
-            begin(now);
+        if (now >= deadline) {
+            timedOut(now);
+        } else if (round.isOver(now)) {
+            startRound(now);
         } else {
             round.tick(now);
             if (stage == Stage.CHECKING) {
-                check(now);
+                checkVersion(now);
             }
         }
     }
 
     /** Takes a voter's answer; false: it was not asked for here. */
-    boolean answered(long now, int from, Report report) {
-        if (stage == Stage.IDLE || !round.answered(now, from, report)) {
+    boolean reportReceived(long now, int from, Report report) {
+        if (stage == Stage.IDLE || !round.reportReceived(now, from, report)) {
             return false;
         }
         if (stage == Stage.CHECKING) {
-            check(now);
+            checkVersion(now);
         } else {
-            count(now);
+            countVotes(now);
         }
         return true;
     }
 
     // ---- Which version is the next.
 
-    private void check(long now) {
-        heardOut = round.heardOut(now, HEAR_OUT);
-        if (!heardOut || round.voting() < context.settings().majority()) {
+    private void checkVersion(long now) {
+        allVotersConsidered = round.allVotersConsidered(now, MAX_WAIT_FOR_ALL_VOTERS_US);
+        if (!allVotersConsidered || round.votingVoters() < context.settings().majority()) {
             return;
         }
-        highestHeard = Math.max(highestHeard, round.highest());
-        long expected = highestHeard + 1;
+        highestReported = Math.max(highestReported, round.highest());
+        long expected = highestReported + 1;
         long version = configuration.version();
         ConfigurationId chosen = round.chosenAt(version);
         if (chosen != null && !chosen.equals(configuration.id())) {
-            end(now, new Beaten(chosen));
-        } else if (version == expected || version == expected - 1 && onlyOwnVotes()) {
+            end(now, new OtherContentChosen(chosen));
+        } else if (version == expected || version == expected - 1 && isOnlyVotedContent()) {
             stage = Stage.VOTING;
-            until = now + VOTING_PATIENCE;
+            deadline = now + VOTING_TIMEOUT_US;
             voter.provide(configuration);
-            begin(now);
+            startRound(now);
         } else if (version != expected - 1) {
-            end(now, new NotNext(expected));
+            end(now, new NotNextVersion(expected));
         }
         // Otherwise another content of this version is being voted on: what comes of it is waited for.
     }
 
     /** Whether this content was proposed before and is the only one of its version. */
-    private boolean onlyOwnVotes() {
+    private boolean isOnlyVotedContent() {
         return round.reports().values().stream()
-                        .allMatch(r -> r.at(configuration.version()) == null
-                                || configuration.id().equals(r.at(configuration.version())))
-                && round.count(configuration.id()) > 0;
+                        .allMatch(r -> r.knownAt(configuration.version()) == null
+                                || configuration.id().equals(r.knownAt(configuration.version())))
+                && round.votersKnowing(configuration.id()) > 0;
     }
 
     // ---- The votes.
 
-    private void count(long now) {
+    private void countVotes(long now) {
         ConfigurationId chosen = round.chosenAt(configuration.version());
         if (chosen != null && chosen.equals(configuration.id())) {
             Configuration done = configuration;
             end(now, new Chosen());
-            whenChosen.chosen(now, done);
+            chosenListener.proposalChosen(now, done);
         } else if (chosen != null) {
-            end(now, new Beaten(chosen));
-        } else if (lost(this::refused)) {
+            end(now, new OtherContentChosen(chosen));
+        } else if (majorityImpossible(this::isRefusal)) {
             end(now, new Invalid());
-        } else if (lost(this::cannot) && everyVoterAnswered()) {
-            end(now, new Contested(nextVersion()));
+        } else if (majorityImpossible(this::cannotVote) && everyVoterAnswered()) {
+            end(now, new SplitVote(nextFreeVersion()));
         }
     }
 
-    private interface Obstacle {
-        boolean stands(Report report);
+    private interface ReportCondition {
+        boolean test(Report report);
     }
 
-    private boolean refused(Report report) {
+    private boolean isRefusal(Report report) {
         return report.invalid();
     }
 
     /** Whether a voter cannot vote for this content any more. */
-    private boolean cannot(Report report) {
+    private boolean cannotVote(Report report) {
         return report.invalid()
                 || report.highest() >= configuration.version()
                         && !report.known().contains(configuration.id());
     }
 
     /** Whether those that answered so leave too few for a majority. */
-    private boolean lost(Obstacle obstacle) {
-        long against =
-                round.reports().values().stream().filter(obstacle::stands).count();
+    private boolean majorityImpossible(ReportCondition obstacle) {
+        long against = round.reports().values().stream().filter(obstacle::test).count();
         return context.settings().voters().size() - against < context.settings().majority();
     }
 
-    private long nextVersion() {
-        highestHeard = Math.max(highestHeard, Math.max(configuration.version(), round.highest()));
-        return highestHeard + 1;
+    private long nextFreeVersion() {
+        highestReported = Math.max(highestReported, Math.max(configuration.version(), round.highest()));
+        return highestReported + 1;
     }
 
     private boolean everyVoterAnswered() {
         return round.reports().size() == context.settings().voters().size();
     }
 
-    private void outOfTime(long now) {
+    private void timedOut(long now) {
         ConfigurationId id = configuration.id();
-        if (stage == Stage.CHECKING && round.voting() >= context.settings().majority()
-                || stage == Stage.VOTING && lost(this::cannot)) {
-            end(now, new Contested(nextVersion()));
+        if (stage == Stage.CHECKING
+                        && round.votingVoters() >= context.settings().majority()
+                || stage == Stage.VOTING && majorityImpossible(this::cannotVote)) {
+            end(now, new SplitVote(nextFreeVersion()));
         } else {
-            end(now, new Undecided(round.count(id), context.settings().majority()));
+            end(now, new Undecided(round.votersKnowing(id), context.settings().majority()));
         }
     }
 
@@ -226,6 +228,6 @@
         stage = Stage.IDLE;
         round = null;
         configuration = null;
-        context.tell(now, new RolloutEvent.ProposalEnded(id, outcome));
+        context.notifyListener(now, new RolloutEvent.ProposalEnded(id, outcome));
     }
 }
--- a/src/main/java/dockshed/rollout/RolloutCodec.java
+++ b/src/main/java/dockshed/rollout/RolloutCodec.java
@@ -21,9 +21,9 @@
     /** Bytes of a chunk; the last of a content may be shorter. */
     static final int CHUNK_BYTES = 200;
     /** Chunks of a content at most. */
-    static final int MOST_CHUNKS = (Configuration.MOST_BYTES + CHUNK_BYTES - 1) / CHUNK_BYTES;
+    static final int MAX_CHUNKS = (Configuration.MAX_BYTES + CHUNK_BYTES - 1) / CHUNK_BYTES;
 
-    private static final int MISSING_BYTES = (MOST_CHUNKS + 7) / 8;
+    private static final int MISSING_MASK_BYTES = (MAX_CHUNKS + 7) / 8;
     private static final int REPORT_REQUEST = 1;
     private static final int REPORT = 2;
     private static final int PROPOSAL = 3;
@@ -50,7 +50,7 @@
     // ---- Messages.
 
     static byte[] write(RolloutMessage message) {
-        ByteBuffer out = ByteBuffer.allocate(RolloutNode.MOST_BODY).put((byte) FORMAT);
+        ByteBuffer out = ByteBuffer.allocate(RolloutNode.MAX_BODY_BYTES).put((byte) FORMAT);
         if (message instanceof ReportRequest m) {
             out.put((byte) REPORT_REQUEST).putInt(m.round());
             putVersion(out, m.above());
@@ -63,7 +63,7 @@
         } else if (message instanceof ChunkRequest m) {
             out.put((byte) CHUNK_REQUEST).putInt(m.request());
             putVersion(out, m.version());
-            out.putLong(m.digestPrefix()).put(bits(m.missing()));
+            out.putLong(m.digestPrefix()).put(missingMask(m.missing()));
         } else if (message instanceof Chunk m) {
             out.put((byte) CHUNK).putInt(m.request());
             putVersion(out, m.version());
@@ -73,7 +73,7 @@
             putVersion(out, m.version());
             out.put((byte) (m.busy() ? 1 : 0));
         }
-        return written(out);
+        return toBytes(out);
     }
 
     private static void writeReport(ByteBuffer out, Report m) {
@@ -84,7 +84,7 @@
     }
 
     static RolloutMessage read(byte[] body) throws PassedOverException, MalformedException {
-        if (body.length < 2 || body.length > RolloutNode.MOST_BODY) {
+        if (body.length < 2 || body.length > RolloutNode.MAX_BODY_BYTES) {
             throw new MalformedException(body.length + " bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(body);
@@ -113,12 +113,12 @@
 
     private static RolloutMessage read(int kind, ByteBuffer in) throws PassedOverException, MalformedException {
         return switch (kind) {
-            case REPORT_REQUEST -> new ReportRequest(in.getInt(), version(in));
+            case REPORT_REQUEST -> new ReportRequest(in.getInt(), readVersion(in));
             case REPORT -> readReport(in);
-            case PROPOSAL -> new Proposal(in.getInt(), version(in), id(in));
-            case CHUNK_REQUEST -> new ChunkRequest(in.getInt(), version(in), in.getLong(), missing(in));
+            case PROPOSAL -> new Proposal(in.getInt(), readVersion(in), readId(in));
+            case CHUNK_REQUEST -> new ChunkRequest(in.getInt(), readVersion(in), in.getLong(), readMissing(in));
             case CHUNK -> readChunk(in);
-            case UNAVAILABLE -> new Unavailable(in.getInt(), version(in), flag(in));
+            case UNAVAILABLE -> new Unavailable(in.getInt(), readVersion(in), readFlag(in));
             default -> throw new PassedOverException();
         };
     }
@@ -129,27 +129,27 @@
         if (phase >= VoterPhase.values().length) {
             throw new MalformedException("phase " + phase);
         }
-        boolean invalid = flag(in);
-        long highest = version(in);
+        boolean invalid = readFlag(in);
+        long highest = readVersion(in);
         int count = in.get() & 0xFF;
-        if (count > Report.MOST_KNOWN) {
+        if (count > Report.MAX_KNOWN) {
             throw new MalformedException(count + " versions in a report");
         }
         List<ConfigurationId> known = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            known.add(id(in));
+            known.add(readId(in));
         }
         return new Report(round, VoterPhase.values()[phase], invalid, highest, known);
     }
 
     private static Chunk readChunk(ByteBuffer in) throws MalformedException {
         int request = in.getInt();
-        long version = version(in);
+        long version = readVersion(in);
         int length = in.getShort() & 0xFFFF;
         int index = in.get() & 0xFF;
         byte[] bytes = new byte[in.remaining()];
         in.get(bytes);
-        if (length < 1 || length > Configuration.MOST_BYTES || index >= chunks(length)) {
+        if (length < 1 || length > Configuration.MAX_BYTES || index >= chunkCount(length)) {
             throw new MalformedException("chunk " + index + " of " + length + " bytes");
         }
         if (bytes.length != Math.min(CHUNK_BYTES, length - index * CHUNK_BYTES)) {
@@ -159,11 +159,11 @@
     }
 
     /** Chunks of a content of that many bytes. */
-    static int chunks(int length) {
+    static int chunkCount(int length) {
         return (length + CHUNK_BYTES - 1) / CHUNK_BYTES;
     }
 
-    private static boolean flag(ByteBuffer in) throws MalformedException {
+    private static boolean readFlag(ByteBuffer in) throws MalformedException {
         byte flag = in.get();
         if (flag != 0 && flag != 1) {
             throw new MalformedException("flag " + flag);
@@ -171,15 +171,15 @@
         return flag == 1;
     }
 
-    private static byte[] bits(BitSet set) {
-        byte[] out = new byte[MISSING_BYTES];
+    private static byte[] missingMask(BitSet set) {
+        byte[] out = new byte[MISSING_MASK_BYTES];
         byte[] all = set.toByteArray();
-        System.arraycopy(all, 0, out, 0, Math.min(all.length, MISSING_BYTES));
+        System.arraycopy(all, 0, out, 0, Math.min(all.length, MISSING_MASK_BYTES));
         return out;
     }
 
-    private static BitSet missing(ByteBuffer in) {
-        byte[] bytes = new byte[MISSING_BYTES];
+    private static BitSet readMissing(ByteBuffer in) {
+        byte[] bytes = new byte[MISSING_MASK_BYTES];
         in.get(bytes);
         return BitSet.valueOf(bytes);
     }
@@ -188,9 +188,9 @@
         out.putShort((short) (version >>> 32)).putInt((int) version);
     }
 
-    private static long version(ByteBuffer in) throws MalformedException {
+    private static long readVersion(ByteBuffer in) throws MalformedException {
         long version = (long) (in.getShort() & 0xFFFF) << 32 | in.getInt() & 0xFFFFFFFFL;
-        if (version > ConfigurationId.MOST_VERSION) {
+        if (version > ConfigurationId.MAX_VERSION) {
             throw new MalformedException("version " + version);
         }
         return version;
@@ -201,8 +201,8 @@
         out.put(id.digest().toBytes());
     }
 
-    private static ConfigurationId id(ByteBuffer in) throws MalformedException {
-        long version = version(in);
+    private static ConfigurationId readId(ByteBuffer in) throws MalformedException {
+        long version = readVersion(in);
         byte[] digest = new byte[ContentDigest.BYTES];
         in.get(digest);
         if (version == 0) {
@@ -211,7 +211,7 @@
         return new ConfigurationId(version, ContentDigest.fromBytes(digest));
     }
 
-    private static byte[] written(ByteBuffer out) {
+    private static byte[] toBytes(ByteBuffer out) {
         byte[] bytes = new byte[out.position()];
         out.flip().get(bytes);
         return bytes;
@@ -220,22 +220,22 @@
     // ---- Announcements.
 
     static byte[] write(Announcement a) {
-        ByteBuffer out = ByteBuffer.allocate(RolloutNode.MOST_ANNOUNCEMENT).put((byte) FORMAT);
+        ByteBuffer out = ByteBuffer.allocate(RolloutNode.MAX_ANNOUNCEMENT_BYTES).put((byte) FORMAT);
         putVersion(out, a.version());
         out.putLong(a.digestPrefix());
         putVersion(out, a.chosen());
         out.put((byte) (a.refused() ? 1 : 0));
-        return written(out);
+        return toBytes(out);
     }
 
     static Announcement readAnnouncement(byte[] body) throws PassedOverException, MalformedException {
-        if (body.length < 1 || body.length > RolloutNode.MOST_ANNOUNCEMENT) {
+        if (body.length < 1 || body.length > RolloutNode.MAX_ANNOUNCEMENT_BYTES) {
             throw new MalformedException("announcement of " + body.length + " bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(body);
         checkFormat(in);
         try {
-            Announcement a = new Announcement(version(in), in.getLong(), version(in), flag(in));
+            Announcement a = new Announcement(readVersion(in), in.getLong(), readVersion(in), readFlag(in));
             if (in.hasRemaining()) {
                 throw new MalformedException(in.remaining() + " bytes behind an announcement");
             }
--- a/src/main/java/dockshed/rollout/RolloutCounts.java
+++ b/src/main/java/dockshed/rollout/RolloutCounts.java
@@ -19,9 +19,9 @@
     /** Rounds of asking the voters, of them without a result. */
     public long rounds;
 
-    public long fruitlessRounds;
+    public long roundsWithoutResult;
     /** Chunks asked for again, and contents whose digest was wrong. */
-    public long chunksAgain;
+    public long chunksRequestedAgain;
 
     public long badDigests;
     /** Announcements of the version in force here with another content: never of sound brokers. */
--- a/src/main/java/dockshed/rollout/RolloutEvent.java
+++ b/src/main/java/dockshed/rollout/RolloutEvent.java
@@ -3,7 +3,7 @@
 /** What happened at this broker that an operator may want to know. */
 public sealed interface RolloutEvent {
     /** A configuration came in force; {@code after}: microseconds since this broker first heard of a newer one. */
-    record InForce(ConfigurationId id, long after) implements RolloutEvent {}
+    record InForce(ConfigurationId id, long afterUs) implements RolloutEvent {}
 
     /** A chosen configuration cannot be used by this program; the one in force stays. */
     record Refused(ConfigurationId id, String reason) implements RolloutEvent {}
--- a/src/main/java/dockshed/rollout/RolloutListener.java
+++ b/src/main/java/dockshed/rollout/RolloutListener.java
@@ -2,5 +2,5 @@
 
 /** Hears of events, in the order in which they happen, on the thread that calls {@link RolloutNode}. */
 public interface RolloutListener {
-    void happened(long now, RolloutEvent event);
+    void onEvent(long now, RolloutEvent event);
 }
--- a/src/main/java/dockshed/rollout/RolloutMessage.java
+++ b/src/main/java/dockshed/rollout/RolloutMessage.java
@@ -20,14 +20,14 @@
     record Report(int round, VoterPhase phase, boolean invalid, long highest, List<ConfigurationId> known)
             implements RolloutMessage {
         /** Its votes and what it has in force. */
-        static final int MOST_KNOWN = VoterRecord.MOST_VOTES + 1;
+        static final int MAX_KNOWN = VoterRecord.MAX_VOTES + 1;
 
         public Report {
             known = List.copyOf(known);
         }
 
         /** What it says of a version; null: nothing. */
-        ConfigurationId at(long version) {
+        ConfigurationId knownAt(long version) {
             for (ConfigurationId id : known) {
                 if (id.version() == version) {
                     return id;
--- a/src/main/java/dockshed/rollout/RolloutNode.java
+++ b/src/main/java/dockshed/rollout/RolloutNode.java
@@ -17,26 +17,26 @@
  * One broker's part in the spread of configuration. Calls come from one thread, with a time that never goes back.
  *
  * <p>The gossip carries {@link #announcement()} in every datagram and hands what it receives to {@link
- * #heardAnnouncement}; bodies of {@link Outbox} travel in datagrams of their own and arrive at {@link #receive}. Both may
+ * #receiveAnnouncement}; bodies of {@link Outbox} travel in datagrams of their own and arrive at {@link #receive}. Both may
  * be lost, repeated, late or made up.
  */
 public final class RolloutNode {
     /** Bytes of a body at most. */
-    public static final int MOST_BODY = 240;
+    public static final int MAX_BODY_BYTES = 240;
     /** Bytes of an announcement at most. */
-    public static final int MOST_ANNOUNCEMENT = 24;
+    public static final int MAX_ANNOUNCEMENT_BYTES = 24;
     /** Between two calls of {@link #tick} at most, in microseconds. */
-    static final long LOOK = 500_000;
+    static final long MAX_TICK_GAP_US = 500_000;
     /** Questions of one broker that are answered: so many a second, so many at once. */
-    static final double QUESTIONS = 20;
+    static final double REQUESTS_PER_SECOND_PER_BROKER = 20;
 
-    static final double QUESTIONS_BURST = 40;
+    static final double REQUEST_BURST_PER_BROKER = 40;
     /** Questions that are answered in all, a second and at once. */
-    static final double ALL_QUESTIONS = 400;
+    static final double REQUESTS_PER_SECOND = 400;
 
-    static final double ALL_QUESTIONS_BURST = 600;
+    static final double REQUEST_BURST = 600;
     /** Brokers whose questions are counted, those that asked last. */
-    static final int MOST_ASKERS = 256;
+    static final int MAX_TRACKED_BROKERS = 256;
 
     private final RolloutSettings settings;
     private final Outbox outbox;
@@ -46,9 +46,9 @@
     private final Voter voter; // null: this broker is none
     private final Proposer proposer;
     private final ChunkServer server;
-    private final Allowance allQuestions;
-    private final BoundedMap<Integer, Allowance> questions = new BoundedMap<>(MOST_ASKERS);
-    private final ArrayDeque<RolloutMessage> toMyself = new ArrayDeque<>();
+    private final TokenBucket totalRequestBucket;
+    private final BoundedMap<Integer, TokenBucket> requestBuckets = new BoundedMap<>(MAX_TRACKED_BROKERS);
+    private final ArrayDeque<RolloutMessage> selfMessages = new ArrayDeque<>();
     private byte[] announcement;
 
     /** Begins with what the storage holds; puts the configuration in force that it held, if this program can use it. */
@@ -65,9 +65,9 @@
         NodeContext context = new NodeContext(settings, random, this::send, storage, applier, listener, counts);
         learner = new Learner(context, sources, now);
         voter = settings.isVoter(settings.me()) ? new Voter(context, now, learner::inForceId) : null;
-        proposer = new Proposer(context, voter, learner::chosen);
+        proposer = new Proposer(context, voter, learner::proposalChosen);
         server = new ChunkServer(context, now, this::contents);
-        allQuestions = new Allowance(now, ALL_QUESTIONS, ALL_QUESTIONS_BURST);
+        totalRequestBucket = new TokenBucket(now, REQUESTS_PER_SECOND, REQUEST_BURST);
         announcement = RolloutCodec.write(learner.announcement());
     }
 
@@ -88,19 +88,21 @@
             voter.tick(now);
         }
         proposer.tick(now);
-        settle(now);
+        deliverSelfMessages(now);
     }
 
     /** When {@link #tick} is to be called at the latest. */
-    public long next(long now) {
-        long due = Math.min(learner.next(), Math.min(proposer.next(), voter == null ? Long.MAX_VALUE : voter.next()));
-        return Math.max(now, Math.min(now + LOOK, due));
+    public long nextTickAt(long now) {
+        long due = Math.min(
+                learner.nextTickAt(),
+                Math.min(proposer.nextTickAt(), voter == null ? Long.MAX_VALUE : voter.nextTickAt()));
+        return Math.max(now, Math.min(now + MAX_TICK_GAP_US, due));
     }
 
     /** Proposes a configuration; the listener hears how it ends. */
     public void propose(long now, Configuration configuration) {
         proposer.propose(now, configuration);
-        settle(now);
+        deliverSelfMessages(now);
     }
 
     // ---- What comes.
@@ -115,8 +117,8 @@
         }
         try {
             RolloutMessage message = RolloutCodec.read(body);
-            if (allowed(now, from, message)) {
-                take(now, from, message);
+            if (isAllowed(now, from, message)) {
+                handle(now, from, message);
             } else {
                 counts.overAllowance++;
             }
@@ -125,57 +127,58 @@
         } catch (PassedOverException e) {
             counts.passedOver++;
         }
-        settle(now);
+        deliverSelfMessages(now);
     }
 
     /** Questions cost an answer; answers that nobody asked for cost nothing. */
-    private boolean allowed(long now, int from, RolloutMessage message) {
+    private boolean isAllowed(long now, int from, RolloutMessage message) {
         if (message instanceof Report || message instanceof Chunk || message instanceof Unavailable) {
             return true;
         }
-        Allowance own = questions.computeIfAbsent(from, b -> new Allowance(now, QUESTIONS, QUESTIONS_BURST));
-        return own.take(now, 1) && allQuestions.take(now, 1);
+        TokenBucket own = requestBuckets.computeIfAbsent(
+                from, b -> new TokenBucket(now, REQUESTS_PER_SECOND_PER_BROKER, REQUEST_BURST_PER_BROKER));
+        return own.tryTake(now, 1) && totalRequestBucket.tryTake(now, 1);
     }
 
-    private void take(long now, int from, RolloutMessage message) {
+    private void handle(long now, int from, RolloutMessage message) {
         if (message instanceof ReportRequest m && voter != null) {
             voter.reportRequested(now, from, m);
         } else if (message instanceof Proposal m && voter != null) {
-            voter.proposed(now, from, m);
+            voter.proposalReceived(now, from, m);
         } else if (message instanceof Report m) {
-            answered(now, from, m);
+            handleReport(now, from, m);
         } else if (message instanceof ChunkRequest m) {
             server.serve(now, from, m);
         } else if (message instanceof Chunk m) {
-            learner.chunk(now, from, m);
+            learner.chunkReceived(now, from, m);
             if (voter != null) {
-                voter.chunk(now, from, m);
+                voter.chunkReceived(now, from, m);
             }
         } else if (message instanceof Unavailable m) {
-            learner.unavailable(now, from, m);
+            learner.unavailableReceived(now, from, m);
             if (voter != null) {
-                voter.unavailable(now, from, m);
+                voter.unavailableReceived(now, from, m);
             }
         }
     }
 
-    private void answered(long now, int from, Report report) {
-        boolean taken = learner.answered(now, from, report)
-                || proposer.answered(now, from, report)
-                || voter != null && voter.answered(now, from, report);
+    private void handleReport(long now, int from, Report report) {
+        boolean taken = learner.reportReceived(now, from, report)
+                || proposer.reportReceived(now, from, report)
+                || voter != null && voter.reportReceived(now, from, report);
         if (taken && voter != null) {
             voter.contents().forEach(c -> learner.offer(now, c));
         }
     }
 
     /** Takes an announcement that came with another broker's datagram. Never throws, whatever it holds. */
-    public void heardAnnouncement(long now, int from, byte[] body) {
+    public void receiveAnnouncement(long now, int from, byte[] body) {
         if (from < 0 || from >= settings.members() || from == settings.me()) {
             counts.malformed++;
             return;
         }
         try {
-            learner.heard(now, from, RolloutCodec.readAnnouncement(body));
+            learner.announcementReceived(now, from, RolloutCodec.readAnnouncement(body));
         } catch (MalformedException e) {
             counts.malformed++;
         } catch (PassedOverException e) {
@@ -187,7 +190,7 @@
 
     private void send(long now, int to, RolloutMessage message) {
         if (to == settings.me()) {
-            toMyself.add(message);
+            selfMessages.add(message);
             return;
         }
         byte[] body = RolloutCodec.write(message);
@@ -197,14 +200,14 @@
     }
 
     /** Delivers what this broker said to itself, and renews what it announces. */
-    private void settle(long now) {
-        for (RolloutMessage next = toMyself.poll(); next != null; next = toMyself.poll()) {
-            take(now, settings.me(), next);
+    private void deliverSelfMessages(long now) {
+        for (RolloutMessage next = selfMessages.poll(); next != null; next = selfMessages.poll()) {
+            handle(now, settings.me(), next);
         }
         announcement = RolloutCodec.write(learner.announcement());
     }
 
-    /** What every datagram of the gossip carries: at most {@link #MOST_ANNOUNCEMENT} bytes; never empty. */
+    /** What every datagram of the gossip carries: at most {@link #MAX_ANNOUNCEMENT_BYTES} bytes; never empty. */
     public byte[] announcement() {
         return announcement;
     }
--- a/src/main/java/dockshed/rollout/RolloutSettings.java
+++ b/src/main/java/dockshed/rollout/RolloutSettings.java
@@ -12,14 +12,14 @@
  */
 public record RolloutSettings(int me, int members, List<Integer> voters) {
     /** Voters at most: more only make a vote slower. */
-    public static final int MOST_VOTERS = 7;
+    public static final int MAX_VOTERS = 7;
 
     public RolloutSettings {
         voters = List.copyOf(voters);
         if (me < 0 || me >= members) {
             throw new IllegalArgumentException("broker " + me + " of " + members);
         }
-        if (voters.size() % 2 == 0 || voters.size() > MOST_VOTERS || new HashSet<>(voters).size() != voters.size()) {
+        if (voters.size() % 2 == 0 || voters.size() > MAX_VOTERS || new HashSet<>(voters).size() != voters.size()) {
             throw new IllegalArgumentException("voters " + voters + ": an odd number of different brokers is needed");
         }
         for (int voter : voters) {
--- a/src/main/java/dockshed/rollout/SourceTable.java
+++ b/src/main/java/dockshed/rollout/SourceTable.java
@@ -6,37 +6,38 @@
 /** What others announce, and who is not listened to for a while. */
 final class SourceTable {
     /** Announcements that are remembered, of the brokers heard last. */
-    static final int MOST_HEARD = 256;
+    static final int MAX_ANNOUNCEMENTS = 256;
     /** Brokers that are avoided at a time. */
-    static final int MOST_AVOIDED = 64;
+    static final int MAX_AVOIDED_BROKERS = 64;
     /** Microseconds for which a broker is avoided, and for which an announcement is of now. */
-    static final long AVOID = 60_000_000;
+    static final long AVOID_TIME_US = 60_000_000;
 
-    static final long RECENT = 30_000_000;
+    static final long ANNOUNCEMENT_VALIDITY_US = 30_000_000;
 
-    private record Heard(Announcement announcement, long at) {}
+    private record ReceivedAnnouncement(Announcement announcement, long receivedAt) {}
 
-    private final BoundedMap<Integer, Heard> heard = new BoundedMap<>(MOST_HEARD);
-    private final BoundedMap<Integer, Long> avoidedUntil = new BoundedMap<>(MOST_AVOIDED);
+    private final BoundedMap<Integer, ReceivedAnnouncement> received = new BoundedMap<>(MAX_ANNOUNCEMENTS);
+    private final BoundedMap<Integer, Long> avoidedUntil = new BoundedMap<>(MAX_AVOIDED_BROKERS);
 
-    void heard(long now, int from, Announcement announcement) {
-        heard.renew(from, new Heard(announcement, now));
+    void received(long now, int from, Announcement announcement) {
+        received.putLatest(from, new ReceivedAnnouncement(announcement, now));
     }
 
     void avoid(long now, int broker) {
-        avoidedUntil.renew(broker, now + AVOID);
-        heard.remove(broker);
+        avoidedUntil.putLatest(broker, now + AVOID_TIME_US);
+        received.remove(broker);
     }
 
-    boolean avoided(long now, int broker) {
+    boolean isAvoided(long now, int broker) {
         return avoidedUntil.getOrDefault(broker, Long.MIN_VALUE) > now;
     }
 
     /** Those that announced a configuration lately. */
     List<Integer> sourcesOf(long now, ConfigurationId id) {
         List<Integer> out = new ArrayList<>();
-        heard.forEach((broker, h) -> {
-            if (now - h.at() < RECENT && h.announcement().names(id)) {
+        received.forEach((broker, h) -> {
+            if (now - h.receivedAt() < ANNOUNCEMENT_VALIDITY_US
+                    && h.announcement().matches(id)) {
                 out.add(broker);
             }
         });
@@ -46,8 +47,9 @@
     /** Those that lately spoke of a version above one given. */
     List<Integer> announcersAbove(long now, long version) {
         List<Integer> out = new ArrayList<>();
-        heard.forEach((broker, h) -> {
-            if (now - h.at() < RECENT && h.announcement().highest() > version) {
+        received.forEach((broker, h) -> {
+            if (now - h.receivedAt() < ANNOUNCEMENT_VALIDITY_US
+                    && h.announcement().highest() > version) {
                 out.add(broker);
             }
         });
@@ -56,13 +58,16 @@
 
     /** Brokers heard lately. */
     int count(long now) {
-        return (int) heard.values().stream().filter(h -> now - h.at() < RECENT).count();
+        return (int) received.values().stream()
+                .filter(h -> now - h.receivedAt() < ANNOUNCEMENT_VALIDITY_US)
+                .count();
     }
 
     /** Of them, those with a version below one given. */
     int countBelow(long now, long version) {
-        return (int) heard.values().stream()
-                .filter(h -> now - h.at() < RECENT && h.announcement().version() < version)
+        return (int) received.values().stream()
+                .filter(h -> now - h.receivedAt() < ANNOUNCEMENT_VALIDITY_US
+                        && h.announcement().version() < version)
                 .count();
     }
 }
--- a/src/main/java/dockshed/rollout/Allowance.java
+++ b/src/main/java/dockshed/rollout/TokenBucket.java
@@ -1,29 +1,29 @@
 package dockshed.rollout;
 
 /** A token bucket: so much a second, and so much at once after a rest. */
-final class Allowance {
+final class TokenBucket {
     private final double perSecond;
     private final double burst;
     private double tokens;
-    private long at;
+    private long refilledAt;
 
-    Allowance(long now, double perSecond, double burst) {
+    TokenBucket(long now, double perSecond, double burst) {
         this.perSecond = perSecond;
         this.burst = burst;
         tokens = burst;
-        at = now;
+        refilledAt = now;
     }
 
     /** Whether an amount is there. */
-    boolean has(long now, double amount) {
-        tokens = Math.min(burst, tokens + (now - at) * perSecond / 1e6);
-        at = now;
+    boolean hasTokens(long now, double amount) {
+        tokens = Math.min(burst, tokens + (now - refilledAt) * perSecond / 1e6);
+        refilledAt = now;
         return tokens >= amount;
     }
 
     /** Takes an amount if it is there. */
-    boolean take(long now, double amount) {
-        if (!has(now, amount)) {
+    boolean tryTake(long now, double amount) {
+        if (!hasTokens(now, amount)) {
             return false;
         }
         tokens -= amount;
--- a/src/main/java/dockshed/rollout/Voter.java
+++ b/src/main/java/dockshed/rollout/Voter.java
@@ -21,7 +21,7 @@
  * <li>The voters are the same at every broker, so two majorities have a voter in common. As long as no voter forgets, that
  * voter voted for both contents, which 1 excludes.
  * <li>A voter whose record is missing or unusable does not know its votes. It abstains ({@link VoterPhase#RECOVERING}) for
- * the longest time for which an answer counts ({@link VoterRound#LONGEST}, lengthened by {@link VoterRound#DRIFT}). Whoever
+ * the longest time for which an answer counts ({@link VoterRound#DURATION_US}, lengthened by {@link VoterRound#MAX_CLOCK_DRIFT}). Whoever
  * counts answers counts them from when it asked, which is before they were given; so after that time no count that is
  * still going on holds a vote that was forgotten.
  * <li>Only then it asks the other voters, and begins to vote once a majority of these others, none of them recovering, have
@@ -35,49 +35,49 @@
  * once a majority, itself included, is ready or votes; from then on the others join by 4.
  * </ol>
  * What this rests on: fewer than a majority of the voters lose their records at a time (all at once is a first start), clocks'
- * rates differ by less than {@link VoterRound#DRIFT}, and voters run this program; the other brokers may say what they like.
+ * rates differ by less than {@link VoterRound#MAX_CLOCK_DRIFT}, and voters run this program; the other brokers may say what they like.
  *
  * <p>A voter that reports a version as in force counts as one that voted for it: it has it only because it was chosen.
  */
 final class Voter {
     /** How far above all that it knows a version may be: numbers are not to be used up by one broker's mistake. */
-    static final long MOST_AHEAD = 1024;
-    /** A proposer that brought no content in that time is not fetched from for {@link #PAUSE_OF_PROPOSER}. */
-    static final long PAUSE_OF_PROPOSER = 5_000_000;
+    static final long MAX_VERSIONS_AHEAD = 1024;
+    /** A proposer that brought no content in that time is not fetched from for {@link #PROPOSER_PAUSE_US}. */
+    static final long PROPOSER_PAUSE_US = 5_000_000;
 
     /** A record that cannot be saved is told of so often at most. */
-    private static final long TELL_FAILURE = 10_000_000;
+    private static final long MIN_FAILURE_EVENT_GAP_US = 10_000_000;
 
-    private static final long WAIT = (long) (VoterRound.LONGEST * (1 + 2 * VoterRound.DRIFT));
+    private static final long RECOVERY_WAIT_US = (long) (VoterRound.DURATION_US * (1 + 2 * VoterRound.MAX_CLOCK_DRIFT));
 
     /** What the learner at the same broker has in force; null: nothing. */
-    interface InForce {
+    interface InForceSource {
         ConfigurationId id();
     }
 
     private final NodeContext context;
-    private final InForce inForce;
-    private final long began;
+    private final InForceSource inForceSource;
+    private final long startedAt;
     private VoterPhase phase;
     private VoterRecord record = new VoterRecord(false, 0, List.of(), null);
     private VoterRound recovery;
     private Download download;
     private Configuration fetched; // for a vote that is not given yet
-    private Configuration own; // proposed at this broker
+    private Configuration ownProposal; // proposed at this broker
     private ConfigurationId invalid; // a content that this program cannot use
     private int proposer = -1;
-    private Proposal proposal; // that is being fetched
-    private long tellFailureAt = Long.MIN_VALUE;
-    private final BoundedMap<Integer, Long> pausedUntil = new BoundedMap<>(RolloutSettings.MOST_VOTERS);
+    private Proposal fetchingProposal; // that is being fetched
+    private long nextFailureEventAt = Long.MIN_VALUE;
+    private final BoundedMap<Integer, Long> pausedUntil = new BoundedMap<>(RolloutSettings.MAX_VOTERS);
 
-    Voter(NodeContext context, long now, InForce inForce) {
+    Voter(NodeContext context, long now, InForceSource inForce) {
         this.context = context;
-        this.inForce = inForce;
-        began = now;
+        this.inForceSource = inForce;
+        startedAt = now;
         String reason = load();
         if (reason != null) {
             phase = VoterPhase.RECOVERING;
-            context.tell(now, new RolloutEvent.VoterRecovering(reason));
+            context.notifyListener(now, new RolloutEvent.VoterRecovering(reason));
         } else {
             phase = record.joined() ? VoterPhase.VOTING : VoterPhase.READY;
         }
@@ -104,17 +104,19 @@
         if (record.content() != null) {
             out.add(record.content());
         }
-        if (own != null) {
-            out.add(own);
+        if (ownProposal != null) {
+            out.add(ownProposal);
         }
         return out;
     }
 
     // ---- Time.
 
-    long next() {
-        long due = recovery != null ? recovery.next() : phase == VoterPhase.VOTING ? Long.MAX_VALUE : began + WAIT;
-        return download == null ? due : Math.min(due, download.next());
+    long nextTickAt() {
+        long due = recovery != null
+                ? recovery.nextTickAt()
+                : phase == VoterPhase.VOTING ? Long.MAX_VALUE : startedAt + RECOVERY_WAIT_US;
+        return download == null ? due : Math.min(due, download.nextTickAt());
     }
 
     void tick(long now) {
@@ -123,8 +125,8 @@
         }
         if (download != null) {
             download.tick(now);
-            if (download.givenUp(now)) {
-                pausedUntil.renew(proposer, now + PAUSE_OF_PROPOSER);
+            if (download.isTimedOut(now)) {
+                pausedUntil.putLatest(proposer, now + PROPOSER_PAUSE_US);
                 download = null;
             }
         }
@@ -133,36 +135,36 @@
     // ---- Recovery.
 
     private void recover(long now) {
-        if (now - began < WAIT) {
+        if (now - startedAt < RECOVERY_WAIT_US) {
             return;
         }
-        if (recovery == null || recovery.over(now)) {
+        if (recovery == null || recovery.isOver(now)) {
             recovery = new VoterRound(
                     context.settings(),
                     context.random(),
                     now,
                     context.settings().voters().size(),
-                    this::askOther);
+                    this::askVoter);
         }
         recovery.tick(now);
     }
 
-    private void askOther(long now, int voter, int round) {
+    private void askVoter(long now, int voter, int round) {
         if (voter != context.settings().me()) {
-            context.sender().send(now, voter, new ReportRequest(round, ConfigurationId.MOST_VERSION));
+            context.sender().send(now, voter, new ReportRequest(round, ConfigurationId.MAX_VERSION));
         }
     }
 
     /** Takes another voter's answer; false: it was not asked for here. */
-    boolean answered(long now, int from, Report report) {
-        if (recovery == null || phase == VoterPhase.VOTING || !recovery.answered(now, from, report)) {
+    boolean reportReceived(long now, int from, Report report) {
+        if (recovery == null || phase == VoterPhase.VOTING || !recovery.reportReceived(now, from, report)) {
             return false;
         }
         int others = context.settings().voters().size() - 1;
         long withRecord = recovery.reports().values().stream()
                 .filter(r -> r.phase() != VoterPhase.RECOVERING)
                 .count();
-        boolean nobodyVotes = recovery.voting() == 0;
+        boolean nobodyVotes = recovery.votingVoters() == 0;
         if (phase == VoterPhase.RECOVERING && withRecord >= others / 2 + 1) {
             join(now);
         } else if (phase == VoterPhase.RECOVERING
@@ -176,21 +178,21 @@
         return true;
     }
 
-    private long floorHeard() {
+    private long reportedFloor() {
         return Math.max(highest(), recovery.highest());
     }
 
     private void becomeReady(long now) {
-        if (save(now, new VoterRecord(false, floorHeard(), List.of(), null))) {
+        if (save(now, new VoterRecord(false, reportedFloor(), List.of(), null))) {
             phase = VoterPhase.READY;
         }
     }
 
     private void join(long now) {
-        if (save(now, new VoterRecord(true, floorHeard(), List.of(), null))) {
+        if (save(now, new VoterRecord(true, reportedFloor(), List.of(), null))) {
             phase = VoterPhase.VOTING;
             recovery = null;
-            context.tell(now, new RolloutEvent.VoterReady(record.floor()));
+            context.notifyListener(now, new RolloutEvent.VoterReady(record.floor()));
         }
     }
 
@@ -199,17 +201,17 @@
     /** The version above which it votes. */
     private long highest() {
         long voted = record.votes().isEmpty() ? 0 : record.votes().get(0).version();
-        long here = inForce.id() == null ? 0 : inForce.id().version();
+        long here = inForceSource.id() == null ? 0 : inForceSource.id().version();
         return Math.max(record.floor(), Math.max(voted, here));
     }
 
     void reportRequested(long now, int from, ReportRequest request) {
-        report(now, from, request.round(), request.above(), false);
+        sendReport(now, from, request.round(), request.above(), false);
     }
 
-    private void report(long now, int to, int round, long above, boolean refused) {
+    private void sendReport(long now, int to, int round, long above, boolean refused) {
         List<ConfigurationId> known = new ArrayList<>(record.votes());
-        ConfigurationId here = inForce.id();
+        ConfigurationId here = inForceSource.id();
         if (here != null && !known.contains(here)) {
             known.add(here);
         }
@@ -218,20 +220,20 @@
         context.sender().send(now, to, new Report(round, phase, refused, highest(), known));
     }
 
-    void proposed(long now, int from, Proposal p) {
+    void proposalReceived(long now, int from, Proposal p) {
         if (!context.settings().isVoter(from)) {
             context.counts().passedOver++;
             return;
         }
         boolean open = phase == VoterPhase.VOTING
                 && p.id().version() > highest()
-                && p.id().version() <= highest() + MOST_AHEAD;
+                && p.id().version() <= highest() + MAX_VERSIONS_AHEAD;
         if (!open || p.id().equals(invalid)) {
-            report(now, from, p.round(), p.above(), open);
-        } else if (content(p.id()) != null) {
+            sendReport(now, from, p.round(), p.above(), open);
+        } else if (contentOf(p.id()) != null) {
             vote(now, from, p);
         } else if (download != null && download.id().equals(p.id()) && from == proposer) {
-            proposal = p; // a later round of the same
+            fetchingProposal = p; // a later round of the same
         } else if (from != context.settings().me() && mayFetch(now, from)) {
             fetch(now, from, p);
         }
@@ -239,66 +241,66 @@
 
     /** One content is fetched at a time; a proposer that falls silent holds no other up. */
     private boolean mayFetch(long now, int from) {
-        boolean free = download == null || download.stalled(now);
+        boolean free = download == null || download.isStalled(now);
         return free && pausedUntil.getOrDefault(from, Long.MIN_VALUE) <= now;
     }
 
     private void fetch(long now, int from, Proposal p) {
         proposer = from;
-        proposal = p;
-        download = new Download(context, now, p.id(), t -> List.of(from), (t, bad) -> failed(t, from));
+        fetchingProposal = p;
+        download = new Download(context, now, p.id(), t -> List.of(from), (t, bad) -> fetchFailed(t, from));
     }
 
-    private void failed(long now, int from) {
-        pausedUntil.renew(from, now + PAUSE_OF_PROPOSER);
+    private void fetchFailed(long now, int from) {
+        pausedUntil.putLatest(from, now + PROPOSER_PAUSE_US);
         download = null;
     }
 
     /** Takes a chunk of what it fetches; false: it is not for this part. */
-    void chunk(long now, int from, Chunk chunk) {
-        Configuration whole = download == null ? null : download.chunk(now, from, chunk);
+    void chunkReceived(long now, int from, Chunk chunk) {
+        Configuration whole = download == null ? null : download.chunkReceived(now, from, chunk);
         if (whole != null) {
             download = null;
-            fetchedWhole(now, whole);
+            contentFetched(now, whole);
         }
     }
 
-    void unavailable(long now, int from, Unavailable message) {
+    void unavailableReceived(long now, int from, Unavailable message) {
         if (download != null) {
-            download.unavailable(now, from, message);
+            download.unavailableReceived(now, from, message);
         }
     }
 
     /** The content of a proposal made at this broker. */
     void provide(Configuration configuration) {
-        own = configuration;
+        ownProposal = configuration;
     }
 
     /** The content of that identity, if it is here; else null. */
-    private Configuration content(ConfigurationId id) {
-        if (own != null && own.id().equals(id)) {
-            return own;
+    private Configuration contentOf(ConfigurationId id) {
+        if (ownProposal != null && ownProposal.id().equals(id)) {
+            return ownProposal;
         }
         return fetched != null && fetched.id().equals(id) ? fetched : null;
     }
 
-    private void fetchedWhole(long now, Configuration whole) {
+    private void contentFetched(long now, Configuration whole) {
         if (context.applier().validate(whole).isPresent()) {
             invalid = whole.id();
-            report(now, proposer, proposal.round(), proposal.above(), true);
+            sendReport(now, proposer, fetchingProposal.round(), fetchingProposal.above(), true);
             return;
         }
         fetched = whole;
-        proposed(now, proposer, proposal);
+        proposalReceived(now, proposer, fetchingProposal);
     }
 
     private void vote(long now, int from, Proposal p) {
         List<ConfigurationId> votes = new ArrayList<>(List.of(p.id()));
         votes.addAll(record.votes());
-        List<ConfigurationId> latest = votes.subList(0, Math.min(votes.size(), VoterRecord.MOST_VOTES));
-        if (save(now, new VoterRecord(true, p.id().version(), latest, content(p.id())))) {
+        List<ConfigurationId> latest = votes.subList(0, Math.min(votes.size(), VoterRecord.MAX_VOTES));
+        if (save(now, new VoterRecord(true, p.id().version(), latest, contentOf(p.id())))) {
             fetched = null;
-            report(now, from, p.round(), p.above(), false);
+            sendReport(now, from, p.round(), p.above(), false);
         }
     }
 
@@ -309,9 +311,9 @@
             record = next;
             return true;
         } catch (StorageException e) {
-            if (now >= tellFailureAt) {
-                tellFailureAt = now + TELL_FAILURE;
-                context.tell(now, new RolloutEvent.StorageFailed(e.getMessage()));
+            if (now >= nextFailureEventAt) {
+                nextFailureEventAt = now + MIN_FAILURE_EVENT_GAP_US;
+                context.notifyListener(now, new RolloutEvent.StorageFailed(e.getMessage()));
             }
             return false;
         }
--- a/src/main/java/dockshed/rollout/VoterRound.java
+++ b/src/main/java/dockshed/rollout/VoterRound.java
@@ -7,36 +7,36 @@
 
 /**
  * One round of asking the voters. Answers count from when the round began, which is before any of them was given, and for
- * {@link #LONGEST}: {@link Voter}'s argument rests on that.
+ * {@link #DURATION_US}: {@link Voter}'s argument rests on that.
  */
 final class VoterRound {
     /** Microseconds for which an answer counts at most. */
-    static final long LONGEST = 2_000_000;
+    static final long DURATION_US = 2_000_000;
     /** Of 1: how much faster one broker's clock may run than another's. */
-    static final double DRIFT = 0.01;
+    static final double MAX_CLOCK_DRIFT = 0.01;
     /** Voters that have not answered are asked again after so long, then after twice that. */
-    static final long ASK_AGAIN = 400_000;
+    static final long FIRST_RETRY_DELAY_US = 400_000;
 
     /** Asks one voter: the question carries the round's number. */
-    interface Question {
+    interface VoterRequest {
         void ask(long now, int voter, int round);
     }
 
     private final RolloutSettings settings;
-    private final Question question;
+    private final VoterRequest request;
     private final int number;
-    private final long began;
+    private final long startedAt;
     private final Map<Integer, Report> reports = new HashMap<>();
-    private long askAt;
-    private long askGap = ASK_AGAIN;
+    private long retryAt;
+    private long retryDelay = FIRST_RETRY_DELAY_US;
 
     /** Begins a round and asks {@code first} voters, chosen at random; the others hear of it if those do not answer. */
-    VoterRound(RolloutSettings settings, SplittableRandom random, long now, int first, Question question) {
+    VoterRound(RolloutSettings settings, SplittableRandom random, long now, int first, VoterRequest question) {
         this.settings = settings;
-        this.question = question;
+        this.request = question;
         number = random.nextInt();
-        began = now;
-        askAt = now + askGap;
+        startedAt = now;
+        retryAt = now + retryDelay;
         int offset = random.nextInt(settings.voters().size());
         for (int i = 0; i < Math.min(first, settings.voters().size()); i++) {
             question.ask(
@@ -44,41 +44,41 @@
         }
     }
 
-    boolean over(long now) {
-        return now - began >= LONGEST;
+    boolean isOver(long now) {
+        return now - startedAt >= DURATION_US;
     }
 
     /** Whether every voter answered, or had a time to do so. */
-    boolean heardOut(long now, long patience) {
-        return reports.size() == settings.voters().size() || now - began >= patience;
+    boolean allVotersConsidered(long now, long patience) {
+        return reports.size() == settings.voters().size() || now - startedAt >= patience;
     }
 
-    /** When {@link #heardOut} is true at the latest. */
-    long heardOutAt(long patience) {
-        return began + patience;
+    /** When {@link #allVotersConsidered} is true at the latest. */
+    long allVotersConsideredAt(long patience) {
+        return startedAt + patience;
     }
 
     /** When {@link #tick} has something to do. */
-    long next() {
-        return Math.min(askAt, began + LONGEST);
+    long nextTickAt() {
+        return Math.min(retryAt, startedAt + DURATION_US);
     }
 
     void tick(long now) {
-        if (over(now) || now < askAt) {
+        if (isOver(now) || now < retryAt) {
             return;
         }
-        askGap *= 2;
-        askAt = now + askGap;
+        retryDelay *= 2;
+        retryAt = now + retryDelay;
         for (int voter : settings.voters()) {
             if (!reports.containsKey(voter)) {
-                question.ask(now, voter, number);
+                request.ask(now, voter, number);
             }
         }
     }
 
     /** Takes a voter's answer; false: it is not one to this round, or too late. */
-    boolean answered(long now, int from, Report report) {
-        if (report.round() != number || over(now) || !settings.isVoter(from)) {
+    boolean reportReceived(long now, int from, Report report) {
+        if (report.round() != number || isOver(now) || !settings.isVoter(from)) {
             return false;
         }
         reports.put(from, report);
@@ -91,7 +91,7 @@
     }
 
     /** Voters that voted for it or have it in force. */
-    int count(ConfigurationId id) {
+    int votersKnowing(ConfigurationId id) {
         int count = 0;
         for (Report report : reports.values()) {
             count += report.known().contains(id) ? 1 : 0;
@@ -105,7 +105,7 @@
         for (Report report : reports.values()) {
             for (ConfigurationId id : report.known()) {
                 boolean higher = id.version() > (best == null ? version : best.version());
-                if (higher && count(id) >= settings.majority()) {
+                if (higher && votersKnowing(id) >= settings.majority()) {
                     best = id;
                 }
             }
@@ -116,8 +116,8 @@
     /** What a majority knows at a version; null: nothing. */
     ConfigurationId chosenAt(long version) {
         for (Report report : reports.values()) {
-            ConfigurationId id = report.at(version);
-            if (id != null && count(id) >= settings.majority()) {
+            ConfigurationId id = report.knownAt(version);
+            if (id != null && votersKnowing(id) >= settings.majority()) {
                 return id;
             }
         }
@@ -125,7 +125,7 @@
     }
 
     /** Answers of voters that vote. */
-    int voting() {
+    int votingVoters() {
         return (int) reports.values().stream()
                 .filter(r -> r.phase() == VoterPhase.VOTING)
                 .count();
--- a/src/main/java/dockshed/rollout/host/FileVoteStorage.java
+++ b/src/main/java/dockshed/rollout/host/FileVoteStorage.java
@@ -30,14 +30,14 @@
     static final String VOTER_FILE = "voter";
     static final String IN_FORCE_FILE = "in-force";
     /** No record is longer. */
-    static final int MOST_BYTES = Configuration.MOST_BYTES + 4096;
+    static final int MAX_RECORD_BYTES = Configuration.MAX_BYTES + 4096;
 
     private static final int MAGIC = 0xD0C5_0B01;
     private static final int FORMAT = 1;
-    private static final int HEAD_BYTES = 4 + 2 + 4;
+    private static final int HEADER_BYTES = 4 + 2 + 4;
     private static final int CHECKSUM_BYTES = 4;
 
-    private interface Body {
+    private interface BodyWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
@@ -125,10 +125,10 @@
 
     // ---- Files.
 
-    private void save(String name, Body body) throws StorageException {
+    private void save(String name, BodyWriter body) throws StorageException {
         Path temporary = directory.resolve(name + ".new");
         try {
-            write(temporary, bytes(body));
+            write(temporary, encode(body));
             Files.move(
                     temporary,
                     directory.resolve(name),
@@ -142,7 +142,7 @@
         }
     }
 
-    private byte[] bytes(Body body) throws IOException {
+    private byte[] encode(BodyWriter body) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeInt(MAGIC);
@@ -170,13 +170,13 @@
             return Optional.empty();
         }
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException("longer than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_RECORD_BYTES) {
+                throw new IOException("longer than " + MAX_RECORD_BYTES + " bytes");
             }
             byte[] bytes = Files.readAllBytes(file);
-            checkHead(bytes);
-            int bodyBytes = bytes.length - HEAD_BYTES - CHECKSUM_BYTES;
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, HEAD_BYTES, bodyBytes));
+            checkHeader(bytes);
+            int bodyBytes = bytes.length - HEADER_BYTES - CHECKSUM_BYTES;
+            DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, bodyBytes));
             T record = reader.read(in);
             if (in.available() > 0) {
                 throw new IOException(in.available() + " bytes too many");
@@ -187,8 +187,8 @@
         }
     }
 
-    private void checkHead(byte[] bytes) throws IOException {
-        if (bytes.length < HEAD_BYTES + CHECKSUM_BYTES) {
+    private void checkHeader(byte[] bytes) throws IOException {
+        if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES) {
             throw new IOException("cut off at " + bytes.length + " bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
