--- a/src/main/java/dockshed/rollout/host/RolloutHost.java
+++ b/src/main/java/dockshed/rollout/host/RolloutHost.java
@@ -28,18 +28,18 @@
  */
 public final class RolloutHost implements GossipExtension {
     /** Microseconds between two log lines of figures. */
-    private static final long LOG_PERIOD = 10_000_000;
+    private static final long FIGURES_LOG_PERIOD_US = 10_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(RolloutHost.class);
 
     /** A document that was read and waits for the gossip's thread. */
-    private record Proposed(Path file, RolloutDocument document, Configuration configuration) {}
+    private record PendingProposal(Path file, RolloutDocument document, Configuration configuration) {}
 
     private final RolloutNode node;
     private final Consumer<RolloutDocument> applier;
-    private final AtomicReference<Proposed> waiting = new AtomicReference<>();
-    private Proposed proposed; // the latest one put to the vote
-    private long logAt;
+    private final AtomicReference<PendingProposal> pending = new AtomicReference<>();
+    private PendingProposal current; // the latest one put to the vote
+    private long nextFiguresAt;
 
     /**
      * @param now     of the clock that the gossip goes by
@@ -55,25 +55,25 @@
             Consumer<RolloutDocument> applier) {
         this.applier = applier;
         node = new RolloutNode(
-                settings, now, new SplittableRandom(seed), outbox, storage, new DocumentApplier(), this::happened);
-        logAt = now + LOG_PERIOD;
+                settings, now, new SplittableRandom(seed), outbox, storage, new DocumentApplier(), this::logEvent);
+        nextFiguresAt = now + FIGURES_LOG_PERIOD_US;
     }
 
     /** Reads a document and proposes it; what is wrong with it is logged, and nothing changes. From any thread. */
     public void propose(Path file) {
         try {
-            byte[] content = RolloutDocument.load(file, Configuration.MOST_BYTES);
+            byte[] content = RolloutDocument.load(file, Configuration.MAX_BYTES);
             RolloutDocument document = RolloutDocument.read(file.toString(), content);
-            Proposed next = new Proposed(file, document, new Configuration(document.version(), content));
-            if (!waiting.compareAndSet(null, next)) {
-                notTaken(file + ": another proposal waits to be begun");
+            PendingProposal next = new PendingProposal(file, document, new Configuration(document.version(), content));
+            if (!pending.compareAndSet(null, next)) {
+                logRejected(file + ": another proposal waits to be begun");
             }
         } catch (RuntimeException e) { // whatever is wrong with the file, what is in force stays
-            notTaken(e.getMessage());
+            logRejected(e.getMessage());
         }
     }
 
-    private static void notTaken(String why) {
+    private static void logRejected(String why) {
         LOG.error("configuration not taken, the old one stands: why={}", why);
     }
 
@@ -110,26 +110,26 @@
     }
 
     @Override
-    public void heardAnnouncement(long now, int from, byte[] announcement) {
-        node.heardAnnouncement(now, from, announcement);
+    public void receiveAnnouncement(long now, int from, byte[] announcement) {
+        node.receiveAnnouncement(now, from, announcement);
     }
 
     @Override
     public void tick(long now) {
-        Proposed next = waiting.getAndSet(null);
+        PendingProposal next = pending.getAndSet(null);
         if (next != null) {
-            begin(now, next);
+            startProposal(now, next);
         }
         node.tick(now);
-        if (now >= logAt) {
-            logAt = now + LOG_PERIOD;
+        if (now >= nextFiguresAt) {
+            nextFiguresAt = now + FIGURES_LOG_PERIOD_US;
             logFigures(now);
         }
     }
 
     @Override
-    public long next(long now) {
-        return node.next(now);
+    public long nextTickAt(long now) {
+        return node.nextTickAt(now);
     }
 
     @Override
@@ -139,13 +139,13 @@
 
     // ---- Proposals.
 
-    private void begin(long now, Proposed next) {
+    private void startProposal(long now, PendingProposal next) {
         ConfigurationId id = next.configuration().id();
         if (id.equals(node.status(now).inForce())) {
             LOG.info("configuration unchanged: version={} digest={}", id.version(), id.digest());
             return;
         }
-        proposed = next;
+        current = next;
         LOG.info(
                 "configuration proposed: version={} digest={} bytes={}",
                 id.version(),
@@ -154,24 +154,26 @@
         node.propose(now, next.configuration());
     }
 
-    private void ended(ConfigurationId id, ProposalOutcome outcome) {
+    private void proposalEnded(ConfigurationId id, ProposalOutcome outcome) {
         if (outcome instanceof ProposalOutcome.Chosen) {
             LOG.info("configuration chosen: version={} digest={}", id.version(), id.digest());
         } else {
-            notTaken(proposed.file() + ":" + proposed.document().versionLine() + ": version: " + why(id, outcome));
+            logRejected(
+                    current.file() + ":" + current.document().versionLine() + ": version: " + reasonFor(id, outcome));
         }
     }
 
-    private static String why(ConfigurationId id, ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.NotNext n) {
-            return "expected " + n.expected() + ", the next, got " + id.version();
+    private static String reasonFor(ConfigurationId id, ProposalOutcome outcome) {
+        if (outcome instanceof ProposalOutcome.NotNextVersion n) {
+            return "expected " + n.expectedVersion() + ", the next, got " + id.version();
         }
-        if (outcome instanceof ProposalOutcome.Beaten b) {
-            return "expected a later one, as " + id.version() + " was chosen with digest " + b.by().digest()
-                    + ", got digest " + id.digest();
+        if (outcome instanceof ProposalOutcome.OtherContentChosen b) {
+            return "expected a later one, as " + id.version() + " was chosen with digest "
+                    + b.chosen().digest() + ", got digest " + id.digest();
         }
-        if (outcome instanceof ProposalOutcome.Contested c) {
-            return "expected " + c.next() + ", as the voters are split over " + id.version() + ", got " + id.version();
+        if (outcome instanceof ProposalOutcome.SplitVote c) {
+            return "expected " + c.nextVersion() + ", as the voters are split over " + id.version() + ", got "
+                    + id.version();
         }
         if (outcome instanceof ProposalOutcome.Invalid) {
             return "expected a document that a majority of the voters can use, got one that they refuse";
@@ -184,13 +186,13 @@
 
     // ---- What is logged.
 
-    private void happened(long now, RolloutEvent event) {
+    private void logEvent(long now, RolloutEvent event) {
         if (event instanceof RolloutEvent.InForce e) {
             LOG.atInfo()
                     .setMessage("configuration in force")
                     .addKeyValue("version", e.id().version())
                     .addKeyValue("digest", e.id().digest())
-                    .addKeyValue("after_ms", e.after() / 1000)
+                    .addKeyValue("after_ms", e.afterUs() / 1000)
                     .log();
         } else if (event instanceof RolloutEvent.Refused e) {
             LOG.error(
@@ -199,7 +201,7 @@
                     e.id().digest(),
                     e.reason());
         } else if (event instanceof RolloutEvent.ProposalEnded e) {
-            ended(e.id(), e.outcome());
+            proposalEnded(e.id(), e.outcome());
         } else if (event instanceof RolloutEvent.VoterRecovering e) {
             LOG.warn("voter abstains until it has asked the others: why={}", e.reason());
         } else if (event instanceof RolloutEvent.VoterReady e) {
@@ -219,7 +221,7 @@
                 .addKeyValue("version", version(status.inForce()))
                 .addKeyValue("refused", version(status.refused()))
                 .addKeyValue("voter", status.voterPhase() == null ? "no" : status.voterPhase())
-                .addKeyValue("heard", status.heard())
+                .addKeyValue("heard", status.announcers())
                 .addKeyValue("behind", status.behind())
                 .addKeyValue("sent", counts.sent)
                 .addKeyValue("bytes", counts.sentBytes)
--- a/src/main/java/dockshed/topology/ZoneMap.java
+++ b/src/main/java/dockshed/topology/ZoneMap.java
@@ -9,16 +9,16 @@
 
 /**
  * Which zone and which scope each broker of a fleet is in. Invariants: every broker is in exactly one scope; a scope lies
- * within one zone; where zones are given no scope has more than {@link #MOST_IN_SCOPE} brokers. So what a broker keeps and
+ * within one zone; where zones are given no scope has more than {@link #MAX_BROKERS_PER_SCOPE} brokers. So what a broker keeps and
  * sends for its own scope is bounded, whatever the size of the fleet.
  */
 public final class ZoneMap {
     /** Brokers of a scope at most: a larger zone is divided evenly into cells. */
-    public static final int MOST_IN_SCOPE = 96;
+    public static final int MAX_BROKERS_PER_SCOPE = 96;
     /** Scopes of a fleet at most: 24,000 brokers in full scopes. */
-    public static final int MOST_SCOPES = 255;
+    public static final int MAX_SCOPES = 255;
 
-    private static final String NO_NAME = "all";
+    private static final String UNDIVIDED_NAME = "all";
 
     private final int brokers;
     private final boolean zoned;
@@ -39,7 +39,7 @@
 
     /** A fleet without zones: one scope of all brokers, whatever their number. */
     public static ZoneMap undivided(int brokers) {
-        Zone all = new Zone(NO_NAME, NO_NAME, 0, brokers - 1);
+        Zone all = new Zone(UNDIVIDED_NAME, UNDIVIDED_NAME, 0, brokers - 1);
         return new ZoneMap(brokers, false, List.of(all), List.of(new Scope(0, all, 0, brokers)));
     }
 
@@ -59,7 +59,7 @@
     }
 
     private static void divide(Zone zone, List<Scope> scopes) {
-        int cells = (zone.size() + MOST_IN_SCOPE - 1) / MOST_IN_SCOPE;
+        int cells = (zone.size() + MAX_BROKERS_PER_SCOPE - 1) / MAX_BROKERS_PER_SCOPE;
         for (int cell = 0; cell < cells; cell++) {
             int from = zone.first() + zone.size() * cell / cells;
             int to = zone.first() + zone.size() * (cell + 1) / cells;
@@ -87,9 +87,9 @@
                         "none for broker" + (zone.first() - 1 > next ? "s " + next + "-" : " ") + (zone.first() - 1));
             }
             next = zone.last() + 1;
-            scopes += (zone.size() + MOST_IN_SCOPE - 1) / MOST_IN_SCOPE;
-            if (scopes > MOST_SCOPES) {
-                throw new InvalidZonesException(index, "at most " + MOST_SCOPES + " scopes", scopes + " and more");
+            scopes += (zone.size() + MAX_BROKERS_PER_SCOPE - 1) / MAX_BROKERS_PER_SCOPE;
+            if (scopes > MAX_SCOPES) {
+                throw new InvalidZonesException(index, "at most " + MAX_SCOPES + " scopes", scopes + " and more");
             }
         }
         if (next < brokers) {
--- a/src/test/java/dockshed/fleet/AdmissionFilterTest.java
+++ b/src/test/java/dockshed/fleet/AdmissionFilterTest.java
@@ -93,7 +93,7 @@
             Request r = new Request("1", "safe", "v" + i, "t", 3 * S, 0, 0, 3, 4, false, false, false);
             Request again = new Request("1", "safe", "v" + i, "t", 3 * S, 0, 0, 3, 4, true, false, false);
             long delay = SheddingThreshold.retryAfter(
-                    StableHash.of("v" + i), 10 * S, AdmissionFilter.MIN_RETRY_AFTER, 2 * S);
+                    StableHash.of("v" + i), 10 * S, AdmissionFilter.MIN_RETRY_AFTER_US, 2 * S);
             boolean early = delay > 700_000 && delay < 1_400_000;
             boolean under = broker(10 * S).isShed(10 * S, r);
             assertEquals(under, broker(10 * S).isShed(10 * S, r));
@@ -118,13 +118,13 @@
         int[] parts = new int[4];
         for (int i = 0; i < 1000; i++) {
             long back = SheddingThreshold.retryAfter(
-                    StableHash.of("v" + i), 123_456_789L, AdmissionFilter.MIN_RETRY_AFTER, 2 * S);
-            assertTrue(back >= AdmissionFilter.MIN_RETRY_AFTER && back <= 2 * S);
+                    StableHash.of("v" + i), 123_456_789L, AdmissionFilter.MIN_RETRY_AFTER_US, 2 * S);
+            assertTrue(back >= AdmissionFilter.MIN_RETRY_AFTER_US && back <= 2 * S);
             parts[(int) Math.min(3, back * 4 / (2 * S))]++;
         }
         assertTrue(parts[1] > 200 && parts[2] > 200 && parts[3] > 200);
         assertEquals(
-                0, SheddingThreshold.retryAfter(1, 5, AdmissionFilter.MIN_RETRY_AFTER, 0), "no advice may be given");
+                0, SheddingThreshold.retryAfter(1, 5, AdmissionFilter.MIN_RETRY_AFTER_US, 0), "no advice may be given");
     }
 
     @Test
@@ -135,7 +135,7 @@
             assertEquals(before, SheddingThreshold.priority(0, StableHash.of("v" + i), 11 * S));
             moved += Math.abs(before
                                     - SheddingThreshold.priority(
-                                            0, StableHash.of("v" + i), 10 * S + SheddingThreshold.HASH_ROTATION))
+                                            0, StableHash.of("v" + i), 10 * S + SheddingThreshold.HASH_ROTATION_US))
                             > 50
                     ? 1
                     : 0;
@@ -172,7 +172,7 @@
     @Test
     void aStaleSnapshotIsNone() {
         snapshot = snapshot(10 * S, 0.01, 20 * S, SheddingThreshold.MAX_PRIORITY - 1, Map.of());
-        ask(10 * S + FleetSnapshot.MAX_AGE + 1, "1", "safe", "v1");
+        ask(10 * S + FleetSnapshot.MAX_AGE_US + 1, "1", "safe", "v1");
         assertEquals("send 1", book.did.get(0), "acts on the snapshot of a stalled loop");
         assertEquals(FleetSnapshot.UNSHARED, inner.newSessionShare());
     }
@@ -208,9 +208,9 @@
     void loadSamplesAreHandedOverAndCountWhatTheModuleRejected() {
         module.onRequest = r -> inner.refuse(r.id(), 0);
         filter.request(10 * S, new Request("1", "safe", "v", "t", 3 * S, 0, 0, 3, 4, false, false, false));
-        filter.timer(10 * S + AdmissionFilter.REPORT_PERIOD, "fleet");
+        filter.timer(10 * S + AdmissionFilter.LOAD_SAMPLE_PERIOD_US, "fleet");
         filter.request(11 * S, new Request("2", "paid", "v", "t", 3 * S, 0, 0, 3, 4, false, false, false));
-        filter.timer(11 * S + AdmissionFilter.REPORT_PERIOD, "fleet");
+        filter.timer(11 * S + AdmissionFilter.LOAD_SAMPLE_PERIOD_US, "fleet");
         LocalEvent.LoadSample f = (LocalEvent.LoadSample) events.get(0);
         assertEquals(1, f.requests()[SheddingThreshold.step(1, 0)]);
         assertEquals(1, f.rejected());
@@ -224,7 +224,7 @@
         snapshot = snapshot(10 * S, 1, 20 * S, 0, Map.of(server, List.of(down)));
         filter.connected(10 * S);
         assertTrue(inner.shouldAvoid("a"));
-        filter.connected(10 * S + HealthProbeSchedule.REPORT_MAX_AGE);
+        filter.connected(10 * S + HealthProbeSchedule.REPORT_VALIDITY_US);
         assertFalse(inner.shouldAvoid("a"));
         filter.avoid("b", true);
         assertTrue(inner.shouldAvoid("b"));
@@ -244,7 +244,7 @@
         assertEquals(
                 Verdict.TRY,
                 HealthProbeSchedule.verdict(
-                        now + HealthProbeSchedule.TURN,
+                        now + HealthProbeSchedule.TURN_US,
                         order.get(1),
                         present,
                         server,
@@ -280,7 +280,7 @@
         assertEquals(
                 Verdict.TRY,
                 HealthProbeSchedule.verdict(
-                        now + HealthProbeSchedule.MAX_WAIT,
+                        now + HealthProbeSchedule.MAX_WAIT_US,
                         order.get(5),
                         present,
                         server,
@@ -290,7 +290,7 @@
                                 server,
                                 1,
                                 3,
-                                now + HealthProbeSchedule.MAX_WAIT,
+                                now + HealthProbeSchedule.MAX_WAIT_US,
                                 new byte[] {HealthProbeSchedule.UP})),
                         s),
                 "one that says so for ever is not believed for ever");
@@ -299,8 +299,11 @@
     @Test
     void theThresholdInForceIsTheMedianSoOneBrokerDoesNotMoveIt() {
         assertEquals(
-                500, SheddingThreshold.inForce(List.of(500, 510, SheddingThreshold.MAX_PRIORITY, 490, 505)) / 10 * 10);
-        assertEquals(0, SheddingThreshold.inForce(List.of(0, 0, SheddingThreshold.MAX_PRIORITY)));
-        assertEquals(0, SheddingThreshold.inForce(List.of()));
+                500,
+                SheddingThreshold.effectiveThreshold(List.of(500, 510, SheddingThreshold.MAX_PRIORITY, 490, 505))
+                        / 10
+                        * 10);
+        assertEquals(0, SheddingThreshold.effectiveThreshold(List.of(0, 0, SheddingThreshold.MAX_PRIORITY)));
+        assertEquals(0, SheddingThreshold.effectiveThreshold(List.of()));
     }
 }
--- a/src/test/java/dockshed/fleet/ByzantinePeer.java
+++ b/src/test/java/dockshed/fleet/ByzantinePeer.java
@@ -21,7 +21,7 @@
     }
 
     /** The next datagram. */
-    public byte[] next(long now) {
+    public byte[] nextDatagram(long now) {
         List<Envelope.Item> items = new ArrayList<>();
         int other = random.nextInt(brokers);
         items.add(new Envelope.BodyWriter()
@@ -58,14 +58,15 @@
                 .u16(0xFFFF)
                 .item(Envelope.LEASE_REQUEST));
         items.add(new Envelope.BodyWriter().u16(random.nextInt(0xFFFF)).item(Envelope.PING));
-        items.add(new ScopeSummary(other, now / 1000 + random.nextInt(1000), now, 1 + random.nextInt(80), lies(demand))
+        items.add(new ScopeSummary(
+                        other, now / 1000 + random.nextInt(1000), now, 1 + random.nextInt(80), forgedFigures(demand))
                 .write(now));
         items.add(new Envelope.BodyWriter().u32(random.nextInt()).item(Envelope.EXTENSION));
         items.add(new Envelope.BodyWriter().u32(random.nextInt()).item(Envelope.ANNOUNCEMENT));
         return new Envelope(me, incarnation, ++serial, items).write();
     }
 
-    private LoadFigures lies(double[] demand) {
+    private LoadFigures forgedFigures(double[] demand) {
         return new LoadFigures(demand, 0, 3000, random.nextInt(SheddingThreshold.MAX_PRIORITY));
     }
 }
--- a/src/test/java/dockshed/fleet/ControlDurations.java
+++ b/src/test/java/dockshed/fleet/ControlDurations.java
@@ -11,19 +11,19 @@
  * @param failureLimit until all know of the brokers that were killed
  */
 public record ControlDurations(long warmUp, long brokerTime, int reports, long reportLimit, long failureLimit) {
-    private static final long SECOND = FleetSimulation.S;
+    private static final long SECOND_US = FleetSimulation.SECOND_US;
 
     /** For figures that are kept. */
     public static final ControlDurations FULL =
-            new ControlDurations(20 * SECOND, 2_000 * SECOND, 3, 10 * SECOND, 60 * SECOND);
+            new ControlDurations(20 * SECOND_US, 2_000 * SECOND_US, 3, 10 * SECOND_US, 60 * SECOND_US);
     /** For a look, and for tests. */
     public static final ControlDurations QUICK =
-            new ControlDurations(6 * SECOND, 100 * SECOND, 2, 5 * SECOND, 30 * SECOND);
+            new ControlDurations(6 * SECOND_US, 100 * SECOND_US, 2, 5 * SECOND_US, 30 * SECOND_US);
 
-    private static final long SHORTEST_WINDOW = 5 * SECOND;
+    private static final long MIN_WINDOW_US = 5 * SECOND_US;
 
     /** The window in which bytes and processor time are measured. */
     long window(int brokers) {
-        return Math.max(SHORTEST_WINDOW, brokerTime / brokers);
+        return Math.max(MIN_WINDOW_US, brokerTime / brokers);
     }
 }
--- a/src/test/java/dockshed/fleet/ControlLoad.java
+++ b/src/test/java/dockshed/fleet/ControlLoad.java
@@ -5,11 +5,11 @@
 
 /** What goes on in a measured fleet: load samples, health reports at a steady rate, and entries that last. */
 final class ControlLoad {
-    static final long SAMPLE_PERIOD = 250 * FleetSimulation.MS;
-    private static final long MINUTE = 60 * FleetSimulation.S;
+    static final long SAMPLE_PERIOD_US = 250 * FleetSimulation.MILLISECOND_US;
+    private static final long MINUTE_US = 60 * FleetSimulation.SECOND_US;
     private static final int REPORTED_SERVERS = 1_000;
     private static final int LASTING_KIND = VersionedEntry.PLANS;
-    private static final long LASTING = 3_600 * FleetSimulation.S;
+    private static final long LASTING_TIME_TO_LIVE_US = 3_600 * FleetSimulation.SECOND_US;
     /** A shard's owner, audience and version, say. */
     private static final int LASTING_VALUE_BYTES = 8;
 
@@ -28,14 +28,14 @@
         this.fleet = fleet;
         this.scenario = scenario;
         random = new SplittableRandom(scenario.seed());
-        fleet.started = node -> node.node.entries().setTimeToLive(LASTING_KIND, LASTING);
+        fleet.onStart = node -> node.node.entries().setTimeToLive(LASTING_KIND, LASTING_TIME_TO_LIVE_US);
     }
 
     /** Runs the fleet under load, and looks at it after each step. */
     void run(long micros, long step, Runnable look) {
         fleet.run(micros, step, () -> {
             if (fleet.now >= nextSampleAt) {
-                nextSampleAt = fleet.now + SAMPLE_PERIOD;
+                nextSampleAt = fleet.now + SAMPLE_PERIOD_US;
                 samples++;
                 sample();
                 report();
@@ -46,7 +46,7 @@
 
     /** The same, in steps as long as a sample. */
     void run(long micros, Runnable look) {
-        run(micros, SAMPLE_PERIOD, look);
+        run(micros, SAMPLE_PERIOD_US, look);
     }
 
     /** Load samples that every broker took. */
@@ -65,19 +65,19 @@
         requests[1] = 1;
         requests[4] = 1;
         for (FleetSimulation.Node node : fleet.nodes) {
-            if (node.up()) {
-                node.event(new LocalEvent.LoadSample(requests, ACCEPTED, REJECTED, 0, SAMPLE_PERIOD));
+            if (node.isUp()) {
+                node.handle(new LocalEvent.LoadSample(requests, ACCEPTED, REJECTED, 0, SAMPLE_PERIOD_US));
             }
         }
     }
 
     private void report() {
-        reportsDue += scenario.changesPerMinute() * SAMPLE_PERIOD / MINUTE;
+        reportsDue += scenario.changesPerMinute() * SAMPLE_PERIOD_US / MINUTE_US;
         for (; reportsDue >= 1; reportsDue--) {
             reports++;
             FleetSimulation.Node node = fleet.nodes[random.nextInt(fleet.nodes.length)];
-            if (node.up()) {
-                node.event(new LocalEvent.HealthReport(random.nextInt(REPORTED_SERVERS), random.nextBoolean()));
+            if (node.isUp()) {
+                node.handle(new LocalEvent.HealthReport(random.nextInt(REPORTED_SERVERS), random.nextBoolean()));
             }
         }
     }
--- a/src/test/java/dockshed/fleet/ControlLoadTest.java
+++ b/src/test/java/dockshed/fleet/ControlLoadTest.java
@@ -6,17 +6,17 @@
 
 /** The load of a measured fleet: its rates are those of the scenario, however often somebody looks. */
 class ControlLoadTest {
-    private static final long MINUTE = 60 * FleetSimulation.S;
+    private static final long MINUTE = 60 * FleetSimulation.SECOND_US;
 
     @Test
     void ratesDoNotDependOnHowOftenTheFleetIsLookedAt() {
-        for (long step : new long[] {50 * FleetSimulation.MS, ControlLoad.SAMPLE_PERIOD}) {
+        for (long step : new long[] {50 * FleetSimulation.MILLISECOND_US, ControlLoad.SAMPLE_PERIOD_US}) {
             ControlScenario scenario = new ControlScenario(ControlMechanism.FULL_MESH, 5, 0, 120, 0, 1);
             FleetSimulation fleet = ControlMechanism.FULL_MESH.fleet(scenario.brokers(), scenario.seed());
             ControlLoad load = new ControlLoad(fleet, scenario);
             fleet.startAll();
             load.run(MINUTE, step, () -> {});
-            assertEquals(MINUTE / ControlLoad.SAMPLE_PERIOD, load.samples(), 1, "samples, looked at each " + step);
+            assertEquals(MINUTE / ControlLoad.SAMPLE_PERIOD_US, load.samples(), 1, "samples, looked at each " + step);
             assertEquals(120, load.reports(), 1, "reports, looked at each " + step);
         }
     }
--- a/src/test/java/dockshed/fleet/ControlMeasurement.java
+++ b/src/test/java/dockshed/fleet/ControlMeasurement.java
@@ -15,15 +15,15 @@
  * the scenario and its seed alone.
  */
 public final class ControlMeasurement {
-    private static final long SECOND = FleetSimulation.S;
-    private static final long REPORT_STEP = 50 * FleetSimulation.MS;
+    private static final long SECOND = FleetSimulation.SECOND_US;
+    private static final long REPORT_STEP = 50 * FleetSimulation.MILLISECOND_US;
     private static final double REPORT_REACH = 0.99;
     private static final int KILLED_ONE_IN = 7;
     private static final int FIRST_TRACED_SERVER = 1_000_000;
     private static final double P99 = 99;
     private static final double NANOS = 1e9;
     /** A peer is told the load figures each so often at most: see the gossip node's push. */
-    private static final long PUSH_INTERVAL = 100 * FleetSimulation.MS;
+    private static final long PUSH_INTERVAL = 100 * FleetSimulation.MILLISECOND_US;
 
     private static final long AGES_SAMPLED = 5 * SECOND;
 
@@ -33,7 +33,7 @@
     private final long window;
     private final ControlLoad load;
     private final List<List<Integer>> peers = new ArrayList<>();
-    private final EmptyNetwork network = new EmptyNetwork();
+    private final NetworkBaseline network = new NetworkBaseline();
     private final ThreadCost cost = new ThreadCost();
     private final Histogram ages = new Histogram(3);
     private final Histogram otherAges = new Histogram(3);
@@ -69,7 +69,7 @@
         long allocated = cost.bytes();
         Traffic traffic = Traffic.of(fleet).minus(start);
         long networkNanos = network.nanos(scenario, traffic.datagrams(), window, cost);
-        fleet.ticked = node -> {};
+        fleet.onTick = node -> {};
         double heap = (ThreadCost.usedHeap() - heapBefore) / (double) scenario.brokers();
         double held = entriesHeld();
         load.run(AGES_SAMPLED, this::sampleAges);
@@ -105,10 +105,10 @@
         load.run(durations.warmUp(), this::countFalseDeaths);
         load.placeLastingEntries();
         load.run(peers.get(0).size() * PUSH_INTERVAL, this::countFalseDeaths);
-        network.watch(fleet);
-        fleet.ticked = this::ticked;
+        network.startRecording(fleet);
+        fleet.onTick = this::ticked;
         load.run(SECOND, this::countFalseDeaths);
-        network.endWatch(fleet);
+        network.stopRecording(fleet);
     }
 
     private void ticked(FleetSimulation.Node node) {
@@ -125,10 +125,10 @@
 
     private void countFalseDeaths() {
         for (FleetSimulation.Node node : fleet.nodes) {
-            for (int peer : node.up() ? peers.get(node.number) : List.<Integer>of()) {
+            for (int peer : node.isUp() ? peers.get(node.number) : List.<Integer>of()) {
                 boolean dead = node.node.membership().member(peer).state == Member.State.DEAD;
                 long pair = (long) node.number << Integer.SIZE | peer;
-                if (dead && fleet.nodes[peer].up()) {
+                if (dead && fleet.nodes[peer].isUp()) {
                     falseDeaths += calledDead.add(pair) ? 1 : 0;
                 } else {
                     calledDead.remove(pair);
@@ -182,7 +182,7 @@
         long began = fleet.now;
         List<Integer> readers = peers.get(reporter.number);
         long wanted = (long) Math.ceil(REPORT_REACH * readers.size());
-        reporter.event(new LocalEvent.HealthReport(server, true));
+        reporter.handle(new LocalEvent.HealthReport(server, true));
         while (fleet.now - began < durations.reportLimit()) {
             load.run(REPORT_STEP, REPORT_STEP, () -> {});
             long know = readers.stream()
@@ -208,8 +208,8 @@
         }
         long began = fleet.now;
         while (fleet.now - began < durations.failureLimit()) {
-            load.run(ControlLoad.SAMPLE_PERIOD, this::countFalseDeaths);
-            if (Arrays.stream(fleet.nodes).noneMatch(node -> node.up() && countsOneOf(node, killed))) {
+            load.run(ControlLoad.SAMPLE_PERIOD_US, this::countFalseDeaths);
+            if (Arrays.stream(fleet.nodes).noneMatch(node -> node.isUp() && countsOneOf(node, killed))) {
                 return OptionalDouble.of((fleet.now - began) / (double) SECOND);
             }
         }
@@ -243,7 +243,7 @@
         static Traffic of(FleetSimulation fleet) {
             long[] sentBy = new long[fleet.nodes.length];
             fleet.sentBy.forEach((broker, bytes) -> sentBy[broker] = bytes);
-            return of(sentBy, fleet.receivedBy.clone(), fleet.carried);
+            return of(sentBy, fleet.receivedBy.clone(), fleet.datagramsSent);
         }
 
         private static Traffic of(long[] sentBy, long[] receivedBy, long datagrams) {
--- a/src/test/java/dockshed/fleet/ControlMeasurementTest.java
+++ b/src/test/java/dockshed/fleet/ControlMeasurementTest.java
@@ -15,7 +15,11 @@
 
     private static ControlFigures measure(ControlScenario scenario) {
         ControlDurations durations = new ControlDurations(
-                6 * FleetSimulation.S, 35 * FleetSimulation.S, 2, 5 * FleetSimulation.S, 30 * FleetSimulation.S);
+                6 * FleetSimulation.SECOND_US,
+                35 * FleetSimulation.SECOND_US,
+                2,
+                5 * FleetSimulation.SECOND_US,
+                30 * FleetSimulation.SECOND_US);
         return ControlMeasurement.of(scenario, durations);
     }
 
--- a/src/test/java/dockshed/fleet/ControlMechanism.java
+++ b/src/test/java/dockshed/fleet/ControlMechanism.java
@@ -55,7 +55,7 @@
         @Override
         public List<Integer> peersOf(int broker, int brokers) {
             return FleetSettings.DEFAULTS
-                    .withZones(ZonedFleet.evenly(brokers, ZONES))
+                    .withZones(ZonedFleet.evenZones(brokers, ZONES))
                     .zoneMap(brokers)
                     .scopes()
                     .stream()
--- a/src/test/java/dockshed/fleet/EnvelopeTest.java
+++ b/src/test/java/dockshed/fleet/EnvelopeTest.java
@@ -33,7 +33,7 @@
                         VersionedEntry.LOAD,
                         VersionedEntry.HEALTH_REPORT,
                         VersionedEntry.LEASE_COORDINATOR,
-                        VersionedEntry.STORM_NOTE,
+                        VersionedEntry.STORM_MESSAGE,
                         VersionedEntry.PLANS));
     }
 
--- a/src/test/java/dockshed/fleet/FleetCosts.java
+++ b/src/test/java/dockshed/fleet/FleetCosts.java
@@ -9,14 +9,14 @@
 public final class FleetCosts {
     private static final long SEED = 11;
     private static final double LOSS = 0.01;
-    private static final long WARM_UP = 40 * FleetSimulation.S;
-    private static final long SAMPLE_PERIOD = 250 * FleetSimulation.MS;
+    private static final long WARM_UP_US = 40 * FleetSimulation.SECOND_US;
+    private static final long SAMPLE_PERIOD_US = 250 * FleetSimulation.MILLISECOND_US;
     /** How long a probe of a dead server takes. */
-    private static final long PROBE_TIME = 250 * FleetSimulation.MS;
+    private static final long PROBE_TIME_US = 250 * FleetSimulation.MILLISECOND_US;
     /** Own failed probes after which a broker knows by itself. */
-    private static final int OWN_PROBES = 2;
+    private static final int PROBES_TO_KNOW = 2;
     /** Probes a second are reckoned over this many seconds at least. */
-    private static final double MIN_SECONDS = 5;
+    private static final double MIN_RATE_SECONDS = 5;
 
     /**
      * Bytes sent a second.
@@ -41,7 +41,7 @@
         FleetSimulation fleet = new FleetSimulation(brokers, FleetSettings.DEFAULTS, SEED);
         fleet.loss = LOSS;
         fleet.startAll();
-        fleet.run(WARM_UP);
+        fleet.run(WARM_UP_US);
         return fleet;
     }
 
@@ -51,7 +51,7 @@
         requests[1] = 1;
         requests[4] = 1;
         for (FleetSimulation.Node node : fleet.nodes) {
-            node.event(new LocalEvent.LoadSample(requests, 4, 1, 0, SAMPLE_PERIOD));
+            node.handle(new LocalEvent.LoadSample(requests, 4, 1, 0, SAMPLE_PERIOD_US));
         }
     }
 
@@ -59,7 +59,7 @@
     public static ByteRates byteRates(int brokers, int seconds) {
         FleetSimulation fleet = fleet(brokers);
         fleet.sentBy.clear();
-        fleet.run(seconds * FleetSimulation.S, SAMPLE_PERIOD, () -> sampleLoad(fleet));
+        fleet.run(seconds * FleetSimulation.SECOND_US, SAMPLE_PERIOD_US, () -> sampleLoad(fleet));
         long sum = fleet.sentBy.values().stream().mapToLong(x -> x).sum();
         long most = fleet.sentBy.values().stream().mapToLong(x -> x).max().orElse(0);
         return new ByteRates(sum / (double) brokers / seconds, most / (double) seconds);
@@ -102,15 +102,18 @@
             began = fleet.now;
             lastKnownAt = began;
             probers = Arrays.stream(fleet.nodes)
-                    .map(n -> new Prober(n, n.clock() + fleet.random.nextLong(100 * FleetSimulation.MS)))
+                    .map(n -> new Prober(n, n.clock() + fleet.random.nextLong(100 * FleetSimulation.MILLISECOND_US)))
                     .toList();
         }
 
         ProbeCost play() {
-            fleet.run(30 * FleetSimulation.S, 50 * FleetSimulation.MS, () -> probers.forEach(this::step));
-            double seconds = (lastKnownAt - began) / (double) FleetSimulation.S;
+            fleet.run(
+                    30 * FleetSimulation.SECOND_US,
+                    50 * FleetSimulation.MILLISECOND_US,
+                    () -> probers.forEach(this::step));
+            double seconds = (lastKnownAt - began) / (double) FleetSimulation.SECOND_US;
             int uninformed = (int) probers.stream().filter(p -> !p.knows).count();
-            return new ProbeCost(probes / Math.max(MIN_SECONDS, seconds), seconds, uninformed);
+            return new ProbeCost(probes / Math.max(MIN_RATE_SECONDS, seconds), seconds, uninformed);
         }
 
         private void step(Prober prober) {
@@ -121,7 +124,7 @@
             if (prober.resultAt > 0 && now >= prober.resultAt) {
                 prober.resultAt = 0;
                 prober.failures++;
-                prober.node.event(new LocalEvent.HealthReport(server, false));
+                prober.node.handle(new LocalEvent.HealthReport(server, false));
             }
             if (prober.resultAt > 0) {
                 return;
@@ -130,8 +133,8 @@
             if (verdict == Verdict.TRY) {
                 probes++;
                 prober.probedAt = now;
-                prober.resultAt = now + PROBE_TIME;
-            } else if (verdict == Verdict.DOWN || prober.failures >= OWN_PROBES) {
+                prober.resultAt = now + PROBE_TIME_US;
+            } else if (verdict == Verdict.DOWN || prober.failures >= PROBES_TO_KNOW) {
                 prober.knows = true;
                 lastKnownAt = fleet.now;
             }
@@ -141,7 +144,10 @@
             FleetSnapshot snapshot = prober.node.snapshot();
             List<VersionedEntry> reports = snapshot.healthReports().getOrDefault(server, List.of());
             Suspicion suspicion = new Suspicion(
-                    prober.suspectedAt, prober.suspectedAt - FleetSimulation.S, prober.probedAt, prober.failures);
+                    prober.suspectedAt,
+                    prober.suspectedAt - FleetSimulation.SECOND_US,
+                    prober.probedAt,
+                    prober.failures);
             return HealthProbeSchedule.verdict(
                     now, prober.node.number, snapshot.presentBrokers(), server, reports, suspicion);
         }
--- a/src/test/java/dockshed/fleet/FleetReadings.java
+++ b/src/test/java/dockshed/fleet/FleetInspection.java
@@ -9,19 +9,19 @@
 import org.HdrHistogram.Histogram;
 
 /** What measurements read of the control part beyond its public face. */
-public final class FleetReadings {
-    private static final long PATIENCE_SECONDS = 10;
+public final class FleetInspection {
+    private static final long READ_TIMEOUT_SECONDS = 10;
     private static final long UNKNOWN_THREAD = -1;
 
-    private FleetReadings() {}
+    private FleetInspection() {}
 
     /** The id of the thread that a host's loop runs on; -1 where it stands still. */
-    public static long threadOf(FleetHost host) {
+    public static long loopThreadId(FleetHost host) {
         return read(host, node -> Thread.currentThread().getId(), UNKNOWN_THREAD);
     }
 
     /** Whether a snapshot holds a broker's report on that server. */
-    public static boolean knows(FleetSnapshot snapshot, int server, int owner) {
+    public static boolean hasHealthReport(FleetSnapshot snapshot, int server, int owner) {
         for (VersionedEntry report : snapshot.healthReports().getOrDefault(server, List.of())) {
             if (report.owner() == owner) {
                 return true;
@@ -61,18 +61,18 @@
     }
 
     /** Adds the ages of the figures that a host holds of the others. */
-    public static void figureAges(FleetHost host, long startedMillis, Ages ages) {
+    public static void recordFigureAges(FleetHost host, long startedMillis, Ages ages) {
         read(
                 host,
                 node -> {
-                    figureAges(node, System.currentTimeMillis() * 1000, startedMillis * 1000, ages);
+                    recordFigureAges(node, System.currentTimeMillis() * 1000, startedMillis * 1000, ages);
                     return true;
                 },
                 false);
     }
 
     /** The same of a node; times are of the node's clock, in microseconds. */
-    static void figureAges(GossipNode node, long now, long started, Ages ages) {
+    static void recordFigureAges(GossipNode node, long now, long started, Ages ages) {
         for (int broker : node.membership().presentMembers()) {
             if (broker == node.membership().me) {
                 continue;
@@ -90,7 +90,7 @@
 
     private static <T> T read(FleetHost host, Function<GossipNode, T> reading, T otherwise) {
         try {
-            return host.inspect(reading).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            return host.inspect(reading).get(READ_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
             return otherwise;
         } catch (ExecutionException e) {
--- a/src/test/java/dockshed/fleet/FleetSimulation.java
+++ b/src/test/java/dockshed/fleet/FleetSimulation.java
@@ -17,10 +17,10 @@
  * switch here that tampers with one thing that the node relies on, and that some test has to notice.
  */
 final class FleetSimulation {
-    static final long MS = 1000;
-    static final long S = 1_000_000;
+    static final long MILLISECOND_US = 1000;
+    static final long SECOND_US = 1_000_000;
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
@@ -44,7 +44,7 @@
             return offset + (long) (now * rate);
         }
 
-        boolean up() {
+        boolean isUp() {
             return node != null;
         }
 
@@ -64,10 +64,10 @@
                     settingsOf.apply(number),
                     number,
                     nodes.length,
-                    startMillis.apply(clock() / 1000),
+                    startTimeMs.apply(clock() / 1000),
                     clock(),
                     random.nextLong());
-            started.accept(this);
+            onStart.accept(this);
             tick(starts);
         }
 
@@ -91,12 +91,12 @@
             });
         }
 
-        void event(LocalEvent event) {
+        void handle(LocalEvent event) {
             node.handle(clock(), event, sink());
         }
 
         private GossipNode.Sink sink() {
-            return (to, datagram) -> carry(number, to, datagram);
+            return (to, datagram) -> transmit(number, to, datagram);
         }
 
         private void tick(int start) {
@@ -104,11 +104,11 @@
                 return;
             }
             node.tick(clock(), sink());
-            ticked.accept(this);
-            at(now + Math.max(1, (long) ((node.next(clock()) - clock()) / rate)), () -> tick(start));
+            onTick.accept(this);
+            at(now + Math.max(1, (long) ((node.nextTickAt(clock()) - clock()) / rate)), () -> tick(start));
         }
 
-        void take(byte[] datagram) {
+        void deliver(byte[] datagram) {
             if (node == null) {
                 return;
             }
@@ -126,12 +126,12 @@
     final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long order;
-    long now = 1_000 * S;
+    long now = 1_000 * SECOND_US;
     double loss;
     double duplication;
-    long least = MS / 2; // of the delays
-    long most = 3 * MS;
-    long carried;
+    long minDelayUs = MILLISECOND_US / 2; // of the delays
+    long maxDelayUs = 3 * MILLISECOND_US;
+    long datagramsSent;
     final Map<Integer, Long> sentBy = new HashMap<>();
     private boolean[][] blocked;
     /** Mutants: what happens to a datagram on its way, and what a start takes for its time. */
@@ -144,10 +144,10 @@
     /** Bytes that arrived, by broker. */
     final long[] receivedBy;
 
-    java.util.function.Function<Long, Long> startMillis = ms -> ms;
-    Consumer<Node> started = n -> {};
+    java.util.function.Function<Long, Long> startTimeMs = ms -> ms;
+    Consumer<Node> onStart = n -> {};
     /** After each tick, where a host would publish its snapshot. */
-    Consumer<Node> ticked = n -> {};
+    Consumer<Node> onTick = n -> {};
 
     FleetSimulation(int brokers, FleetSettings settings, long seed) {
         this.settings = settings;
@@ -163,9 +163,9 @@
 
     FleetSimulation startAll() {
         for (Node n : nodes) {
-            at(now + random.nextLong(300 * MS), n::start);
+            at(now + random.nextLong(300 * MILLISECOND_US), n::start);
         }
-        run(400 * MS);
+        run(400 * MILLISECOND_US);
         return this;
     }
 
@@ -192,11 +192,11 @@
         }
     }
 
-    void carry(int from, int to, byte[] datagram) {
+    void transmit(int from, int to, byte[] datagram) {
         if (datagram.length > Envelope.MAX_BYTES) {
             throw new AssertionError("datagram of " + datagram.length + " bytes");
         }
-        carried++;
+        datagramsSent++;
         sentBy.merge(from, (long) datagram.length, Long::sum);
         if (blocked[from][to] || random.nextDouble() < loss) {
             return;
@@ -205,7 +205,7 @@
         byte[] goes = e == null ? datagram : tamper.apply(e).write();
         int times = random.nextDouble() < duplication ? 2 : 1;
         for (int i = 0; i < times; i++) {
-            at(now + least + random.nextLong(most - least + 1), () -> nodes[to].take(goes));
+            at(now + minDelayUs + random.nextLong(maxDelayUs - minDelayUs + 1), () -> nodes[to].deliver(goes));
         }
     }
 
@@ -214,7 +214,7 @@
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event e = events.poll();
             now = Math.max(now, e.at());
-            e.what().run();
+            e.action().run();
         }
         now = end;
     }
--- a/src/test/java/dockshed/fleet/FleetTwin.java
+++ b/src/test/java/dockshed/fleet/FleetSimulationDriver.java
@@ -5,17 +5,17 @@
 import java.util.BitSet;
 
 /** A fleet on the simulated network and clock as the scale run drives it: the public face of {@link FleetSimulation}. */
-public final class FleetTwin {
+public final class FleetSimulationDriver {
     /** Requests of a quarter of a second, by step of rank: as {@link FleetCosts} has them. */
     private static final int[] REQUESTS = requests();
 
-    private static final long MILLI = FleetSimulation.MS;
+    private static final long MILLISECOND_US = FleetSimulation.MILLISECOND_US;
 
     private final FleetSimulation simulation;
     private final ZoneMap zones;
     private final long[] startedAt;
 
-    public FleetTwin(int brokers, FleetSettings settings, long seed) {
+    public FleetSimulationDriver(int brokers, FleetSettings settings, long seed) {
         simulation = new FleetSimulation(brokers, settings, seed);
         zones = settings.zoneMap(brokers);
         startedAt = new long[brokers];
@@ -30,15 +30,15 @@
     }
 
     public long nowMillis() {
-        return simulation.now / MILLI;
+        return simulation.now / MILLISECOND_US;
     }
 
     public void run(long millis) {
-        simulation.run(millis * MILLI);
+        simulation.run(millis * MILLISECOND_US);
     }
 
-    public boolean running(int broker) {
-        return simulation.nodes[broker].up();
+    public boolean isRunning(int broker) {
+        return simulation.nodes[broker].isUp();
     }
 
     public void start(int broker) {
@@ -51,19 +51,19 @@
     }
 
     public void leave(int broker) {
-        simulation.nodes[broker].event(new LocalEvent.Leaving());
+        simulation.nodes[broker].handle(new LocalEvent.Leaving());
         kill(broker);
     }
 
     public void pause(int broker, long millis) {
-        simulation.nodes[broker].pause(millis * MILLI);
+        simulation.nodes[broker].pause(millis * MILLISECOND_US);
     }
 
-    public void cut(BitSet from, BitSet to) {
+    public void partition(BitSet from, BitSet to) {
         from.stream().forEach(sender -> to.stream().forEach(receiver -> simulation.block(sender, receiver, true)));
     }
 
-    public void join() {
+    public void heal() {
         for (int sender = 0; sender < simulation.nodes.length; sender++) {
             for (int receiver = 0; receiver < simulation.nodes.length; receiver++) {
                 simulation.block(sender, receiver, false);
@@ -71,31 +71,31 @@
         }
     }
 
-    public void lose(double share) {
+    public void setLoss(double share) {
         simulation.loss = share;
     }
 
     /** A report on a server's health, which all others are to know. */
-    public void change(int broker, int server) {
-        simulation.nodes[broker].event(new LocalEvent.HealthReport(server, false));
+    public void reportServerDown(int broker, int server) {
+        simulation.nodes[broker].handle(new LocalEvent.HealthReport(server, false));
     }
 
     /** Each broker is told what was asked of it in so many milliseconds. */
-    public void offerFigures(long millis) {
+    public void offerLoadSamples(long millis) {
         for (FleetSimulation.Node node : simulation.nodes) {
-            if (node.up() && node.pausedUntil < 0) {
-                node.event(new LocalEvent.LoadSample(REQUESTS, 4, 1, 0, millis * MILLI));
+            if (node.isUp() && node.pausedUntil < 0) {
+                node.handle(new LocalEvent.LoadSample(REQUESTS, 4, 1, 0, millis * MILLISECOND_US));
             }
         }
     }
 
-    public BitSet listed(int broker) {
+    public BitSet presentMembers(int broker) {
         BitSet listed = new BitSet();
         simulation.nodes[broker].node.membership().presentMembers().forEach(listed::set);
         return listed;
     }
 
-    public boolean knows(int broker, int server, int owner) {
+    public boolean hasHealthReport(int broker, int server, int owner) {
         return simulation.nodes[broker].node.entries().get(owner, VersionedEntry.HEALTH_REPORT, server) != null;
     }
 
@@ -119,11 +119,11 @@
     }
 
     /** Of the figures that all hold of others. */
-    public FleetReadings.Ages figureAges() {
-        FleetReadings.Ages ages = new FleetReadings.Ages();
+    public FleetInspection.Ages figureAges() {
+        FleetInspection.Ages ages = new FleetInspection.Ages();
         for (FleetSimulation.Node node : simulation.nodes) {
-            if (node.up()) {
-                FleetReadings.figureAges(node.node, node.clock(), startedAt[node.number], ages);
+            if (node.isUp()) {
+                FleetInspection.recordFigureAges(node.node, node.clock(), startedAt[node.number], ages);
             }
         }
         return ages;
--- a/src/test/java/dockshed/fleet/GossipExtensionTest.java
+++ b/src/test/java/dockshed/fleet/GossipExtensionTest.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import static dockshed.fleet.FleetSimulation.MS;
-import static dockshed.fleet.FleetSimulation.S;
+import static dockshed.fleet.FleetSimulation.MILLISECOND_US;
+import static dockshed.fleet.FleetSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -31,7 +31,7 @@
         }
 
         @Override
-        public void heardAnnouncement(long now, int from, byte[] heard) {
+        public void receiveAnnouncement(long now, int from, byte[] heard) {
             assertEquals(from, heard[0]);
             heardOf.add(from);
         }
@@ -40,8 +40,8 @@
         public void tick(long now) {}
 
         @Override
-        public long next(long now) {
-            return now + S;
+        public long nextTickAt(long now) {
+            return now + SECOND_US;
         }
 
         @Override
@@ -54,12 +54,12 @@
 
     private FleetSimulation start() {
         FleetSimulation w = new ZonedFleet(12, 3, 31).simulation;
-        w.started = node -> {
+        w.onStart = node -> {
             recorders[node.number] = new Recorder(node.number);
-            node.node.extend(recorders[node.number]);
+            node.node.setExtension(recorders[node.number]);
         };
         w.startAll();
-        w.run(6 * S);
+        w.run(6 * SECOND_US);
         return w;
     }
 
@@ -71,10 +71,10 @@
         assertEquals(240, longest.length);
         assertTrue(w.nodes[0].node.sendExtension(2, longest));
         assertTrue(w.nodes[0].node.sendExtension(11, longest));
-        w.run(200 * MS);
+        w.run(200 * MILLISECOND_US);
         assertArrayEquals(longest, recorders[2].bodies.get(0));
         assertArrayEquals(longest, recorders[11].bodies.get(0));
-        w.run(20 * S);
+        w.run(20 * SECOND_US);
         assertTrue(recorders[0].heardOf.containsAll(Set.of(1, 2, 3)), "of its scope");
         assertTrue(recorders[0].heardOf.stream().anyMatch(from -> from > 3), "of others");
     }
@@ -88,7 +88,7 @@
         assertFalse(node.sendExtension(0, new byte[1]));
         w.sentBy.clear();
         int[] taken = new int[1];
-        w.run(20 * S, 10 * MS, () -> taken[0] += node.sendExtension(11, new byte[200]) ? 1 : 0);
+        w.run(20 * SECOND_US, 10 * MILLISECOND_US, () -> taken[0] += node.sendExtension(11, new byte[200]) ? 1 : 0);
         double sent = w.sentBy.get(0) / 20.0;
         assertTrue(sent < 1.2 * FleetSettings.ZONED_BYTES_PER_SECOND, "bytes a second: " + sent);
         assertTrue(taken[0] > 500 && node.counts().extensionDropped > 0, "taken: " + taken[0]);
--- a/src/test/java/dockshed/fleet/LeasedSharesTest.java
+++ b/src/test/java/dockshed/fleet/LeasedSharesTest.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import static dockshed.fleet.FleetSimulation.MS;
-import static dockshed.fleet.FleetSimulation.S;
+import static dockshed.fleet.FleetSimulation.MILLISECOND_US;
+import static dockshed.fleet.FleetSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,17 +22,17 @@
     }
 
     private static void ask(FleetSimulation w, int node, double perSecond) {
-        if (w.nodes[node].up()) {
+        if (w.nodes[node].isUp()) {
             int[] requests = new int[SheddingThreshold.PRIORITY_STEPS];
             requests[0] = (int) (perSecond * 10);
-            w.nodes[node].event(new LocalEvent.LoadSample(requests, requests[0], 0, requests[0] / 10, 10_000_000));
+            w.nodes[node].handle(new LocalEvent.LoadSample(requests, requests[0], 0, requests[0] / 10, 10_000_000));
         }
     }
 
     @Test
     void demandIsFollowedAndTheWholeIsNearlyUsed() {
         FleetSimulation w = new FleetSimulation(8, FleetSettings.DEFAULTS, 1).startAll();
-        w.run(12 * S, 200 * MS, () -> {
+        w.run(12 * SECOND_US, 200 * MILLISECOND_US, () -> {
             for (int i = 0; i < 8; i++) {
                 ask(w, i, i == 0 ? 40 : 5);
             }
@@ -48,14 +48,14 @@
     @Test
     void aFreshBrokerHasAWorkingShareWithinASecondAndADeadOnesComesBack() {
         FleetSimulation w = new FleetSimulation(8, FleetSettings.DEFAULTS, 2).startAll();
-        w.run(12 * S);
+        w.run(12 * SECOND_US);
         int dead = w.nodes[0].node.leases().isCoordinator(w.nodes[0].clock()) ? 1 : 0;
         w.nodes[dead].kill();
-        w.run(8 * S, 50 * MS, () -> check(w));
+        w.run(8 * SECOND_US, 50 * MILLISECOND_US, () -> check(w));
         double others = w.sum(SharedResource.NEW_SESSIONS);
         assertTrue(others > 0.80, "of the dead one's part what was leased is used again: " + others);
         w.nodes[dead].start();
-        w.run(S, 50 * MS, () -> check(w));
+        w.run(SECOND_US, 50 * MILLISECOND_US, () -> check(w));
         assertTrue(w.nodes[dead].node.leases().leased(w.nodes[dead].clock()));
         assertTrue(
                 w.nodes[dead].share(SharedResource.NEW_SESSIONS) > 0.9 / 8,
@@ -65,26 +65,26 @@
     @Test
     void whenTheCoordinatorDiesAnotherTakesOverOnceItsTimeIsOver() {
         FleetSimulation w = new FleetSimulation(7, FleetSettings.DEFAULTS, 3).startAll();
-        w.run(12 * S);
+        w.run(12 * SECOND_US);
         for (FleetSimulation.Node n : w.nodes) {
-            if (n.up() && n.node.leases().isCoordinator(n.clock())) {
+            if (n.isUp() && n.node.leases().isCoordinator(n.clock())) {
                 n.kill();
             }
         }
-        w.run(14 * S, 50 * MS, () -> check(w));
+        w.run(14 * SECOND_US, 50 * MILLISECOND_US, () -> check(w));
         assertTrue(w.sum(SharedResource.NEW_SESSIONS) > 0.8, "held again: " + w.sum(SharedResource.NEW_SESSIONS));
     }
 
     @Test
     void theMinorityOfAPartitionKeepsItsGuaranteedShareAndTheMajorityGoesOn() {
         FleetSimulation w = new FleetSimulation(9, FleetSettings.DEFAULTS, 4).startAll();
-        w.run(12 * S);
+        w.run(12 * SECOND_US);
         w.partition(2, true);
-        w.run(20 * S, 50 * MS, () -> check(w));
+        w.run(20 * SECOND_US, 50 * MILLISECOND_US, () -> check(w));
         assertEquals(0.5 / 9, w.nodes[0].share(SharedResource.NEW_SESSIONS), 1e-9);
         assertTrue(w.sum(SharedResource.NEW_SESSIONS) > 0.75, "held: " + w.sum(SharedResource.NEW_SESSIONS));
         w.partition(2, false);
-        w.run(14 * S, 50 * MS, () -> check(w));
+        w.run(14 * SECOND_US, 50 * MILLISECOND_US, () -> check(w));
         assertTrue(w.nodes[0].share(SharedResource.NEW_SESSIONS) > 0.5 / 9);
     }
 
@@ -96,14 +96,14 @@
     private static double worst(FleetSimulation w, java.util.function.Consumer<FleetSimulation> mutant) {
         w.loss = 0.1;
         w.duplication = 0.1;
-        w.most = 60 * MS;
+        w.maxDelayUs = 60 * MILLISECOND_US;
         for (FleetSimulation.Node n : w.nodes) {
-            n.offset = w.random.nextLong(20 * S) - 10 * S;
-            n.rate = 1 + (w.random.nextDouble() - 0.5) * 0.9 * LeasedShares.DRIFT;
+            n.offset = w.random.nextLong(20 * SECOND_US) - 10 * SECOND_US;
+            n.rate = 1 + (w.random.nextDouble() - 0.5) * 0.9 * LeasedShares.MAX_CLOCK_DRIFT;
         }
         mutant.accept(w);
         w.startAll();
-        w.run(8 * S);
+        w.run(8 * SECOND_US);
         double[] worst = {0};
         for (int i = 0; i < 40; i++) {
             int n = w.random.nextInt(w.nodes.length);
@@ -114,17 +114,17 @@
                     w.nodes[n].start();
                 }
                 case 3 -> {
-                    if (w.nodes[n].up() && w.nodes[n].pausedUntil < 0) {
-                        w.nodes[n].pause(w.random.nextLong(5 * S));
+                    if (w.nodes[n].isUp() && w.nodes[n].pausedUntil < 0) {
+                        w.nodes[n].pause(w.random.nextLong(5 * SECOND_US));
                     }
                 }
                 case 4 -> w.partition(w.random.nextInt(w.nodes.length), true);
                 default -> w.partition(0, false);
             }
-            w.run(w.random.nextLong(3 * S), 20 * MS, () -> {
+            w.run(w.random.nextLong(3 * SECOND_US), 20 * MILLISECOND_US, () -> {
                 for (int j = 0; j < w.nodes.length; j++) {
                     ask(w, j, w.random.nextInt(30));
-                    if (!w.nodes[j].up() && w.random.nextInt(100) == 0) {
+                    if (!w.nodes[j].isUp() && w.random.nextInt(100) == 0) {
                         w.nodes[j].start();
                     }
                 }
@@ -138,7 +138,7 @@
     @Test
     void theScopesOfADividedFleetTogetherHoldNoMoreThanTheWhole() {
         for (long seed = 1; seed <= 6; seed++) {
-            FleetSettings zoned = FleetSettings.DEFAULTS.withZones(ZonedFleet.evenly(8, 2));
+            FleetSettings zoned = FleetSettings.DEFAULTS.withZones(ZonedFleet.evenZones(8, 2));
             assertTrue(worst(new FleetSimulation(8, zoned, seed), w -> {}) <= WHOLE, "seed " + seed);
         }
     }
@@ -148,7 +148,7 @@
         FleetSettings zoned = FleetSettings.DEFAULTS.withZones(
                 List.of(new Zone("a", "n", 0, 5), new Zone("b", "n", 6, 7), new Zone("c", "s", 8, 11)));
         FleetSimulation w = new FleetSimulation(12, zoned, 6).startAll();
-        w.run(12 * S, 200 * MS, () -> {
+        w.run(12 * SECOND_US, 200 * MILLISECOND_US, () -> {
             for (int i = 0; i < 12; i++) {
                 ask(w, i, 10);
             }
@@ -166,13 +166,13 @@
 
     @Test
     void aVoterOfADividedFleetVotesForNobodyThatDividesItOtherwise() {
-        FleetSettings zoned = FleetSettings.DEFAULTS.withZones(ZonedFleet.evenly(6, 2));
+        FleetSettings zoned = FleetSettings.DEFAULTS.withZones(ZonedFleet.evenZones(6, 2));
         FleetSimulation w = new FleetSimulation(6, zoned, 7);
         w.settingsOf = number -> number == 0
                 ? FleetSettings.DEFAULTS
-                : number == 1 ? FleetSettings.DEFAULTS.withZones(ZonedFleet.evenly(6, 3)) : zoned;
+                : number == 1 ? FleetSettings.DEFAULTS.withZones(ZonedFleet.evenZones(6, 3)) : zoned;
         w.startAll();
-        w.run(20 * S, 50 * MS, () -> {
+        w.run(20 * SECOND_US, 50 * MILLISECOND_US, () -> {
             assertFalse(w.nodes[0].node.leases().isCoordinator(w.nodes[0].clock()));
             assertFalse(w.nodes[1].node.leases().isCoordinator(w.nodes[1].clock()));
         });
@@ -191,13 +191,13 @@
         // SheddingThreshold off from the voters it was due to ask at every moment, and its loop turned every
         // millisecond.
         FleetSimulation w = new FleetSimulation(5, FleetSettings.DEFAULTS, 5).startAll();
-        w.run(8 * S);
+        w.run(8 * SECOND_US);
         w.partition(2, true);
-        w.run(10 * S);
+        w.run(10 * SECOND_US);
         for (FleetSimulation.Node n : w.nodes) {
             for (int i = 0; i < 40; i++) {
-                w.run(13 * MS);
-                assertTrue(n.node.leases().next(n.clock()) > n.clock(), "due at once, again and again");
+                w.run(13 * MILLISECOND_US);
+                assertTrue(n.node.leases().nextTickAt(n.clock()) > n.clock(), "due at once, again and again");
             }
         }
     }
--- a/src/test/java/dockshed/fleet/MutantsTest.java
+++ b/src/test/java/dockshed/fleet/MutantsTest.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import static dockshed.fleet.FleetSimulation.MS;
-import static dockshed.fleet.FleetSimulation.S;
+import static dockshed.fleet.FleetSimulation.MILLISECOND_US;
+import static dockshed.fleet.FleetSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -31,7 +31,7 @@
         FleetSimulation w = new FleetSimulation(7, FleetSettings.DEFAULTS, 21);
         mutant.accept(w);
         w.startAll();
-        w.run(8 * S);
+        w.run(8 * SECOND_US);
         return w;
     }
 
@@ -43,24 +43,24 @@
     private static FleetSimulation late(Consumer<FleetSimulation> mutant) {
         FleetSimulation w = new FleetSimulation(7, FleetSettings.DEFAULTS, 22);
         mutant.accept(w);
-        w.started = n -> n.node.entries().setTimeToLive(VersionedEntry.HEALTH_REPORT, 600 * S);
+        w.onStart = n -> n.node.entries().setTimeToLive(VersionedEntry.HEALTH_REPORT, 600 * SECOND_US);
         for (int i = 0; i < 6; i++) {
             w.nodes[i].start();
         }
-        w.run(6 * S);
-        w.nodes[1].event(new LocalEvent.HealthReport(5, false));
-        w.run(20 * S);
+        w.run(6 * SECOND_US);
+        w.nodes[1].handle(new LocalEvent.HealthReport(5, false));
+        w.run(20 * SECOND_US);
         w.nodes[6].start();
-        w.run(10 * S);
+        w.run(10 * SECOND_US);
         return w;
     }
 
     /** One that leaves is gone within a second, without a suspicion. */
     private static boolean leavesAreHeard(Consumer<FleetSimulation> mutant) {
         FleetSimulation w = seven(mutant);
-        w.nodes[3].event(new LocalEvent.Leaving());
+        w.nodes[3].handle(new LocalEvent.Leaving());
         w.nodes[3].kill();
-        w.run(S);
+        w.run(SECOND_US);
         return Arrays.stream(w.nodes)
                         .filter(n ->
                                 n.number != 3 && !n.snapshot().presentBrokers().contains(3))
@@ -72,13 +72,13 @@
     private static boolean agesAreTold(Consumer<FleetSimulation> mutant) {
         FleetSimulation w = late(mutant);
         VersionedEntry r = w.nodes[6].node.entries().get(1, VersionedEntry.HEALTH_REPORT, 5);
-        return r != null && w.nodes[6].clock() - r.writtenAt() > 15 * S;
+        return r != null && w.nodes[6].clock() - r.writtenAt() > 15 * SECOND_US;
     }
 
     /** On a sound network nobody has to refute a suspicion. */
     private static boolean nobodyIsAccused(Consumer<FleetSimulation> mutant) {
         FleetSimulation w = seven(mutant);
-        w.run(20 * S);
+        w.run(20 * SECOND_US);
         return Arrays.stream(w.nodes).allMatch(n -> n.node.membership().refutations == 0);
     }
 
@@ -88,12 +88,12 @@
         int[] requests = new int[SheddingThreshold.PRIORITY_STEPS];
         requests[0] = 28;
         // Each has room for another number; what is given to it is what lies over the threshold that it sees.
-        w.run(30 * S, 500 * MS, () -> {
+        w.run(30 * SECOND_US, 500 * MILLISECOND_US, () -> {
             for (FleetSimulation.Node n : w.nodes) {
                 double over = 1 - n.snapshot().sheddingThreshold() / (double) (1 << SheddingThreshold.HASH_BITS);
                 int given = (int) Math.round(28 * Math.max(0, Math.min(1, over)));
                 int room = Math.min(given, 6 + 2 * n.number);
-                n.event(new LocalEvent.LoadSample(requests, room, given - room, 0, 500_000));
+                n.handle(new LocalEvent.LoadSample(requests, room, given - room, 0, 500_000));
             }
         });
         List<Integer> thresholds = Arrays.stream(w.nodes)
@@ -108,7 +108,7 @@
         FleetSimulation w = new FleetSimulation(15, FleetSettings.DEFAULTS, 23);
         mutant.accept(w);
         w.startAll();
-        w.run(10 * S);
+        w.run(10 * SECOND_US);
         FleetCosts.ProbeCost cost = FleetCosts.probeCost(w);
         return cost.probesPerSecond() <= 1.5 && cost.seconds() < 6 && cost.uninformed() == 0;
     }
@@ -116,7 +116,7 @@
     /** What is leased is used. */
     private static boolean theWholeIsUsed(Consumer<FleetSimulation> mutant) {
         FleetSimulation w = seven(mutant);
-        w.run(6 * S);
+        w.run(6 * SECOND_US);
         return w.sum(SharedResource.NEW_SESSIONS) > 0.8;
     }
 
@@ -146,7 +146,7 @@
                 n.rate = n.number % 2 == 0 ? 0.3 : 1;
             }
         }),
-        INCARNATIONS_ARE_NOT_TOLD_APART(MutantsTest::sharesHold, w -> w.startMillis = ms -> 1000L),
+        INCARNATIONS_ARE_NOT_TOLD_APART(MutantsTest::sharesHold, w -> w.startTimeMs = ms -> 1000L),
         AGES_DO_NOT_TRAVEL(MutantsTest::agesAreTold, tampers(Envelope.ENTRY, i -> at(i, 17, 0, 0))),
         NO_ANTI_ENTROPY(MutantsTest::lateOnesHear, tampers(Envelope.DIGEST, MutantsTest::nothing)),
         NO_MEMBER_UPDATES(MutantsTest::leavesAreHeard, tampers(Envelope.MEMBER, MutantsTest::nothing)),
--- a/src/test/java/dockshed/fleet/EmptyNetwork.java
+++ b/src/test/java/dockshed/fleet/NetworkBaseline.java
@@ -6,20 +6,20 @@
 import java.util.function.UnaryOperator;
 
 /** What the simulated network costs by itself: as many datagrams and ticks as were seen, with nobody to read them. */
-final class EmptyNetwork {
-    private static final int SAMPLES = 64;
-    private static final int SAMPLE_EVERY = 101;
+final class NetworkBaseline {
+    private static final int MAX_SAMPLES = 64;
+    private static final int SAMPLE_INTERVAL = 101;
 
     private final List<byte[]> samples = new ArrayList<>();
-    private UnaryOperator<Envelope> untouched;
-    private long seen;
+    private UnaryOperator<Envelope> previousTamper;
+    private long envelopes;
     private long ticks;
 
     /** Notes what a fleet sends from now on. */
-    void watch(FleetSimulation fleet) {
-        untouched = fleet.tamper;
+    void startRecording(FleetSimulation fleet) {
+        previousTamper = fleet.tamper;
         fleet.tamper = envelope -> {
-            if (seen++ % SAMPLE_EVERY == 0 && samples.size() < SAMPLES) {
+            if (envelopes++ % SAMPLE_INTERVAL == 0 && samples.size() < MAX_SAMPLES) {
                 samples.add(envelope.write());
             }
             return envelope;
@@ -27,8 +27,8 @@
     }
 
     /** Lets datagrams pass as before, and counts ticks from now on. */
-    void endWatch(FleetSimulation fleet) {
-        fleet.tamper = untouched;
+    void stopRecording(FleetSimulation fleet) {
+        fleet.tamper = previousTamper;
         ticks = 0;
     }
 
@@ -43,8 +43,8 @@
         if (samples.isEmpty()) {
             return 0;
         }
-        long datagramsAStep = Math.max(1, datagrams * FleetSimulation.MS / Math.max(1, micros));
-        long ticksAStep = ticks * FleetSimulation.MS / Math.max(1, micros);
+        long datagramsAStep = Math.max(1, datagrams * FleetSimulation.MILLISECOND_US / Math.max(1, micros));
+        long ticksAStep = ticks * FleetSimulation.MILLISECOND_US / Math.max(1, micros);
         long steps = datagrams / datagramsAStep;
         cost.start();
         long next = 0;
@@ -52,12 +52,12 @@
             for (long i = 0; i < datagramsAStep; i++, next++) {
                 int from = (int) (next % scenario.brokers());
                 int to = (from + 1) % scenario.brokers();
-                idle.carry(from, to, samples.get((int) (next % samples.size())));
+                idle.transmit(from, to, samples.get((int) (next % samples.size())));
             }
             for (long tick = 0; tick < ticksAStep; tick++) {
-                idle.at(idle.now + FleetSimulation.MS, () -> {});
+                idle.at(idle.now + FleetSimulation.MILLISECOND_US, () -> {});
             }
-            idle.run(FleetSimulation.MS);
+            idle.run(FleetSimulation.MILLISECOND_US);
         }
         return cost.nanos();
     }
--- a/src/test/java/dockshed/fleet/ScopeSummaryStoreTest.java
+++ b/src/test/java/dockshed/fleet/ScopeSummaryStoreTest.java
@@ -74,7 +74,7 @@
         assertEquals(101, demand(NOW), "older than all that are held");
         store.offer(NOW, made(15, 1, NOW, 7), 5, LATEST);
         assertEquals(100, demand(NOW), "of 7, 100, 101");
-        assertEquals(ScopeSummaryStore.VOICES, store.size());
+        assertEquals(ScopeSummaryStore.MAX_SUMMARIES_PER_SCOPE, store.size());
     }
 
     @Test
@@ -144,12 +144,12 @@
         store.offer(NOW, made(21, 1, NOW, 1), 21, LATEST);
         assertEquals(21, store.nextToRelay(NOW, own).maker(), "in turn");
         assertEquals(12, store.nextToRelay(NOW, own).maker());
-        assertNull(store.nextToRelay(NOW + ScopeSummaryStore.MAX_RELAY_AGE + 1, own));
+        assertNull(store.nextToRelay(NOW + ScopeSummaryStore.MAX_RELAY_AGE_US + 1, own));
     }
 
     @Test
     void whatIsTooOldIsForgottenHoweverOftenItIsSentAgain() {
-        long last = NOW + ScopeSummaryStore.MAX_AGE;
+        long last = NOW + ScopeSummaryStore.MAX_AGE_US;
         store.offer(NOW, made(10, 1, NOW, 1), 1, LATEST);
         assertNotNull(store.estimate(last, other));
         for (long now = last + 1; now < last + 3 * S; now += S / 10) {
--- a/src/test/java/dockshed/fleet/ScopeSummaryTest.java
+++ b/src/test/java/dockshed/fleet/ScopeSummaryTest.java
@@ -77,10 +77,10 @@
 
     @Test
     void whatNoScopeOfThatSizeCanHaveIsImpossible() {
-        assertTrue(summary(73, 73 * LoadFigures.MAX_RATE, 0).isPossible(73));
-        assertFalse(summary(73, 74 * LoadFigures.MAX_RATE, 0).isPossible(73), "demand");
-        assertFalse(summary(74, 1, 0).isPossible(73), "brokers");
-        assertFalse(summary(0, 1, 0).isPossible(73), "its maker at least is present");
-        assertFalse(summary(5, 1, SheddingThreshold.MAX_PRIORITY + 1).isPossible(73), "proposal");
+        assertTrue(summary(73, 73 * LoadFigures.MAX_RATE, 0).isPlausible(73));
+        assertFalse(summary(73, 74 * LoadFigures.MAX_RATE, 0).isPlausible(73), "demand");
+        assertFalse(summary(74, 1, 0).isPlausible(73), "brokers");
+        assertFalse(summary(0, 1, 0).isPlausible(73), "its maker at least is present");
+        assertFalse(summary(5, 1, SheddingThreshold.MAX_PRIORITY + 1).isPlausible(73), "proposal");
     }
 }
--- a/src/test/java/dockshed/fleet/ZonedFleet.java
+++ b/src/test/java/dockshed/fleet/ZonedFleet.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import static dockshed.fleet.FleetSimulation.MS;
-import static dockshed.fleet.FleetSimulation.S;
+import static dockshed.fleet.FleetSimulation.MILLISECOND_US;
+import static dockshed.fleet.FleetSimulation.SECOND_US;
 
 import dockshed.topology.Scope;
 import dockshed.topology.Zone;
@@ -14,14 +14,14 @@
 
 /** A simulated fleet with zones, and what is measured of it; also the bench of sharing by size. */
 public final class ZonedFleet {
-    private static final long SAMPLE = 250 * MS;
+    private static final long SAMPLE_PERIOD_US = 250 * MILLISECOND_US;
     private static final int REGIONS = 2;
 
     final FleetSimulation simulation;
     final ZoneMap zones;
 
     ZonedFleet(int brokers, int zones, long seed) {
-        this(brokers, FleetSettings.DEFAULTS.withZones(evenly(brokers, zones)), seed);
+        this(brokers, FleetSettings.DEFAULTS.withZones(evenZones(brokers, zones)), seed);
     }
 
     private ZonedFleet(int brokers, FleetSettings settings, long seed) {
@@ -31,7 +31,7 @@
     }
 
     /** That many zones of as equal sizes as can be, the first half of them in one region. */
-    static List<Zone> evenly(int brokers, int zones) {
+    static List<Zone> evenZones(int brokers, int zones) {
         List<Zone> out = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
             int first = brokers * zone / zones;
@@ -44,12 +44,12 @@
 
     /** Starts all and lets them find one another. */
     ZonedFleet start() {
-        return start(6 * S);
+        return start(6 * SECOND_US);
     }
 
     ZonedFleet start(long micros) {
         simulation.startAll();
-        simulation.run(micros, SAMPLE, this::load);
+        simulation.run(micros, SAMPLE_PERIOD_US, this::offerLoad);
         return this;
     }
 
@@ -57,19 +57,19 @@
         return zones.scopes().get(number);
     }
 
-    void load() {
-        load(4, 1);
+    void offerLoad() {
+        offerLoad(4, 1);
     }
 
     /** Every broker is asked for that much in the quarter of a second since the last call. */
-    void load(int accepted, int rejected) {
+    void offerLoad(int accepted, int rejected) {
         int[] requests = new int[SheddingThreshold.PRIORITY_STEPS];
         for (int step : new int[] {0, 1, 2, 4, 5, 6}) {
             requests[step] = accepted + rejected;
         }
         for (FleetSimulation.Node node : simulation.nodes) {
-            if (node.up() && node.pausedUntil < 0) {
-                node.event(new LocalEvent.LoadSample(requests, 6 * accepted, 6 * rejected, 0, SAMPLE));
+            if (node.isUp() && node.pausedUntil < 0) {
+                node.handle(new LocalEvent.LoadSample(requests, 6 * accepted, 6 * rejected, 0, SAMPLE_PERIOD_US));
             }
         }
     }
@@ -78,12 +78,12 @@
     int falseDeaths() {
         int count = 0;
         for (FleetSimulation.Node node : simulation.nodes) {
-            if (node.up()) {
+            if (node.isUp()) {
                 count += (int) node.node
                         .membership()
                         .scope()
                         .brokers()
-                        .filter(other -> simulation.nodes[other].up()
+                        .filter(other -> simulation.nodes[other].isUp()
                                 && node.node.membership().member(other).state == Member.State.DEAD)
                         .count();
             }
@@ -120,10 +120,10 @@
         int[] unknown = new int[2];
         simulation.sentBy.clear();
         Arrays.fill(simulation.receivedBy, 0);
-        simulation.run(micros, SAMPLE, () -> {
-            load();
+        simulation.run(micros, SAMPLE_PERIOD_US, () -> {
+            offerLoad();
             for (FleetSimulation.Node node : simulation.nodes) {
-                if (node.up()) {
+                if (node.isUp()) {
                     unknown[0] += ages(node, own, other);
                 }
             }
@@ -148,7 +148,7 @@
                 .membership()
                 .scope()
                 .brokers()
-                .filter(peer -> peer != node.number && simulation.nodes[peer].up())
+                .filter(peer -> peer != node.number && simulation.nodes[peer].isUp())
                 .toArray();
         for (int peer : of) {
             VersionedEntry load = node.node.entries().get(peer, VersionedEntry.LOAD, 0);
@@ -178,7 +178,7 @@
         fleet.simulation.loss = loss;
         fleet.start();
         long began = System.nanoTime();
-        Figures figures = fleet.measure(seconds * S);
+        Figures figures = fleet.measure(seconds * SECOND_US);
         double cpu = (System.nanoTime() - began) / 1e9 / seconds / brokers;
         System.out.printf(
                 Locale.ROOT,
--- a/src/test/java/dockshed/fleet/ZonedFleetTest.java
+++ b/src/test/java/dockshed/fleet/ZonedFleetTest.java
@@ -1,7 +1,7 @@
 package dockshed.fleet;
 
-import static dockshed.fleet.FleetSimulation.MS;
-import static dockshed.fleet.FleetSimulation.S;
+import static dockshed.fleet.FleetSimulation.MILLISECOND_US;
+import static dockshed.fleet.FleetSimulation.SECOND_US;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,8 +16,8 @@
 
 /** Fleets with zones on the simulated network, with faults. */
 class ZonedFleetTest {
-    private static final long OWN_AGE = 2 * S;
-    private static final long OTHER_AGE = 5 * S;
+    private static final long OWN_AGE = 2 * SECOND_US;
+    private static final long OTHER_AGE = 5 * SECOND_US;
     private static final int BYTES = 28_000;
 
     private static ScopeStatus status(FleetSimulation.Node node, Scope of) {
@@ -33,8 +33,8 @@
 
     /** Runs with load and looks four times a second; nobody that is up may be called dead. */
     private static void run(ZonedFleet fleet, long micros, Runnable look) {
-        fleet.simulation.run(micros, 250 * MS, () -> {
-            fleet.load();
+        fleet.simulation.run(micros, 250 * MILLISECOND_US, () -> {
+            fleet.offerLoad();
             look.run();
             assertEquals(0, fleet.falseDeaths(), "false deaths");
         });
@@ -49,7 +49,7 @@
         ZonedFleet fleet = new ZonedFleet(510, 7, 11);
         fleet.simulation.loss = 0.01;
         fleet.start();
-        ZonedFleet.Figures figures = fleet.measure(1500 * MS);
+        ZonedFleet.Figures figures = fleet.measure(1500 * MILLISECOND_US);
         assertEquals(0, figures.falseDeaths(), figures.toString());
         assertEquals(0, figures.unknown(), figures.toString());
         assertTrue(figures.ownAges().getValueAtPercentile(99.9) <= OWN_AGE, figures.toString());
@@ -62,7 +62,7 @@
         ZonedFleet fleet = new ZonedFleet(96, 3, 12);
         fleet.simulation.loss = 0.2;
         fleet.start();
-        ZonedFleet.Figures figures = fleet.measure(20 * S);
+        ZonedFleet.Figures figures = fleet.measure(20 * SECOND_US);
         assertEquals(0, figures.falseDeaths(), figures.toString());
         assertTrue(figures.ownAges().getValueAtPercentile(99) <= OWN_AGE, figures.toString());
         assertTrue(figures.otherAges().getValueAtPercentile(99) <= OTHER_AGE, figures.toString());
@@ -72,8 +72,9 @@
     @Test
     void whatABrokerSendsDoesNotGrowWithTheFleet() {
         // The same zones, and four times as many of them.
-        ZonedFleet.Figures few = new ZonedFleet(48, 2, 13).start(3 * S).measure(2 * S);
-        ZonedFleet.Figures many = new ZonedFleet(192, 8, 13).start(3 * S).measure(2 * S);
+        ZonedFleet.Figures few = new ZonedFleet(48, 2, 13).start(3 * SECOND_US).measure(2 * SECOND_US);
+        ZonedFleet.Figures many =
+                new ZonedFleet(192, 8, 13).start(3 * SECOND_US).measure(2 * SECOND_US);
         assertTrue(many.bytes() < 1.15 * few.bytes(), few + "\n" + many);
     }
 
@@ -82,7 +83,7 @@
         ZonedFleet fleet = new ZonedFleet(24, 3, 14).start();
         double before = fleet.simulation.nodes[0].snapshot().requestsPerSecond();
         fleet.scope(1).brokers().forEach(broker -> fleet.simulation.nodes[broker].kill());
-        run(fleet, ScopeSummaryStore.MAX_AGE + S);
+        run(fleet, ScopeSummaryStore.MAX_AGE_US + SECOND_US);
         for (int by : new int[] {0, 7, 16, 23}) {
             assertFalse(known(fleet, by, 1), "known at " + by);
             assertTrue(known(fleet, by, by < 8 ? 2 : 0));
@@ -90,7 +91,7 @@
         double without = fleet.simulation.nodes[0].snapshot().requestsPerSecond();
         assertEquals(2 * before / 3, without, 0.1 * before);
         fleet.scope(1).brokers().forEach(broker -> fleet.simulation.nodes[broker].start());
-        run(fleet, 6 * S);
+        run(fleet, 6 * SECOND_US);
         for (int by : new int[] {0, 7, 16, 23}) {
             assertEquals(8, status(fleet.simulation.nodes[by], fleet.scope(1)).present(), "as " + by + " sees it");
         }
@@ -101,13 +102,13 @@
     void regionsThatAreCutApartGoOnAndFindOneAnotherAgain() {
         ZonedFleet fleet = new ZonedFleet(24, 4, 15).start();
         fleet.simulation.partition(12, true);
-        run(fleet, 20 * S, () -> assertTrue(fleet.simulation.sum(SharedResource.NEW_SESSIONS) <= 1 + 1e-9));
+        run(fleet, 20 * SECOND_US, () -> assertTrue(fleet.simulation.sum(SharedResource.NEW_SESSIONS) <= 1 + 1e-9));
         assertTrue(known(fleet, 0, 1));
         assertFalse(known(fleet, 0, 2));
         assertFalse(known(fleet, 20, 0));
         assertTrue(fleet.simulation.sum(SharedResource.NEW_SESSIONS) > 0.85, "each scope goes on leasing its part");
         fleet.simulation.partition(12, false);
-        run(fleet, 4 * S);
+        run(fleet, 4 * SECOND_US);
         for (FleetSimulation.Node node : fleet.simulation.nodes) {
             assertTrue(node.snapshot().otherScopes().stream().allMatch(ScopeStatus::isKnown), "at " + node.number);
         }
@@ -117,9 +118,9 @@
     void aZoneThatIsCutOneWayIsHeardOfByAThird() {
         ZonedFleet fleet = new ZonedFleet(24, 3, 16).start();
         fleet.simulation.block(fleet.scope(0), fleet.scope(1), true);
-        run(fleet, ScopeSummaryStore.MAX_AGE);
+        run(fleet, ScopeSummaryStore.MAX_AGE_US);
         int[] looks = new int[2];
-        run(fleet, 30 * S, () -> {
+        run(fleet, 30 * SECOND_US, () -> {
             for (int by = 8; by < 16; by++) {
                 looks[known(fleet, by, 0) ? 0 : 1]++;
                 assertTrue(known(fleet, by, 2) && known(fleet, by - 8, 1));
@@ -132,19 +133,19 @@
     void aBrokerThatStandsStillCallsNobodyDeadAndIsTakenBack() {
         ZonedFleet fleet = new ZonedFleet(24, 3, 17).start();
         FleetSimulation.Node node = fleet.simulation.nodes[3];
-        node.pause(5 * S);
-        fleet.simulation.run(5 * S + 1);
+        node.pause(5 * SECOND_US);
+        fleet.simulation.run(5 * SECOND_US + 1);
         FleetSnapshot first = node.snapshot();
         assertFalse(first.steady(), "acts on what it knew");
         assertEquals(0, first.sheddingThreshold());
-        fleet.simulation.run(6 * S, 50 * MS, () -> {
-            fleet.load();
+        fleet.simulation.run(6 * SECOND_US, 50 * MILLISECOND_US, () -> {
+            fleet.offerLoad();
             for (int peer = 0; peer < 8; peer++) {
                 assertTrue(node.node.membership().member(peer).state != Member.State.DEAD, "calls " + peer + " dead");
             }
         });
         assertTrue(node.snapshot().steady());
-        run(fleet, 4 * S);
+        run(fleet, 4 * SECOND_US);
         assertTrue(fleet.simulation.nodes[0].snapshot().presentBrokers().contains(3));
         assertTrue(node.snapshot().otherScopes().stream().allMatch(ScopeStatus::isKnown));
     }
@@ -155,18 +156,18 @@
         FleetSimulation w = fleet.simulation;
         int liar = 12;
         w.nodes[liar].kill();
-        ByzantinePeer peer = new ByzantinePeer(liar, 30, w.nodes[liar].clock() + 5 * S, 3);
+        ByzantinePeer peer = new ByzantinePeer(liar, 30, w.nodes[liar].clock() + 5 * SECOND_US, 3);
         double sound = w.nodes[0].snapshot().requestsPerSecond();
         long[] step = {0};
         w.sentBy.clear();
-        w.run(20 * S, 10 * MS, () -> {
+        w.run(20 * SECOND_US, 10 * MILLISECOND_US, () -> {
             for (int to = 0; to < 30; to++) {
                 if (to != liar) {
-                    w.carry(liar, to, peer.next(w.nodes[liar].clock()));
+                    w.transmit(liar, to, peer.nextDatagram(w.nodes[liar].clock()));
                 }
             }
             if (step[0]++ % 25 == 0) {
-                fleet.load();
+                fleet.offerLoad();
                 assertEquals(0, fleet.falseDeaths());
                 for (int by : new int[] {0, 9, 20, 29}) { // of the other zones
                     FleetSnapshot snapshot = w.nodes[by].snapshot();
@@ -199,11 +200,11 @@
         SplittableRandom random = new SplittableRandom(7);
         GossipNode node = w.nodes[0].node;
         for (int i = 0; i < 1500; i++) {
-            w.run(20 * MS);
+            w.run(20 * MILLISECOND_US);
             long now = w.nodes[0].clock();
-            byte[] datagram = (i % 3 == 0 ? inside : i % 3 == 1 ? outside : nobody).next(now);
+            byte[] datagram = (i % 3 == 0 ? inside : i % 3 == 1 ? outside : nobody).nextDatagram(now);
             byte[] mangled = mangle(datagram, random);
-            node.receive(now, mangled, (to, answer) -> w.carry(0, to, answer)); // which checks its length
+            node.receive(now, mangled, (to, answer) -> w.transmit(0, to, answer)); // which checks its length
         }
         assertEquals(0, fleet.falseDeaths());
         assertTrue(w.nodes[2].snapshot().presentBrokers().containsAll(List.of(0, 2, 3)));
@@ -237,7 +238,7 @@
         FleetSettings zoned = fleet.simulation.settings;
         fleet.simulation.settingsOf = number -> number == 4 ? FleetSettings.DEFAULTS : zoned;
         fleet.start();
-        run(fleet, 60 * S);
+        run(fleet, 60 * SECOND_US);
         for (int by = 0; by < 6; by++) {
             assertTrue(fleet.simulation.nodes[by].snapshot().presentBrokers().contains(4), "at " + by);
         }
@@ -250,15 +251,15 @@
     void allZonesShedAlike() {
         FleetSimulation w = new ZonedFleet(24, 3, 21).simulation;
         w.startAll();
-        w.run(6 * S);
+        w.run(6 * SECOND_US);
         int[] requests = new int[SheddingThreshold.PRIORITY_STEPS];
         requests[0] = 28;
-        w.run(30 * S, 500 * MS, () -> {
+        w.run(30 * SECOND_US, 500 * MILLISECOND_US, () -> {
             for (FleetSimulation.Node n : w.nodes) {
                 double over = 1 - n.snapshot().sheddingThreshold() / (double) (1 << SheddingThreshold.HASH_BITS);
                 int given = (int) Math.round(28 * Math.max(0, Math.min(1, over)));
                 int room = Math.min(given, 8 + 3 * (n.number / 8)); // each zone has room for another number
-                n.event(new LocalEvent.LoadSample(requests, room, given - room, 0, 500_000));
+                n.handle(new LocalEvent.LoadSample(requests, room, given - room, 0, 500_000));
             }
         });
         List<Integer> thresholds = Arrays.stream(w.nodes)
--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -250,7 +250,7 @@
     private void lie(ByzantinePeer byzantine) {
         at(now + 10 * MILLISECOND_US, () -> lie(byzantine));
         for (SimulatedBroker s : simulatedBrokers) {
-            byte[] made = byzantine.next(now);
+            byte[] made = byzantine.nextDatagram(now);
             if (s.me != script.byzantineBroker && s.node != null) {
                 s.node.receive(now, made, s::carry);
             }
@@ -627,7 +627,7 @@
                 node.tick(now, this::carry);
                 snapshot = node.snapshot(now);
                 at(
-                        Math.min(now + (script.instantExchange ? 20 : 100) * MILLISECOND_US, node.next(now)),
+                        Math.min(now + (script.instantExchange ? 20 : 100) * MILLISECOND_US, node.nextTickAt(now)),
                         () -> beat(of));
             }
         }
--- a/src/test/java/dockshed/rig/FleetRig.java
+++ b/src/test/java/dockshed/rig/FleetRig.java
@@ -118,7 +118,8 @@
                             () -> {
                                 for (int to = 0; to < brokers.size(); to++) {
                                     if (to != liar) {
-                                        network.forward(liar, to, byzantine.next(System.currentTimeMillis() * 1000));
+                                        network.forward(
+                                                liar, to, byzantine.nextDatagram(System.currentTimeMillis() * 1000));
                                     }
                                 }
                             },
--- a/src/test/java/dockshed/rollout/MemoryStorage.java
+++ b/src/test/java/dockshed/rollout/MemoryStorage.java
@@ -9,7 +9,7 @@
     boolean full;
     boolean torn;
     /** Whether what was in force last could not be saved: the next life cannot know of it. */
-    boolean behind;
+    boolean lastSaveLost;
 
     int saves;
     /** Runs after a voter's record is durable and before the vote is answered: a place to be killed at. */
@@ -41,7 +41,7 @@
 
     @Override
     public void saveInForce(Configuration configuration) throws StorageException {
-        behind = full;
+        lastSaveLost = full;
         if (full) {
             throw new StorageException("in_force: no space left", null);
         }
--- a/src/test/java/dockshed/rollout/RolloutCodecTest.java
+++ b/src/test/java/dockshed/rollout/RolloutCodecTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 class RolloutCodecTest {
-    private static final ConfigurationId ID = new Configuration(ConfigurationId.MOST_VERSION, new byte[] {1}).id();
+    private static final ConfigurationId ID = new Configuration(ConfigurationId.MAX_VERSION, new byte[] {1}).id();
 
     private static List<RolloutMessage> messages() {
         BitSet missing = new BitSet();
         missing.set(0);
-        missing.set(RolloutCodec.MOST_CHUNKS - 1);
+        missing.set(RolloutCodec.MAX_CHUNKS - 1);
         return List.of(
                 new RolloutMessage.ReportRequest(-7, 12),
                 new RolloutMessage.Report(1, VoterPhase.READY, true, 5, List.of()),
@@ -30,7 +30,7 @@
                         VoterPhase.VOTING,
                         false,
                         ID.version(),
-                        Collections.nCopies(RolloutMessage.Report.MOST_KNOWN, ID)),
+                        Collections.nCopies(RolloutMessage.Report.MAX_KNOWN, ID)),
                 new RolloutMessage.Proposal(3, 0, ID),
                 new RolloutMessage.ChunkRequest(4, 9, ID.digest().prefix(), missing),
                 new RolloutMessage.Unavailable(5, 9, true));
@@ -40,16 +40,16 @@
     void whatIsWrittenIsReadBackAndNoBodyIsTooLong() throws Exception {
         for (RolloutMessage m : messages()) {
             byte[] body = RolloutCodec.write(m);
-            assertTrue(body.length <= RolloutNode.MOST_BODY);
+            assertTrue(body.length <= RolloutNode.MAX_BODY_BYTES);
             assertEquals(m, RolloutCodec.read(body));
         }
         byte[] bytes = new byte[RolloutCodec.CHUNK_BYTES];
         Arrays.fill(bytes, (byte) 3);
-        byte[] body = RolloutCodec.write(new RolloutMessage.Chunk(6, 9, Configuration.MOST_BYTES, 1, bytes));
-        assertTrue(body.length <= RolloutNode.MOST_BODY);
+        byte[] body = RolloutCodec.write(new RolloutMessage.Chunk(6, 9, Configuration.MAX_BYTES, 1, bytes));
+        assertTrue(body.length <= RolloutNode.MAX_BODY_BYTES);
         assertArrayEquals(bytes, ((RolloutMessage.Chunk) RolloutCodec.read(body)).bytes());
-        Announcement a = new Announcement(ConfigurationId.MOST_VERSION, -1, 7, true);
-        assertTrue(RolloutCodec.write(a).length <= RolloutNode.MOST_ANNOUNCEMENT);
+        Announcement a = new Announcement(ConfigurationId.MAX_VERSION, -1, 7, true);
+        assertTrue(RolloutCodec.write(a).length <= RolloutNode.MAX_ANNOUNCEMENT_BYTES);
         assertEquals(a, RolloutCodec.readAnnouncement(RolloutCodec.write(a)));
     }
 
@@ -104,7 +104,7 @@
             int from = random.nextInt(-1, 7);
             node.receive(now, from, Arrays.copyOf(body, random.nextInt(260)));
             node.receive(now, from, sound.get(random.nextInt(sound.size()))); // at a rate that is not answered
-            node.heardAnnouncement(now, from, Arrays.copyOf(body, random.nextInt(26)));
+            node.receiveAnnouncement(now, from, Arrays.copyOf(body, random.nextInt(26)));
             now += 500;
             node.tick(now);
         }
--- a/src/test/java/dockshed/rollout/RolloutMutantsTest.java
+++ b/src/test/java/dockshed/rollout/RolloutMutantsTest.java
@@ -36,7 +36,7 @@
     @TempDir
     Path dir;
 
-    record Change(String file, String sound, String spoilt) {}
+    record Change(String file, String original, String replacement) {}
 
     record Mutant(String name, List<Change> changes) {
         @Override
@@ -58,9 +58,9 @@
                         "an older version over a newer one",
                         List.of(
                                 new Change("Learner", "configuration.version() <= version()", "false"),
-                                new Change("Learner", "configuration.version() > settled()", "true"),
-                                new Change("Learner", "chosenAbove(settled())", "chosenAbove(0)"),
-                                new Change("Learner", "(number, settled())", "(number, 0)"))),
+                                new Change("Learner", "configuration.version() > highestHandled()", "true"),
+                                new Change("Learner", "chosenAbove(highestHandled())", "chosenAbove(0)"),
+                                new Change("Learner", "(number, highestHandled())", "(number, 0)"))),
                 mutant(
                         "a vote is answered and not made durable",
                         "Voter",
@@ -79,7 +79,7 @@
                 mutant(
                         "a recovering voter does not wait",
                         "Voter",
-                        "(VoterRound.LONGEST * (1 + 2 * VoterRound.DRIFT))",
+                        "(VoterRound.DURATION_US * (1 + 2 * VoterRound.MAX_CLOCK_DRIFT))",
                         "0"),
                 mutant(
                         "a recovered voter votes as if it had heard nothing",
@@ -91,9 +91,9 @@
     @ParameterizedTest
     @MethodSource("mutants")
     void eachIsFound(Mutant mutant) throws Exception {
-        Method all = compiled(mutant.changes());
+        Method all = compileMutant(mutant.changes());
         for (long seed = 0; seed < SEEDS; seed++) {
-            if (played(all, seed).isPresent()) {
+            if (runScenarios(all, seed).isPresent()) {
                 return;
             }
         }
@@ -102,27 +102,27 @@
 
     @Test
     void theSoundProgramPassesTheSameWay() throws Exception {
-        Method all = compiled(List.of());
+        Method all = compileMutant(List.of());
         for (long seed = 0; seed < 3; seed++) {
-            assertEquals(Optional.empty(), played(all, seed));
+            assertEquals(Optional.empty(), runScenarios(all, seed));
         }
     }
 
-    private static Optional<?> played(Method all, long seed) throws ReflectiveOperationException {
+    private static Optional<?> runScenarios(Method all, long seed) throws ReflectiveOperationException {
         return (Optional<?>) all.invoke(null, seed);
     }
 
     /** The scenarios, over a program with some texts replaced. */
-    private Method compiled(List<Change> changes) throws IOException, ReflectiveOperationException {
+    private Method compileMutant(List<Change> changes) throws IOException, ReflectiveOperationException {
         List<String> sources = new ArrayList<>();
         try (Stream<Path> files = Files.list(MAIN)) {
             for (Path file :
                     files.filter(f -> f.toString().endsWith(".java")).sorted().toList()) {
-                sources.add(copied(file, changes));
+                sources.add(copySource(file, changes));
             }
         }
         for (String file : SIMULATION) {
-            sources.add(copied(TEST.resolve(file), List.of()));
+            sources.add(copySource(TEST.resolve(file), List.of()));
         }
         Path classes = Files.createDirectories(dir.resolve("classes"));
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
@@ -143,12 +143,12 @@
         return loader.loadClass("dockshed.rollout.RolloutScenarios").getMethod("all", long.class);
     }
 
-    private String copied(Path file, List<Change> changes) throws IOException {
+    private String copySource(Path file, List<Change> changes) throws IOException {
         String text = Files.readString(file);
         for (Change change : changes) {
             if (file.getFileName().toString().equals(change.file() + ".java")) {
-                assertTrue(text.contains(change.sound()), change.file() + " has no " + change.sound());
-                text = text.replace(change.sound(), change.spoilt());
+                assertTrue(text.contains(change.original()), change.file() + " has no " + change.original());
+                text = text.replace(change.original(), change.replacement());
             }
         }
         Path copy = dir.resolve(file.getFileName().toString());
--- a/src/test/java/dockshed/rollout/RolloutScenarios.java
+++ b/src/test/java/dockshed/rollout/RolloutScenarios.java
@@ -1,7 +1,7 @@
 package dockshed.rollout;
 
-import static dockshed.rollout.RolloutSimulation.MS;
-import static dockshed.rollout.RolloutSimulation.S;
+import static dockshed.rollout.RolloutSimulation.MILLISECOND_US;
+import static dockshed.rollout.RolloutSimulation.SECOND_US;
 import static dockshed.rollout.RolloutSimulation.document;
 
 import dockshed.rollout.RolloutSimulation.Broker;
@@ -22,12 +22,12 @@
 
     /** Whatever a spoilt program throws counts as found. */
     private interface Scenario {
-        Optional<String> play();
+        Optional<String> run();
     }
 
-    private static Optional<String> judged(Scenario scenario) {
+    private static Optional<String> failureOf(Scenario scenario) {
         try {
-            return scenario.play();
+            return scenario.run();
         } catch (AssertionError | RuntimeException e) {
             return Optional.of(e.toString());
         }
@@ -35,14 +35,14 @@
 
     /** All of them, for one seed. */
     public static Optional<String> all(long seed) {
-        return judged(() -> twoProposers(seed))
-                .or(() -> judged(() -> killedBeforeTheAnswer(seed)))
-                .or(() -> judged(() -> votersRestart(seed, false)))
-                .or(() -> judged(() -> votersRestart(seed, true)))
-                .or(() -> judged(() -> emptyDiskWhileVotesAreCounted(seed)))
-                .or(() -> judged(() -> liarServes(seed)))
-                .or(() -> judged(() -> lateAnswers(seed)))
-                .or(() -> judged(() -> storm(seed)));
+        return failureOf(() -> twoProposers(seed))
+                .or(() -> failureOf(() -> killedBeforeTheAnswer(seed)))
+                .or(() -> failureOf(() -> votersRestart(seed, false)))
+                .or(() -> failureOf(() -> votersRestart(seed, true)))
+                .or(() -> failureOf(() -> emptyDiskWhileVotesAreCounted(seed)))
+                .or(() -> failureOf(() -> liarServes(seed)))
+                .or(() -> failureOf(() -> lateAnswers(seed)))
+                .or(() -> failureOf(() -> randomFaults(seed)));
     }
 
     private static RolloutSimulation fleet(long seed) {
@@ -55,8 +55,8 @@
         w.loss = 0.2;
         w.propose(0, document(1, "names 127.0.0.1:1", 100));
         w.propose(1, document(1, "names 127.0.0.1:2", 100));
-        w.run(30 * S);
-        return w.violation().or(() -> live(w, 2));
+        w.run(30 * SECOND_US);
+        return w.violation().or(() -> checkProgress(w, 2));
     }
 
     /** A voter is killed when its vote is durable and not answered yet; back, it is asked for another content. */
@@ -70,44 +70,44 @@
             };
         }
         // 0 hears only 2, 3 and 4, which are killed as they vote; their answers are lost, their votes are not.
-        w.cut = (a, b) -> a == 1 && b == 0 || a == 0 && b == 1;
+        w.blocked = (a, b) -> a == 1 && b == 0 || a == 0 && b == 1;
         w.propose(0, document(1, "names 127.0.0.1:1", 100));
-        w.run(3 * S);
+        w.run(3 * SECOND_US);
         for (int v : new int[] {2, 3, 4}) {
             if (w.brokers[v].node == null) {
                 w.brokers[v].start();
             }
         }
-        w.run(S);
+        w.run(SECOND_US);
         w.propose(1, document(1, "names 127.0.0.1:2", 100));
-        w.run(10 * S);
-        w.cut = (a, b) -> false;
-        w.run(30 * S);
-        return w.violation().or(() -> live(w, 2));
+        w.run(10 * SECOND_US);
+        w.blocked = (a, b) -> false;
+        w.run(30 * SECOND_US);
+        return w.violation().or(() -> checkProgress(w, 2));
     }
 
     /** A version comes in force at its proposer alone; the others that voted for it restart, and are asked for another. */
     static Optional<String> votersRestart(long seed, boolean full) {
         RolloutSimulation w = fleet(seed);
-        w.cut = (a, b) -> outside(a) || outside(b);
+        w.blocked = (a, b) -> outside(a) || outside(b);
         w.brokers[2].storage.full = full;
         w.brokers[3].storage.full = full;
         w.propose(0, document(1, "names 127.0.0.1:1", 100));
         for (int ms = 0; ms < 3000 && w.brokers[0].version() == 0; ms++) {
-            w.run(MS);
+            w.run(MILLISECOND_US);
         }
-        w.cut = (a, b) -> Math.min(a, b) == 0;
+        w.blocked = (a, b) -> Math.min(a, b) == 0;
         for (int v : new int[] {2, 3}) {
             w.brokers[v].kill();
             w.brokers[v].storage.full = false;
             w.brokers[v].start();
         }
-        w.run(S);
+        w.run(SECOND_US);
         w.propose(1, document(1, "names 127.0.0.1:2", 100));
-        w.run(30 * S);
-        w.cut = (a, b) -> false;
-        w.run(10 * S);
-        return w.violation().or(() -> live(w, 2));
+        w.run(30 * SECOND_US);
+        w.blocked = (a, b) -> false;
+        w.run(10 * SECOND_US);
+        return w.violation().or(() -> checkProgress(w, 2));
     }
 
     /** Whether a broker is none of those that decide at first. */
@@ -118,30 +118,30 @@
     /** A voter's vote is counted when it loses its disk; another proposer needs it at once, before the count is over. */
     static Optional<String> emptyDiskWhileVotesAreCounted(long seed) {
         RolloutSimulation w = fleet(seed);
-        w.most = MS;
+        w.maxDelayUs = MILLISECOND_US;
         // 0 and 2 vote for the first content. The others hear of it, and are cut off from 0 before they have fetched
         // it.
-        w.brokers[0].storage.afterSave = () -> w.cut = (a, b) -> Math.min(a, b) == 0 && Math.max(a, b) != 2;
+        w.brokers[0].storage.afterSave = () -> w.blocked = (a, b) -> Math.min(a, b) == 0 && Math.max(a, b) != 2;
         w.propose(0, document(1, "names 127.0.0.1:1", 100));
-        w.run(50 * MS);
+        w.run(50 * MILLISECOND_US);
         w.brokers[0].storage.afterSave = () -> {};
         Broker forgetful = w.brokers[2];
         forgetful.kill();
         forgetful.loseDisk();
         forgetful.start();
         // 4 may answer 2, and nobody else; 0 hears nobody.
-        w.cut = (a, b) -> Math.min(a, b) == 0 || Math.max(a, b) == 4 && Math.min(a, b) != 2;
-        w.run(100 * MS);
-        w.cut = (a, b) -> Math.min(a, b) == 0 || Math.max(a, b) == 4 || Math.min(a, b) == 4;
-        w.run(450 * MS);
+        w.blocked = (a, b) -> Math.min(a, b) == 0 || Math.max(a, b) == 4 && Math.min(a, b) != 2;
+        w.run(100 * MILLISECOND_US);
+        w.blocked = (a, b) -> Math.min(a, b) == 0 || Math.max(a, b) == 4 || Math.min(a, b) == 4;
+        w.run(450 * MILLISECOND_US);
         w.propose(1, document(1, "names 127.0.0.1:2", 100));
-        w.run(500 * MS);
+        w.run(500 * MILLISECOND_US);
         // Now 4, which has not voted, reaches 0 alone, while 0 still counts what 2 said at first.
-        w.cut = (a, b) -> !(Math.min(a, b) == 0 && Math.max(a, b) == 4) && (a == 0 || b == 0 || a == 4 || b == 4);
-        w.run(20 * S);
-        w.cut = (a, b) -> false;
-        w.run(30 * S);
-        return w.violation().or(() -> live(w, 2));
+        w.blocked = (a, b) -> !(Math.min(a, b) == 0 && Math.max(a, b) == 4) && (a == 0 || b == 0 || a == 4 || b == 4);
+        w.run(20 * SECOND_US);
+        w.blocked = (a, b) -> false;
+        w.run(30 * SECOND_US);
+        return w.violation().or(() -> checkProgress(w, 2));
     }
 
     /** One broker announces everything and serves made-up chunks. */
@@ -149,27 +149,27 @@
         RolloutSimulation w = fleet(seed);
         w.brokers[LIAR].kill();
         w.liar = LIAR;
-        w.lieEvery(20 * MS);
+        w.announceLies(20 * MILLISECOND_US);
         w.propose(0, document(1, "names 127.0.0.1:1", 1500));
-        w.run(20 * S);
-        return w.violation().or(() -> live(w, 2));
+        w.run(20 * SECOND_US);
+        return w.violation().or(() -> checkProgress(w, 2));
     }
 
     /** A broker is cut off and hears of versions late and out of order. */
     static Optional<String> lateAnswers(long seed) {
         RolloutSimulation w = fleet(seed);
-        w.most = 2 * S; // datagrams overtake one another by seconds
-        w.twice = 0.5;
+        w.maxDelayUs = 2 * SECOND_US; // datagrams overtake one another by seconds
+        w.duplication = 0.5;
         for (int version = 1; version <= 6; version++) {
             w.propose(version % 5, document(version, "names 127.0.0.1:" + version, 500));
-            w.run(6 * S);
+            w.run(6 * SECOND_US);
         }
-        w.most = 5 * MS;
-        return w.violation().or(() -> live(w, 7));
+        w.maxDelayUs = 5 * MILLISECOND_US;
+        return w.violation().or(() -> checkProgress(w, 7));
     }
 
     /** Random faults and proposals; then all is healed, and a change has to go through. */
-    static Optional<String> storm(long seed) {
+    static Optional<String> randomFaults(long seed) {
         RolloutSimulation w = fleet(seed);
         SplittableRandom random = new SplittableRandom(seed ^ 0x5702L);
         int text = 0;
@@ -184,22 +184,22 @@
                 case 8 -> {
                     long word = random.nextLong();
                     boolean bothWays = random.nextBoolean();
-                    w.cut = (x, y) -> cutBy(word, x, y) || bothWays && cutBy(word, y, x);
+                    w.blocked = (x, y) -> cutBy(word, x, y) || bothWays && cutBy(word, y, x);
                 }
-                case 9 -> w.cut = (x, y) -> false;
+                case 9 -> w.blocked = (x, y) -> false;
                 default -> {
                     if (b.node != null) {
-                        b.still(random.nextLong(4 * S));
+                        b.pause(random.nextLong(4 * SECOND_US));
                     }
                 }
             }
             w.loss = random.nextInt(3) * 0.15;
-            w.twice = random.nextInt(2) * 0.3;
-            w.run(random.nextLong(1500 * MS));
+            w.duplication = random.nextInt(2) * 0.3;
+            w.run(random.nextLong(1500 * MILLISECOND_US));
             startSome(w, random);
         }
         heal(w);
-        return w.violation().or(() -> live(w, 1));
+        return w.violation().or(() -> checkProgress(w, 1));
     }
 
     private static boolean cutBy(long word, int from, int to) {
@@ -211,7 +211,7 @@
         int count = 1 + random.nextInt(2);
         for (int i = 0; i < count; i++) {
             Broker b = w.brokers[random.nextInt(VOTERS.size())];
-            if (b.node != null && b.stillUntil < 0) {
+            if (b.node != null && b.pausedUntil < 0) {
                 long version = Math.max(1, highest + random.nextInt(3));
                 w.propose(b.number, document(version, "names 10.0.0." + i + ":" + text, 300));
             }
@@ -252,9 +252,9 @@
     }
 
     private static void heal(RolloutSimulation w) {
-        w.cut = (x, y) -> false;
+        w.blocked = (x, y) -> false;
         w.loss = 0;
-        w.twice = 0;
+        w.duplication = 0;
         for (Broker b : w.brokers) {
             b.storage.full = false;
             b.storage.afterSave = () -> {};
@@ -262,7 +262,7 @@
                 b.start();
             }
         }
-        w.run(30 * S);
+        w.run(30 * SECOND_US);
     }
 
     private static long highest(RolloutSimulation w) {
@@ -274,26 +274,26 @@
     }
 
     /** With all healed a change goes through: the next number, or the one that the refusal names. */
-    private static Optional<String> live(RolloutSimulation w, long first) {
+    private static Optional<String> checkProgress(RolloutSimulation w, long first) {
         long version = first;
         for (int attempt = 0; attempt < 6; attempt++) {
             Configuration c = document(version, "names 127.0.0.1:9 # " + attempt, 200);
             w.propose(0, c);
-            w.run(25 * S);
+            w.run(25 * SECOND_US);
             ProposalOutcome outcome = w.outcome(c.id());
             if (outcome instanceof ProposalOutcome.Chosen) {
                 Optional<String> broken = w.violation();
-                return broken.isPresent() || w.liar >= 0 || w.everywhere(version)
-                        ? broken.or(() -> heldUp(w, c))
+                return broken.isPresent() || w.liar >= 0 || w.isInForceEverywhere(version)
+                        ? broken.or(() -> checkInForce(w, c))
                         : Optional.of("version " + version + " is chosen and not in force everywhere");
             }
             version = next(outcome, version);
         }
         return Optional.of(
-                "no change goes through: " + w.outcome(document(version, "", 0).id()) + " " + w.ended);
+                "no change goes through: " + w.outcome(document(version, "", 0).id()) + " " + w.endedProposals);
     }
 
-    private static Optional<String> heldUp(RolloutSimulation w, Configuration c) {
+    private static Optional<String> checkInForce(RolloutSimulation w, Configuration c) {
         for (Broker b : w.brokers) {
             if (b.node != null && b.number != w.liar && b.version() < c.version()) {
                 return Optional.of("version " + c.version() + " is not in force at " + b.number);
@@ -303,9 +303,9 @@
     }
 
     private static long next(ProposalOutcome outcome, long version) {
-        if (outcome instanceof ProposalOutcome.NotNext n) {
-            return n.expected();
+        if (outcome instanceof ProposalOutcome.NotNextVersion n) {
+            return n.expectedVersion();
         }
-        return outcome instanceof ProposalOutcome.Contested c ? c.next() : version + 1;
+        return outcome instanceof ProposalOutcome.SplitVote c ? c.nextVersion() : version + 1;
     }
 }
--- a/src/test/java/dockshed/rollout/RolloutSimulation.java
+++ b/src/test/java/dockshed/rollout/RolloutSimulation.java
@@ -18,21 +18,21 @@
  * the own zone every so often and to one of another zone every second. Merged histories of what was in force are checked.
  */
 final class RolloutSimulation {
-    static final long MS = 1000;
-    static final long S = 1_000_000;
+    static final long MILLISECOND_US = 1000;
+    static final long SECOND_US = 1_000_000;
     /** Bytes of the envelope round a body: the gossip's head and the item's. */
-    static final int ENVELOPE = 16;
+    static final int ENVELOPE_BYTES = 16;
     /** Bodies that wait for the gossip's budget at most, as {@code ExtensionQueue} has it. */
-    static final int QUEUE = 64;
+    static final int MAX_QUEUED_BODIES = 64;
     /** Seconds of that part that may be used at once after a rest. */
     static final int BURST_SECONDS = 10;
 
     /** What was put in force, by whom, when; {@code life} counts its starts, {@code disk} the disks it had. */
-    record Applied(int broker, int life, int disk, long at, ConfigurationId id) {}
+    record Applied(int broker, int start, int disk, long at, ConfigurationId id) {}
 
-    record Ended(int broker, long at, ConfigurationId id, ProposalOutcome outcome) {}
+    record EndedProposal(int broker, long at, ConfigurationId id, ProposalOutcome outcome) {}
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
@@ -43,10 +43,10 @@
         final int number;
         MemoryStorage storage = new MemoryStorage();
         RolloutNode node; // null: not running
-        int life;
-        int disk;
-        long stillUntil = -1;
-        final List<Runnable> mail = new ArrayList<>();
+        int starts;
+        int disks;
+        long pausedUntil = -1;
+        final List<Runnable> pausedDeliveries = new ArrayList<>();
         boolean oldProgram; // refuses documents with the word "new"
         final List<RolloutEvent> events = new ArrayList<>();
         long sentBytes;
@@ -55,24 +55,24 @@
         private final ArrayDeque<Integer> queuedBytes = new ArrayDeque<>();
         private double tokens;
         private long tokensAt;
-        private boolean draining;
+        private boolean sendScheduled;
 
         Broker(int number) {
             this.number = number;
         }
 
         void start() {
-            life++;
-            disk += storage.behind ? 1 : 0;
-            storage.behind = false;
-            int of = life;
-            stillUntil = -1;
-            mail.clear();
+            starts++;
+            disks += storage.lastSaveLost ? 1 : 0;
+            storage.lastSaveLost = false;
+            int of = starts;
+            pausedUntil = -1;
+            pausedDeliveries.clear();
             node = new RolloutNode(
                     new RolloutSettings(number, brokers.length, voters),
                     now,
                     random.split(),
-                    (to, body) -> carry(number, to, body),
+                    (to, body) -> enqueue(number, to, body),
                     storage,
                     new ConfigurationApplier() {
                         @Override
@@ -83,33 +83,33 @@
 
                         @Override
                         public void apply(Configuration c) {
-                            history.add(new Applied(number, of, disk, now, c.id()));
+                            history.add(new Applied(number, of, disks, now, c.id()));
                         }
                     },
                     (at, event) -> {
                         events.add(event);
                         if (event instanceof RolloutEvent.ProposalEnded e) {
-                            ended.add(new Ended(number, at, e.id(), e.outcome()));
+                            endedProposals.add(new EndedProposal(number, at, e.id(), e.outcome()));
                         }
                     });
             tick(of);
-            gossip(of, gossipEvery, true);
-            gossip(of, otherZoneEvery, false);
+            gossip(of, ownZonePeriodUs, true);
+            gossip(of, otherZonePeriodUs, false);
         }
 
         void kill() {
             node = null;
-            life++;
+            starts++;
         }
 
-        void still(long micros) {
-            stillUntil = now + micros;
-            int of = life;
-            at(stillUntil, () -> {
-                if (of == life) {
-                    stillUntil = -1;
-                    List.copyOf(mail).forEach(Runnable::run);
-                    mail.clear();
+        void pause(long micros) {
+            pausedUntil = now + micros;
+            int of = starts;
+            at(pausedUntil, () -> {
+                if (of == starts) {
+                    pausedUntil = -1;
+                    List.copyOf(pausedDeliveries).forEach(Runnable::run);
+                    pausedDeliveries.clear();
                     tick(of);
                 }
             });
@@ -118,16 +118,16 @@
         /** Its disk is replaced by an empty one. */
         void loseDisk() {
             storage.loseAll();
-            disk++;
+            disks++;
         }
 
         private void tick(int of) {
-            if (of != life || node == null || stillUntil >= 0) {
+            if (of != starts || node == null || pausedUntil >= 0) {
                 return;
             }
             node.tick(now);
             if (node != null) {
-                at(Math.max(now + MS, node.next(now)), () -> tick(of));
+                at(Math.max(now + MILLISECOND_US, node.nextTickAt(now)), () -> tick(of));
             }
         }
 
@@ -136,10 +136,10 @@
                 return;
             }
             at(now + every / 2 + random.nextLong(every), () -> {
-                if (of != life || node == null) {
+                if (of != starts || node == null) {
                     return;
                 }
-                if (stillUntil < 0) {
+                if (pausedUntil < 0) {
                     int to = peer(ownZone);
                     if (to >= 0) {
                         announce(number, to, node.announcement());
@@ -159,13 +159,13 @@
             return -1;
         }
 
-        private void take(Runnable what) {
+        private void deliver(Runnable what) {
             if (number == liar) {
                 return;
             }
             if (node != null) {
-                if (stillUntil >= 0) {
-                    mail.add(what);
+                if (pausedUntil >= 0) {
+                    pausedDeliveries.add(what);
                 } else {
                     what.run();
                 }
@@ -186,23 +186,23 @@
     final int zones;
     final SplittableRandom random;
     final List<Applied> history = new ArrayList<>();
-    final List<Ended> ended = new ArrayList<>();
+    final List<EndedProposal> endedProposals = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long order;
-    long now = 1_000 * S;
+    long now = 1_000 * SECOND_US;
     double loss;
-    double twice;
+    double duplication;
     /** What the gossip leaves to bodies: half of what a broker with zones may send. */
     int bytesPerSecond = 6000;
 
-    long least = MS / 2; // delays
-    long most = 5 * MS;
-    long gossipEvery = 100 * MS;
-    long otherZoneEvery = S;
+    long minDelayUs = MILLISECOND_US / 2; // delays
+    long maxDelayUs = 5 * MILLISECOND_US;
+    long ownZonePeriodUs = 100 * MILLISECOND_US;
+    long otherZonePeriodUs = SECOND_US;
     /** A broker that answers requests for chunks with made-up ones, and runs nothing else; -1: none. */
     int liar = -1;
     /** Whether nothing comes through from one broker to another now. */
-    BiPredicate<Integer, Integer> cut = (a, b) -> false;
+    BiPredicate<Integer, Integer> blocked = (a, b) -> false;
 
     RolloutSimulation(int count, int zones, List<Integer> voters, long seed) {
         this.zones = zones;
@@ -233,9 +233,9 @@
 
     RolloutSimulation startAll() {
         for (Broker b : brokers) {
-            at(now + random.nextLong(300 * MS), b::start);
+            at(now + random.nextLong(300 * MILLISECOND_US), b::start);
         }
-        run(10 * S);
+        run(10 * SECOND_US);
         return this;
     }
 
@@ -248,16 +248,16 @@
     }
 
     /** What a broker sends passes the gossip's queue and its part of the gossip's budget. */
-    private void carry(int from, int to, byte[] body) {
+    private void enqueue(int from, int to, byte[] body) {
         Broker b = brokers[from];
-        if (b.queued.size() < QUEUE) {
+        if (b.queued.size() < MAX_QUEUED_BODIES) {
             b.queued.add(() -> transmit(from, to, body));
-            b.queuedBytes.add(body.length + ENVELOPE);
-            drain(b);
+            b.queuedBytes.add(body.length + ENVELOPE_BYTES);
+            sendQueued(b);
         }
     }
 
-    private void drain(Broker b) {
+    private void sendQueued(Broker b) {
         b.tokens =
                 Math.min((double) BURST_SECONDS * bytesPerSecond, b.tokens + (now - b.tokensAt) * bytesPerSecond / 1e6);
         b.tokensAt = now;
@@ -265,34 +265,34 @@
             b.tokens -= b.queuedBytes.poll();
             b.queued.poll().run();
         }
-        if (!b.queued.isEmpty() && !b.draining) {
-            b.draining = true;
-            at(now + 10 * MS, () -> {
-                b.draining = false;
-                drain(b);
+        if (!b.queued.isEmpty() && !b.sendScheduled) {
+            b.sendScheduled = true;
+            at(now + 10 * MILLISECOND_US, () -> {
+                b.sendScheduled = false;
+                sendQueued(b);
             });
         }
     }
 
     private void transmit(int from, int to, byte[] body) {
-        if (body.length > RolloutNode.MOST_BODY) {
+        if (body.length > RolloutNode.MAX_BODY_BYTES) {
             throw new AssertionError("body of " + body.length + " bytes");
         }
         if (brokers[from].node == null) {
             return; // killed at this very point
         }
-        brokers[from].sentBytes += body.length + ENVELOPE;
+        brokers[from].sentBytes += body.length + ENVELOPE_BYTES;
         if (to == liar) {
-            lie(from, body);
+            serveForgedChunk(from, body);
             return;
         }
         deliver(from, to, b -> {
-            b.receivedBytes += body.length + ENVELOPE;
+            b.receivedBytes += body.length + ENVELOPE_BYTES;
             b.node.receive(now, from, body);
         });
     }
 
-    private void lie(int to, byte[] body) {
+    private void serveForgedChunk(int to, byte[] body) {
         try {
             if (RolloutCodec.read(body) instanceof RolloutMessage.ChunkRequest r) {
                 byte[] made = ("version " + r.version() + "\nmade up\n").getBytes(StandardCharsets.UTF_8);
@@ -307,19 +307,19 @@
     }
 
     /** The liar announces to each broker, every so often, what is in force as if it had it, or a version of its own. */
-    void lieEvery(long micros) {
+    void announceLies(long micros) {
         at(now + micros, () -> {
             if (liar >= 0) {
                 for (Broker b : brokers) {
-                    Announcement made = lied();
+                    Announcement made = forgedAnnouncement();
                     announce(liar, b.number, RolloutCodec.write(made));
                 }
-                lieEvery(micros);
+                announceLies(micros);
             }
         });
     }
 
-    private Announcement lied() {
+    private Announcement forgedAnnouncement() {
         Applied last = history.isEmpty() ? null : history.get(history.size() - 1);
         if (last == null || random.nextInt(4) == 0) {
             return new Announcement(1 + random.nextInt(1000), random.nextLong(), random.nextInt(1000), false);
@@ -330,7 +330,7 @@
 
     /** An announcement goes from one to another, as if it were its sender's. */
     void announce(int from, int to, byte[] announcement) {
-        deliver(from, to, b -> b.node.heardAnnouncement(now, from, announcement));
+        deliver(from, to, b -> b.node.receiveAnnouncement(now, from, announcement));
     }
 
     /** A body goes from one to another, as if it were its sender's. */
@@ -343,13 +343,13 @@
     }
 
     private void deliver(int from, int to, Delivery delivery) {
-        if (cut.test(from, to) || random.nextDouble() < loss) {
+        if (blocked.test(from, to) || random.nextDouble() < loss) {
             return;
         }
-        int times = random.nextDouble() < twice ? 2 : 1;
+        int times = random.nextDouble() < duplication ? 2 : 1;
         for (int i = 0; i < times; i++) {
             Broker b = brokers[to];
-            at(now + least + random.nextLong(most - least + 1), () -> b.take(() -> delivery.to(b)));
+            at(now + minDelayUs + random.nextLong(maxDelayUs - minDelayUs + 1), () -> b.deliver(() -> delivery.to(b)));
         }
     }
 
@@ -358,7 +358,7 @@
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event e = events.poll();
             now = Math.max(now, e.at());
-            e.what().run();
+            e.action().run();
         }
         now = end;
     }
@@ -367,12 +367,12 @@
     long runUntilInForce(long version, long most) {
         long began = now;
         while (now - began < most) {
-            if (everywhere(version)) {
+            if (isInForceEverywhere(version)) {
                 return now - began;
             }
-            run(50 * MS);
+            run(50 * MILLISECOND_US);
         }
-        if (!everywhere(version)) {
+        if (!isInForceEverywhere(version)) {
             List<Integer> without = Arrays.stream(brokers)
                     .filter(b -> b.node != null && b.version() < version)
                     .map(b -> b.number)
@@ -383,7 +383,7 @@
         return now - began;
     }
 
-    boolean everywhere(long version) {
+    boolean isInForceEverywhere(long version) {
         return Arrays.stream(brokers).allMatch(b -> b.node == null || b.version() >= version);
     }
 
@@ -417,7 +417,7 @@
             }
             Applied before = latest.put(List.of(a.broker(), a.disk()), a);
             boolean again =
-                    before != null && before.life() != a.life() && before.id().equals(a.id());
+                    before != null && before.start() != a.start() && before.id().equals(a.id());
             if (before != null && !again && before.id().version() >= a.id().version()) {
                 return Optional.of("an older version over a newer one: " + a + " after " + before);
             }
@@ -432,10 +432,10 @@
     }
 
     ProposalOutcome outcome(ConfigurationId id) {
-        return ended.stream()
+        return endedProposals.stream()
                 .filter(e -> e.id().equals(id))
                 .reduce((a, b) -> b)
-                .map(Ended::outcome)
+                .map(EndedProposal::outcome)
                 .orElse(null);
     }
 }
--- a/src/test/java/dockshed/rollout/host/FileVoteStorageTest.java
+++ b/src/test/java/dockshed/rollout/host/FileVoteStorageTest.java
@@ -57,7 +57,7 @@
             Files.write(file, spoilt);
             assertThrows(StorageException.class, storage::loadVoter, "byte " + i + " changed");
         }
-        Files.write(file, new byte[FileVoteStorage.MOST_BYTES + 1]);
+        Files.write(file, new byte[FileVoteStorage.MAX_RECORD_BYTES + 1]);
         assertThrows(StorageException.class, storage::loadVoter);
         storage.saveVoter(VOTED);
         assertEquals(Optional.of(VOTED), storage.loadVoter());
--- a/src/test/java/dockshed/scale/HollowBroker.java
+++ b/src/test/java/dockshed/scale/HollowBroker.java
@@ -1,8 +1,8 @@
 package dockshed.scale;
 
 import dockshed.fleet.FleetHost;
-import dockshed.fleet.FleetReadings;
-import dockshed.fleet.FleetReadings.Ages;
+import dockshed.fleet.FleetInspection;
+import dockshed.fleet.FleetInspection.Ages;
 import dockshed.fleet.FleetSettings;
 import dockshed.fleet.FleetSnapshot;
 import dockshed.fleet.LocalEvent;
@@ -72,7 +72,7 @@
         listed = new BitSet();
         known.clear();
         startedMillis = System.currentTimeMillis();
-        threadId = FleetReadings.threadOf(made);
+        threadId = FleetInspection.loopThreadId(made);
     }
 
     /** Netty throws the checked exception of a bind as it is. */
@@ -104,7 +104,7 @@
         }
         if (leaving != null) {
             leaving.offer(new LocalEvent.Leaving());
-            FleetReadings.threadOf(leaving); // its loop has taken the event by then
+            FleetInspection.loopThreadId(leaving); // its loop has taken the event by then
             kill();
         }
     }
@@ -132,7 +132,7 @@
         }
         seen = now;
         watched.forEach((change, owner) -> {
-            if (!known.contains(change) && FleetReadings.knows(now, change, owner)) {
+            if (!known.contains(change) && FleetInspection.hasHealthReport(now, change, owner)) {
                 known.add(change);
                 to.changes().add(new ChangeSeen(nowMillis, number, change));
             }
@@ -152,7 +152,7 @@
     /** Adds the ages of the figures held of others. */
     synchronized void figureAges(Ages ages) {
         if (host != null) {
-            FleetReadings.figureAges(host, startedMillis, ages);
+            FleetInspection.recordFigureAges(host, startedMillis, ages);
         }
     }
 
--- a/src/test/java/dockshed/scale/HollowProcess.java
+++ b/src/test/java/dockshed/scale/HollowProcess.java
@@ -1,7 +1,7 @@
 package dockshed.scale;
 
 import com.google.gson.Gson;
-import dockshed.fleet.FleetReadings.Ages;
+import dockshed.fleet.FleetInspection.Ages;
 import dockshed.fleet.FleetSettings;
 import dockshed.fleet.LocalEvent;
 import java.io.BufferedReader;
--- a/src/test/java/dockshed/scale/ProcessFleet.java
+++ b/src/test/java/dockshed/scale/ProcessFleet.java
@@ -1,6 +1,6 @@
 package dockshed.scale;
 
-import dockshed.fleet.FleetReadings.Ages;
+import dockshed.fleet.FleetInspection.Ages;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
--- a/src/test/java/dockshed/scale/ScaleFleet.java
+++ b/src/test/java/dockshed/scale/ScaleFleet.java
@@ -1,6 +1,6 @@
 package dockshed.scale;
 
-import dockshed.fleet.FleetReadings.Ages;
+import dockshed.fleet.FleetInspection.Ages;
 import java.util.BitSet;
 import java.util.List;
 
--- a/src/test/java/dockshed/scale/SimulatedFleet.java
+++ b/src/test/java/dockshed/scale/SimulatedFleet.java
@@ -1,7 +1,7 @@
 package dockshed.scale;
 
-import dockshed.fleet.FleetReadings.Ages;
-import dockshed.fleet.FleetTwin;
+import dockshed.fleet.FleetInspection.Ages;
+import dockshed.fleet.FleetSimulationDriver;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -17,7 +17,7 @@
 
     private final FleetLayout layout;
     private final Visibility visibility;
-    private final FleetTwin twin;
+    private final FleetSimulationDriver twin;
     private final Map<Integer, Integer> watched = new TreeMap<>();
     private final BitSet[] listed;
     private final BitSet[] known;
@@ -27,7 +27,7 @@
     SimulatedFleet(FleetLayout layout, Mechanism mechanism, long seed) {
         this.layout = layout;
         visibility = mechanism.visibility(layout);
-        twin = new FleetTwin(layout.brokers(), mechanism.settings(layout), seed);
+        twin = new FleetSimulationDriver(layout.brokers(), mechanism.settings(layout), seed);
         listed = new BitSet[layout.brokers()];
         known = new BitSet[layout.brokers()];
         for (int i = 0; i < layout.brokers(); i++) {
@@ -50,7 +50,7 @@
     public void advance(long millis) {
         for (long until = nowMillis() + millis; nowMillis() < until; ) {
             if (nowMillis() >= figuresAt) {
-                twin.offerFigures(FIGURES_MILLIS);
+                twin.offerLoadSamples(FIGURES_MILLIS);
                 figuresAt = nowMillis() + FIGURES_MILLIS;
             }
             twin.run(Math.min(SAMPLE_MILLIS, until - nowMillis()));
@@ -60,14 +60,14 @@
 
     private void sample() {
         for (int observer = 0; observer < layout.brokers(); observer++) {
-            if (twin.running(observer)) {
+            if (twin.isRunning(observer)) {
                 sample(observer);
             }
         }
     }
 
     private void sample(int observer) {
-        BitSet now = twin.listed(observer);
+        BitSet now = twin.presentMembers(observer);
         twin.knownScopes(observer).stream().forEach(scope -> now.set(visibility.subjectOfScope(scope)));
         if (!now.equals(listed[observer])) {
             observed.membership().add(MembershipChange.of(nowMillis(), observer, listed[observer], now));
@@ -75,7 +75,7 @@
         }
         watched.forEach((change, owner) -> {
             int index = change - SceneScript.FIRST_CHANGE;
-            if (!known[observer].get(index) && twin.knows(observer, change, owner)) {
+            if (!known[observer].get(index) && twin.hasHealthReport(observer, change, owner)) {
                 known[observer].set(index);
                 observed.changes().add(new ChangeSeen(nowMillis(), observer, change));
             }
@@ -108,23 +108,23 @@
 
     @Override
     public void cut(BitSet from, BitSet to) {
-        twin.cut(from, to);
+        twin.partition(from, to);
     }
 
     @Override
     public void join() {
-        twin.join();
+        twin.heal();
     }
 
     @Override
     public void lose(double share) {
-        twin.lose(share);
+        twin.setLoss(share);
     }
 
     @Override
     public void change(int broker, int change) {
         watched.put(change, broker);
-        twin.change(broker, change);
+        twin.reportServerDown(broker, change);
     }
 
     @Override
--- a/src/test/java/dockshed/topology/ZoneMapTest.java
+++ b/src/test/java/dockshed/topology/ZoneMapTest.java
@@ -52,9 +52,9 @@
             Zone zone = holding.get(0).zone();
             assertTrue(zone.first() <= broker && broker <= zone.last());
         }
-        int smallest = ZoneMap.MOST_IN_SCOPE;
+        int smallest = ZoneMap.MAX_BROKERS_PER_SCOPE;
         for (Scope scope : map.scopes()) {
-            assertTrue(scope.size() >= 1 && scope.size() <= ZoneMap.MOST_IN_SCOPE, scope.toString());
+            assertTrue(scope.size() >= 1 && scope.size() <= ZoneMap.MAX_BROKERS_PER_SCOPE, scope.toString());
             smallest = Math.min(smallest, scope.size());
             assertEquals(scope, map.scopes().get(scope.number()));
         }
@@ -110,7 +110,7 @@
         assertEquals("0-10", beyond.got());
         assertEquals("5-4", refused(10, zone("a", 5, 4)).got());
         assertEquals("a again", refused(10, zone("a", 0, 4), zone("a", 5, 9)).got());
-        int brokers = (ZoneMap.MOST_SCOPES + 1) * ZoneMap.MOST_IN_SCOPE;
+        int brokers = (ZoneMap.MAX_SCOPES + 1) * ZoneMap.MAX_BROKERS_PER_SCOPE;
         assertEquals(
                 "at most 255 scopes",
                 refused(brokers, zone("a", 0, brokers - 1)).expected());
