--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -225,8 +225,8 @@
             readAgain();
         } else if (rolloutConfig.file() == null) {
             LOG.error(
-                    "configuration not taken, the old one stands: why=section rollout: file: expected the path of a file,"
-                            + " got nothing");
+                    "configuration rejected, the previous one stays active: why=section rollout: file: expected the path"
+                            + " of a file, got nothing");
         } else {
             rollout.propose(rolloutConfig.file());
         }
@@ -241,7 +241,7 @@
             }
             net.loop().execute(() -> moveNames(to));
         } catch (RuntimeException e) { // whatever is wrong with the file, what is in force stays
-            LOG.error("configuration not taken, the old one stands: why={}", e.getMessage());
+            LOG.error("configuration rejected, the previous one stays active: why={}", e.getMessage());
         }
     }
 
--- a/src/main/java/dockshed/rollout/host/RolloutHost.java
+++ b/src/main/java/dockshed/rollout/host/RolloutHost.java
@@ -74,7 +74,7 @@
     }
 
     private static void logRejected(String why) {
-        LOG.error("configuration not taken, the old one stands: why={}", why);
+        LOG.error("configuration rejected, the previous one stays active: why={}", why);
     }
 
     /** Validates documents and puts them in force. */
--- a/src/test/java/dockshed/ProgramTest.java
+++ b/src/test/java/dockshed/ProgramTest.java
@@ -159,7 +159,7 @@
             int port = port(line("serving:"));
             Files.writeString(file, "{\"names\": 7");
             hangUp();
-            assertTrue(line("configuration not taken").contains("old one stands"));
+            assertTrue(line("configuration rejected").contains("previous one stays active"));
             asked(first);
             Files.writeString(file, named.replace("PORT", "" + second.getLocalPort()));
             hangUp();
--- a/src/test/java/dockshed/rig/RolloutProcessTest.java
+++ b/src/test/java/dockshed/rig/RolloutProcessTest.java
@@ -78,8 +78,8 @@
             propose(broker, text(version, port));
             String line = broker(broker)
                     .awaitLine(
-                            mark, l -> l.matches(".*configuration (chosen: version=|unchanged: version=|not taken).*"));
-            if (!line.contains("configuration not taken")) {
+                            mark, l -> l.matches(".*configuration (chosen: version=|unchanged: version=|rejected).*"));
+            if (!line.contains("configuration rejected")) {
                 return version;
             }
             Matcher next = NEXT.matcher(line);
@@ -146,7 +146,7 @@
             int one = broker(1).logPosition();
             propose(0, text(version + 1, 2001));
             propose(1, text(version + 1, 2002));
-            String ended = "configuration (chosen: version=|not taken, the old one stands: why=).*";
+            String ended = "configuration (chosen: version=|rejected, the previous one stays active: why=).*";
             broker(0).awaitLine(zero, l -> l.matches(".*" + ended));
             broker(1).awaitLine(one, l -> l.matches(".*" + ended));
             version = change(2, version + 2, 2003);
