--- a/src/main/java/dockshed/rollout/Announcement.java
+++ b/src/main/java/dockshed/rollout/Announcement.java
@@ -1,22 +1,25 @@
 package dockshed.rollout;
 
 /**
- * What a broker says of itself in every datagram of the gossip. It is a hint: it makes others ask the voters, and names a
- * source of chunks; nothing is put in force by it.
+ * What a broker announces about itself in every gossip datagram. It is only a hint: it makes receivers ask the voters,
+ * and names a source of chunks; no configuration is applied because of it alone.
  *
- * @param version      in force there; 0: none
- * @param digestPrefix of its content
- * @param chosen       the highest version that it knows to be chosen, which it may still be fetching, or have refused
- * @param refused      whether its program could not use that one
+ * @param version      in force at the sender; 0: none
+ * @param digestPrefix of that version's content
+ * @param chosen       the highest version that the sender knows to be chosen; it may still be downloading or have
+ *     refused it
+ * @param refused      whether the sender's program could not use that version
  */
 record Announcement(long version, long digestPrefix, long chosen, boolean refused) {
+    /** Announces no configuration. */
     static final Announcement NONE = new Announcement(0, 0, 0, false);
 
+    /** Whether that configuration is the one in force at the sender. */
     boolean matches(ConfigurationId id) {
         return version == id.version() && digestPrefix == id.digest().prefix();
     }
 
-    /** The highest version that it speaks of. */
+    /** The highest version that the announcement mentions. */
     long highest() {
         return Math.max(version, chosen);
     }
--- a/src/main/java/dockshed/rollout/BoundedMap.java
+++ b/src/main/java/dockshed/rollout/BoundedMap.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map that forgets its least recently written entry where it would grow beyond its bound. */
+/** A map that evicts its least recently written entry when it would exceed its maximum size. */
 final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
         this.maxEntries = most;
     }
 
-    /** Puts an entry as the latest written. */
+    /** Puts an entry and makes it the most recently written one. */
     void putLatest(K key, V value) {
         remove(key);
         put(key, value);
--- a/src/main/java/dockshed/rollout/ChunkServer.java
+++ b/src/main/java/dockshed/rollout/ChunkServer.java
@@ -10,25 +10,31 @@
 import java.util.function.Supplier;
 
 /**
- * Serves chunks of the contents that this broker has, within an allowance in all and one for each that asks. Long contents
- * go to {@link #MAX_SLOTS} brokers at a time and the others are told that it is busy: whoever has the whole soon serves it too,
- * while parts at many help nobody.
+ * Serves chunks of the contents that this broker has, within a total rate and a rate for each requesting broker. Long
+ * contents go to {@link #MAX_SLOTS} brokers at a time, and others are answered that this broker is busy: a broker that
+ * has received the complete content soon serves it too, whereas parts at many brokers help nobody.
  */
 final class ChunkServer {
-    /** Bytes of chunks a second in all, and at once. */
+    /** Chunk bytes sent per second to all brokers together. */
     static final double BYTES_PER_SECOND = 1_200;
 
+    /** Chunk bytes that may be sent at once to all brokers together. */
     static final double BURST_BYTES = 16_000;
-    /** The same to one broker: one longest content with its losses, then little. */
+    /** Chunk bytes sent per second to one broker. */
     static final double BYTES_PER_SECOND_PER_BROKER = 1_000;
 
+    /**
+     * Chunk bytes that may be sent at once to one broker: one content of the maximum length and its retransmissions.
+     */
     static final double BURST_BYTES_PER_BROKER = 3.0 * Configuration.MAX_BYTES;
-    /** Brokers that are served long contents at a time; a slot is free again after a pause of the asker, and in any case. */
+    /** Brokers that are served long contents at the same time. */
     static final int MAX_SLOTS = 2;
 
+    /** Microseconds without a request after which a broker loses its slot. */
     static final long MAX_SLOT_IDLE_US = 700_000;
+    /** Microseconds after which a broker loses its slot in any case. */
     static final long MAX_SLOT_TIME_US = 4_000_000;
-    /** Brokers whose allowance is remembered. */
+    /** Brokers whose rates are tracked, those that asked last. */
     static final int MAX_TRACKED_BROKERS = 256;
 
     private record Slot(long since, long usedAt) {}
@@ -45,6 +51,7 @@
         totalBucket = new TokenBucket(now, BYTES_PER_SECOND, BURST_BYTES);
     }
 
+    /** Answers a request with chunks, or with {@link Unavailable}. */
     void serve(long now, int to, ChunkRequest request) {
         Configuration content = find(request.version(), request.digestPrefix());
         if (content == null) {
@@ -58,15 +65,15 @@
     }
 
     private Configuration find(long version, long digestPrefix) {
-        for (Configuration c : contents.get()) {
-            if (c.version() == version && c.id().digest().prefix() == digestPrefix) {
-                return c;
+        for (Configuration content : contents.get()) {
+            if (content.version() == version && content.id().digest().prefix() == digestPrefix) {
+                return content;
             }
         }
         return null;
     }
 
-    /** Chunks sent. */
+    /** Sends what the rates allow of the missing chunks; returns how many chunks were sent. */
     private int send(long now, int to, ChunkRequest request, Configuration content) {
         int chunks = RolloutCodec.chunkCount(content.length());
         BitSet wanted = request.missing().get(0, chunks);
@@ -76,15 +83,16 @@
         TokenBucket own = brokerBuckets.computeIfAbsent(
                 to, broker -> new TokenBucket(now, BYTES_PER_SECOND_PER_BROKER, BURST_BYTES_PER_BROKER));
         int sent = 0;
-        for (int i = wanted.nextSetBit(0);
-                i >= 0 && sent < Download.MAX_CHUNKS_PER_REQUEST;
-                i = wanted.nextSetBit(i + 1)) {
+        for (int chunk = wanted.nextSetBit(0);
+                chunk >= 0 && sent < Download.MAX_CHUNKS_PER_REQUEST;
+                chunk = wanted.nextSetBit(chunk + 1)) {
             if (!totalBucket.hasTokens(now, RolloutCodec.CHUNK_BYTES) || !own.tryTake(now, RolloutCodec.CHUNK_BYTES)) {
                 break;
             }
             totalBucket.tryTake(now, RolloutCodec.CHUNK_BYTES);
-            byte[] bytes = content.chunk(i, RolloutCodec.CHUNK_BYTES);
-            context.sender().send(now, to, new Chunk(request.request(), content.version(), content.length(), i, bytes));
+            byte[] bytes = content.chunk(chunk, RolloutCodec.CHUNK_BYTES);
+            context.sender()
+                    .send(now, to, new Chunk(request.request(), content.version(), content.length(), chunk, bytes));
             sent++;
         }
         if (sent == 0) {
@@ -93,9 +101,10 @@
         return sent;
     }
 
-    /** Whether a broker may be served now; {@code last}: what it asks for are the last chunks, for which no slot is needed. */
+    /** Whether a broker may be served now; {@code last}: it asks for the last chunks only, which need no slot. */
     private boolean acquireSlot(long now, int to, boolean last) {
-        slots.values().removeIf(s -> now - s.usedAt() > MAX_SLOT_IDLE_US || now - s.since() > MAX_SLOT_TIME_US);
+        slots.values()
+                .removeIf(slot -> now - slot.usedAt() > MAX_SLOT_IDLE_US || now - slot.since() > MAX_SLOT_TIME_US);
         if (last) {
             slots.remove(to);
             return true;
--- a/src/main/java/dockshed/rollout/ContentDigest.java
+++ b/src/main/java/dockshed/rollout/ContentDigest.java
@@ -6,9 +6,9 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 
-/** The SHA-256 digest of a configuration's bytes. */
+/** The SHA-256 digest of a configuration's content. */
 public final class ContentDigest {
-    /** Bytes of a digest. */
+    /** Length of a digest in bytes. */
     public static final int BYTES = 32;
 
     private final byte[] bytes;
@@ -17,7 +17,7 @@
         this.bytes = bytes;
     }
 
-    /** The digest of a content. */
+    /** Computes the digest of a content. */
     public static ContentDigest of(byte[] content) {
         try {
             return new ContentDigest(MessageDigest.getInstance("SHA-256").digest(content));
@@ -26,10 +26,10 @@
         }
     }
 
-    /** A digest from its {@link #BYTES} bytes. */
+    /** Creates a digest from its {@link #BYTES} bytes; throws IllegalArgumentException for any other length. */
     public static ContentDigest fromBytes(byte[] bytes) {
         if (bytes.length != BYTES) {
-            throw new IllegalArgumentException("a digest has " + BYTES + " bytes, not " + bytes.length);
+            throw new IllegalArgumentException("digest: expected " + BYTES + " bytes, got " + bytes.length);
         }
         return new ContentDigest(bytes.clone());
     }
@@ -39,14 +39,14 @@
         return bytes.clone();
     }
 
-    /** The first eight bytes: enough to tell contents apart in an announcement, never enough to trust one. */
+    /** The first eight bytes: enough to distinguish contents in an announcement, but not to trust one. */
     public long prefix() {
         return ByteBuffer.wrap(bytes).getLong();
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof ContentDigest d && Arrays.equals(bytes, d.bytes);
+        return other instanceof ContentDigest digest && Arrays.equals(bytes, digest.bytes);
     }
 
     @Override
@@ -54,7 +54,7 @@
         return Arrays.hashCode(bytes);
     }
 
-    /** The first eight bytes in hex, as logs and pages show it. */
+    /** The first eight bytes in hexadecimal, as logs and pages show them. */
     @Override
     public String toString() {
         return HexFormat.of().formatHex(bytes, 0, 8);
--- a/src/main/java/dockshed/rollout/Download.java
+++ b/src/main/java/dockshed/rollout/Download.java
@@ -9,34 +9,42 @@
 import java.util.Set;
 
 /**
- * Fetches one content in chunks, a window at a time from one source at a time. A source that is silent or busy gives way to
- * another, which goes on where the first ended. The whole counts only with the right digest; if it is wrong and came from
- * several sources, it is fetched again from one alone, so that it is known who is to blame.
+ * Downloads one content in chunks, with one request at a time to one source at a time. A source that is silent or busy
+ * is replaced by another, which continues where the first ended. The content counts only with the right digest; if the
+ * digest is wrong and the chunks came from several sources, the content is downloaded again from a single one, so that
+ * it is known which source is at fault.
  */
 final class Download {
-    /** Chunks that are asked for at once. */
+    /** Chunks that are sent for one request. */
     static final int MAX_CHUNKS_PER_REQUEST = 16;
-    /** A source that sends nothing for so long gives way to another. */
+    /** A source that sends nothing for about this long, in microseconds, is replaced. */
     static final long SOURCE_TIMEOUT_US = 200_000;
-    /** Chunks of a window come close together: after so long without one the rest was lost. */
+    /** Chunks of a request arrive close together: after this many microseconds without one the rest counts as lost. */
     static final long CHUNK_GAP_US = 50_000;
-    /** And so does one that has not sent all after so long, so that none holds us up with crumbs. */
+    /**
+     * A source that has not sent everything after this many microseconds is replaced, so that none can delay the
+     * download by sending little.
+     */
     static final long MAX_SOURCE_TIME_US = 4_000_000;
-    /** After a busy or missing source, another is asked after at most so long; the pause doubles up to the second one. */
+    /**
+     * Maximum pause before another source is asked after one was busy or did not have the content, in microseconds;
+     * doubled each time.
+     */
     static final long MIN_PAUSE_US = 120_000;
 
+    /** Upper limit of that pause, in microseconds. */
     static final long MAX_PAUSE_US = 500_000;
-    /** Without a chunk for so long it gives way to another download. */
+    /** After this many microseconds without a chunk the download may be replaced by another one. */
     static final long STALL_THRESHOLD_US = 500_000;
-    /** A download without a whole content after so long is given up. */
+    /** A download that is not complete after this many microseconds is cancelled. */
     static final long MAX_DURATION_US = 12_000_000;
 
-    /** Who has the content now; those that must not be asked are left out. */
+    /** Lists the brokers that have the content now and are not to be avoided. */
     interface Sources {
         List<Integer> current(long now);
     }
 
-    /** Told of a source whose content had the wrong digest. */
+    /** Notified of a source that served a content with the wrong digest. */
     interface DigestMismatchListener {
         void digestMismatch(long now, int source);
     }
@@ -47,9 +55,9 @@
     private final DigestMismatchListener mismatchListener;
     private final long startedAt;
     private final Set<Integer> contributors = new HashSet<>();
-    private byte[][] chunks; // null: the length is not known yet
+    private byte[][] chunks; // null until the length is known
     private int length;
-    private boolean singleSource; // take all chunks from one source
+    private boolean singleSource; // accept chunks of one source only
     private int source = -1;
     private int lastSource = -1;
     private int request;
@@ -75,19 +83,22 @@
         return id;
     }
 
+    /** Whether the download has to be cancelled. */
     boolean isTimedOut(long now) {
         return now - startedAt >= MAX_DURATION_US;
     }
 
-    /** Whether nothing came for a while: what else is to be fetched need not wait for it. */
+    /** Whether no chunk has arrived for a while: other downloads need not wait for this one. */
     boolean isStalled(long now) {
         return now - progressAt >= STALL_THRESHOLD_US;
     }
 
+    /** When {@link #tick} is due. */
     long nextTickAt() {
         return Math.min(nextActionAt, startedAt + MAX_DURATION_US);
     }
 
+    /** Asks again or replaces the source, if that is due. */
     void tick(long now) {
         if (now < nextActionAt || isTimedOut(now)) {
             return;
@@ -105,7 +116,8 @@
 
     private void chooseSource(long now) {
         List<Integer> all = sources.current(now);
-        List<Integer> others = all.stream().filter(s -> s != lastSource).toList();
+        List<Integer> others =
+                all.stream().filter(candidate -> candidate != lastSource).toList();
         List<Integer> candidates = others.isEmpty() ? all : others;
         source = candidates.isEmpty() ? -1 : candidates.get(context.random().nextInt(candidates.size()));
         lastSource = source;
@@ -140,7 +152,7 @@
         return missing;
     }
 
-    /** Takes a message of a source; returns the whole content once it is there, and null until then. */
+    /** Handles a chunk; returns the complete configuration once it is there, and null until then. */
     Configuration chunkReceived(long now, int from, Chunk chunk) {
         if (from != source || chunk.request() != request || chunk.version() != id.version()) {
             return null;
@@ -172,6 +184,7 @@
         return null;
     }
 
+    /** Handles a refusal of the current request: another source is asked after a pause. */
     void unavailableReceived(long now, int from, Unavailable message) {
         if (from == source && message.request() == request) {
             source = -1;
@@ -194,7 +207,7 @@
         return null;
     }
 
-    /** The content is not the one that was chosen: all that came is thrown away. */
+    /** The content is not the chosen one: discards all chunks. */
     private void discardMismatch(long now) {
         context.counts().badDigests++;
         if (contributors.size() == 1 && contributors.contains(source)) {
--- a/src/main/java/dockshed/rollout/Learner.java
+++ b/src/main/java/dockshed/rollout/Learner.java
@@ -12,34 +12,39 @@
 import java.util.Set;
 
 /**
- * Learns which configuration is chosen and puts it in force. What it hears by the gossip only makes it ask; what a
- * majority of the voters answers it fetches, checks and applies.
+ * Learns which configuration is chosen and applies it. Announcements received by the gossip only make it ask the
+ * voters; a configuration that a majority of the voters reports is downloaded, checked and applied.
  *
- * <p>What always holds: the configuration in force was chosen by a majority of the voters, has the digest that they voted
- * for, and is of a higher version than every one in force here before, in this life or by {@link VoteStorage}. A broker that
- * restarts while its storage takes nothing may begin with an older one, and asks the voters at once.
+ * <p>Invariants: the configuration in force was chosen by a majority of the voters, has the digest that they voted for,
+ * and has a higher version than every one in force here before, in this process or, by {@link VoteStorage}, in an
+ * earlier one. A broker that restarts after its storage failed to save may start with an older one, and asks the voters
+ * at once.
  */
 final class Learner {
-    /** A first question waits for up to so long, as all brokers hear of a change at about the same time. */
+    /**
+     * Maximum delay of the first request, in microseconds; all brokers are notified of a change at about the same time.
+     */
     static final long MAX_FIRST_REQUEST_DELAY_US = 1_000_000;
-    /** Between two rounds without a result: from the first to at most the second; the third where nobody announces more. */
+    /** First pause after a round without a result, in microseconds; doubled each time. */
     static final long MIN_RETRY_PAUSE_US = 300_000;
 
+    /** Longest pause while another broker announces a higher version, in microseconds. */
     static final long MAX_RETRY_PAUSE_US = 2_000_000;
+    /** Longest pause while no broker announces a higher version, in microseconds. */
     static final long MAX_IDLE_RETRY_PAUSE_US = 20_000_000;
 
-    /** What could not be saved is tried again after so long. */
+    /** Delay before a configuration that could not be saved is saved again, in microseconds. */
     static final long SAVE_RETRY_INTERVAL_US = 10_000_000;
 
     private final NodeContext context;
     private final SourceTable sources;
     private final Set<Integer> voterSources = new LinkedHashSet<>(); // voters that reported the target
     private Configuration inForce; // null: none
-    private Configuration previous; // the one before it, still served
-    private ConfigurationId refused; // the highest that this program cannot use; null: none
+    private Configuration previous; // in force before, and still served
+    private ConfigurationId refused; // the highest one that this program cannot use; null: none
     private VoterRound round;
     private Download download;
-    private Configuration unsaved; // in force, and the storage did not take it yet
+    private Configuration unsaved; // in force, but not saved yet
     private long saveRetryAt;
     private long nextRoundAt;
     private long pause = MIN_RETRY_PAUSE_US;
@@ -49,7 +54,8 @@
         this.context = context;
         this.sources = sources;
         loadInForce(now);
-        nextRoundAt = now + context.jitter(MAX_FIRST_REQUEST_DELAY_US); // whatever happened while this broker was away
+        nextRoundAt = now
+                + context.jitter(MAX_FIRST_REQUEST_DELAY_US); // there may be a change from while this broker was down
     }
 
     private void loadInForce(long now) {
@@ -72,7 +78,7 @@
         return refused;
     }
 
-    /** The contents that it can serve to others. */
+    /** The contents that this broker can serve to others. */
     List<Configuration> contents() {
         List<Configuration> out = new ArrayList<>();
         if (inForce != null) {
@@ -84,15 +90,17 @@
         return out;
     }
 
+    /** The version in force; 0: none. */
     long version() {
         return inForce == null ? 0 : inForce.version();
     }
 
-    /** The version above which something is to be learnt. */
+    /** The highest version applied or refused here; only higher ones are asked for. */
     private long highestHandled() {
         return Math.max(version(), refused == null ? 0 : refused.version());
     }
 
+    /** What this broker announces to others. */
     Announcement announcement() {
         long prefix = inForce == null ? 0 : inForce.id().digest().prefix();
         long chosen =
@@ -100,8 +108,9 @@
         return new Announcement(version(), prefix, chosen, highestHandled() > version());
     }
 
-    // ---- What is heard.
+    // ---- Announcements.
 
+    /** Records an announcement, and asks the voters soon if it mentions a higher version. */
     void announcementReceived(long now, int from, Announcement announcement) {
         if (sources.isAvoided(now, from)) {
             return;
@@ -124,7 +133,7 @@
         }
     }
 
-    /** This broker's own proposal was chosen. */
+    /** Applies this broker's own proposal, which was chosen. */
     void proposalChosen(long now, Configuration configuration) {
         if (configuration.version() > highestHandled()) {
             if (newerKnownSince == Long.MIN_VALUE) {
@@ -136,6 +145,7 @@
 
     // ---- Time.
 
+    /** When {@link #tick} is due. */
     long nextTickAt() {
         if (download != null) {
             return download.nextTickAt();
@@ -143,6 +153,7 @@
         return round != null ? round.nextTickAt() : nextRoundAt;
     }
 
+    /** Goes on with saving, the download or the round, whichever is due. */
     void tick(long now) {
         if (unsaved != null && now >= saveRetryAt) {
             save(now, unsaved);
@@ -188,9 +199,9 @@
         pause *= 2;
     }
 
-    // ---- What the voters answer.
+    // ---- Voters' answers.
 
-    /** Takes a voter's answer; false: it was not asked for here. */
+    /** Handles a voter's answer; false if this round did not ask for it. */
     boolean reportReceived(long now, int from, Report report) {
         if (round == null || !round.reportReceived(now, from, report)) {
             return false;
@@ -205,7 +216,7 @@
         return true;
     }
 
-    /** A majority of the voters answered, and nothing newer is chosen yet. */
+    /** A majority of the voters has answered, and none of the higher versions is chosen yet. */
     private void noNewerVersionChosen(long now) {
         long highest = round.highest();
         for (int announcer : sources.announcersAbove(now, Math.max(highest, highestHandled()))) {
@@ -219,7 +230,7 @@
             nextRoundAt = Long.MAX_VALUE;
             pause = MIN_RETRY_PAUSE_US;
         }
-        // Otherwise the other voters' answers are waited for until the round is over.
+        // Otherwise wait for the other voters' answers until the round is over.
     }
 
     private void fetch(long now, ConfigurationId id) {
@@ -233,15 +244,18 @@
         if (newerKnownSince == Long.MIN_VALUE) {
             newerKnownSince = now;
         }
-        download = new Download(context, now, id, t -> sourcesOf(t, id), this::digestMismatch);
+        download = new Download(context, now, id, at -> sourcesOf(at, id), this::digestMismatch);
     }
 
-    /** Brokers that announce it, and voters that reported it: these have it from the first, and are asked least. */
+    /**
+     * Brokers that announce the configuration, and voters that reported it: these have the content from the start and
+     * are asked least.
+     */
     private List<Integer> sourcesOf(long now, ConfigurationId id) {
         Set<Integer> all = new LinkedHashSet<>(sources.sourcesOf(now, id));
         all.addAll(voterSources);
         List<Integer> trusted =
-                all.stream().filter(b -> !sources.isAvoided(now, b)).toList();
+                all.stream().filter(broker -> !sources.isAvoided(now, broker)).toList();
         return trusted.isEmpty() ? List.copyOf(voterSources) : trusted;
     }
 
@@ -252,7 +266,7 @@
 
     // ---- The content.
 
-    /** A content that this broker has already, as a voter; true: it was the one being fetched. */
+    /** Supplies a content that this broker has as a voter; true if it was the one being downloaded. */
     boolean offer(long now, Configuration configuration) {
         if (download == null || !download.id().equals(configuration.id())) {
             return false;
@@ -261,6 +275,7 @@
         return true;
     }
 
+    /** Handles a chunk; ignored unless it belongs to the download in progress. */
     void chunkReceived(long now, int from, Chunk chunk) {
         Configuration whole = download == null ? null : download.chunkReceived(now, from, chunk);
         if (whole != null) {
@@ -290,7 +305,9 @@
         }
     }
 
-    /** Puts it in force if this program can use it; else it is refused, and what was in force stays. */
+    /**
+     * Applies the configuration if this program can use it; otherwise refuses it, and the previous one stays in force.
+     */
     private boolean apply(long now, Configuration configuration) {
         if (configuration.version() <= version()) {
             return false;
@@ -307,7 +324,10 @@
         return true;
     }
 
-    /** A change does not wait for a full disk: it is in force, and saved as soon as that can be done. */
+    /**
+     * Saves the configuration in force. A failure, such as a full disk, does not delay the change: saving is tried
+     * again later.
+     */
     private void save(long now, Configuration configuration) {
         unsaved = configuration;
         saveRetryAt = now + SAVE_RETRY_INTERVAL_US;
--- a/src/main/java/dockshed/rollout/NodeContext.java
+++ b/src/main/java/dockshed/rollout/NodeContext.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** What the parts of a node share. */
+/** What the parts of a {@link RolloutNode} share. */
 record NodeContext(
         RolloutSettings settings,
         SplittableRandom random,
@@ -11,16 +11,17 @@
         ConfigurationApplier applier,
         RolloutListener listener,
         RolloutCounts counts) {
-    /** Sends a message to a broker, which may be this one. */
+    /** Sends messages to brokers, this one included. */
     interface MessageSender {
         void send(long now, int to, RolloutMessage message);
     }
 
-    /** A time between half of one given and all of it. */
+    /** A random time between half of {@code micros} and all of it. */
     long jitter(long micros) {
         return micros / 2 + random.nextLong(micros / 2 + 1);
     }
 
+    /** Passes an event to the listener. */
     void notifyListener(long now, RolloutEvent event) {
         listener.onEvent(now, event);
     }
--- a/src/main/java/dockshed/rollout/Outbox.java
+++ b/src/main/java/dockshed/rollout/Outbox.java
@@ -1,6 +1,6 @@
 package dockshed.rollout;
 
-/** Where messages to other brokers go: they may be lost, repeated, late and out of order. */
+/** Sends messages to other brokers; they may be lost, duplicated, delayed and reordered. */
 public interface Outbox {
     /** Sends a body of at most {@link RolloutNode#MAX_BODY_BYTES} bytes to a broker. */
     void send(int to, byte[] body);
--- a/src/main/java/dockshed/rollout/Proposer.java
+++ b/src/main/java/dockshed/rollout/Proposer.java
@@ -13,19 +13,23 @@
 import java.util.Optional;
 
 /**
- * Brings one configuration to the vote. First it asks which version is the next, and gives up where its own is not; then
- * it asks the voters for their votes, in rounds, until a majority voted for it or cannot any more.
+ * Puts one configuration to the vote. First it asks the voters which version is next, and ends if its own is another
+ * one; then it asks for their votes, in rounds, until a majority has voted for it or no majority is possible any more.
  */
 final class Proposer {
-    /** Microseconds for which it looks whether its number is the next, and for which it asks for votes. */
+    /** Time limit for finding out whether the proposed version is the next one, in microseconds. */
     static final long VERSION_CHECK_TIMEOUT_US = 6_000_000;
 
+    /** Time limit for the vote, in microseconds. */
     static final long VOTING_TIMEOUT_US = 20_000_000;
 
-    /** A majority's answers are enough to say which version is the next; so long the others are waited for. */
+    /**
+     * A majority's answers are enough to tell which version is next; the remaining voters' answers are waited for at
+     * most this long, in microseconds.
+     */
     static final long MAX_WAIT_FOR_ALL_VOTERS_US = 600_000;
 
-    /** Hears of a proposal that was chosen. */
+    /** Notified when the proposal was chosen. */
     interface ChosenListener {
         void proposalChosen(long now, Configuration configuration);
     }
@@ -37,13 +41,13 @@
     }
 
     private final NodeContext context;
-    private final Voter voter; // null: this broker is none
+    private final Voter voter; // null: this broker is no voter
     private final ChosenListener chosenListener;
     private Stage stage = Stage.IDLE;
     private Configuration configuration;
     private VoterRound round;
-    private boolean allVotersConsidered; // in this round
-    private long highestReported; // the highest version that any voter ever told this broker
+    private boolean allVotersConsidered; // in the current round
+    private long highestReported; // highest version that any voter ever reported to this broker
     private long deadline;
 
     Proposer(NodeContext context, Voter voter, ChosenListener whenChosen) {
@@ -52,6 +56,7 @@
         this.chosenListener = whenChosen;
     }
 
+    /** Starts a proposal; a {@link RolloutEvent.ProposalEnded} reports how it ended. */
     void propose(long now, Configuration proposed) {
         String rejected = rejection(proposed);
         if (rejected != null) {
@@ -64,13 +69,14 @@
         startRound(now);
     }
 
+    /** Why the configuration cannot be put to the vote here; null: it can. */
     private String rejection(Configuration proposed) {
         if (voter == null) {
-            return "this broker is no voter: only voters " + context.settings().voters()
-                    + " propose, and their answers are believed";
+            return "this broker is no voter: only the voters "
+                    + context.settings().voters() + " can propose, and their answers are trusted";
         }
         if (stage != Stage.IDLE) {
-            return "version " + configuration.version() + " is being proposed here: wait until that has ended";
+            return "version " + configuration.version() + " is being proposed here: wait until that proposal has ended";
         }
         Optional<String> refusal = context.applier().validate(proposed);
         return refusal.orElse(null);
@@ -94,6 +100,7 @@
         context.sender().send(now, to, question);
     }
 
+    /** When {@link #tick} is due; Long.MAX_VALUE while nothing is proposed. */
     long nextTickAt() {
         if (stage == Stage.IDLE) {
             return Long.MAX_VALUE;
@@ -104,6 +111,7 @@
                 : due;
     }
 
+    /** Sends and ends what is due. */
     void tick(long now) {
         if (stage == Stage.IDLE) {
             return;
@@ -120,7 +128,7 @@
         }
     }
 
-    /** Takes a voter's answer; false: it was not asked for here. */
+    /** Handles a voter's answer; false if this proposal did not ask for it. */
     boolean reportReceived(long now, int from, Report report) {
         if (stage == Stage.IDLE || !round.reportReceived(now, from, report)) {
             return false;
@@ -133,7 +141,7 @@
         return true;
     }
 
-    // ---- Which version is the next.
+    // ---- Checking the version.
 
     private void checkVersion(long now) {
         allVotersConsidered = round.allVotersConsidered(now, MAX_WAIT_FOR_ALL_VOTERS_US);
@@ -154,18 +162,18 @@
         } else if (version != expected - 1) {
             end(now, new NotNextVersion(expected));
         }
-        // Otherwise another content of this version is being voted on: what comes of it is waited for.
+        // Otherwise another content of this version is being voted on: wait for its outcome.
     }
 
-    /** Whether this content was proposed before and is the only one of its version. */
+    /** Whether this content was proposed before and is the only one that has votes in its version. */
     private boolean isOnlyVotedContent() {
         return round.reports().values().stream()
-                        .allMatch(r -> r.knownAt(configuration.version()) == null
-                                || configuration.id().equals(r.knownAt(configuration.version())))
+                        .allMatch(report -> report.knownAt(configuration.version()) == null
+                                || configuration.id().equals(report.knownAt(configuration.version())))
                 && round.votersKnowing(configuration.id()) > 0;
     }
 
-    // ---- The votes.
+    // ---- Voting.
 
     private void countVotes(long now) {
         ConfigurationId chosen = round.chosenAt(configuration.version());
@@ -197,7 +205,7 @@
                         && !report.known().contains(configuration.id());
     }
 
-    /** Whether those that answered so leave too few for a majority. */
+    /** Whether the voters whose reports meet the condition leave too few for a majority. */
     private boolean majorityImpossible(ReportCondition obstacle) {
         long against = round.reports().values().stream().filter(obstacle::test).count();
         return context.settings().voters().size() - against < context.settings().majority();
--- a/src/main/java/dockshed/rollout/RolloutCodec.java
+++ b/src/main/java/dockshed/rollout/RolloutCodec.java
@@ -13,18 +13,21 @@
 import java.util.List;
 
 /**
- * Messages and announcements as bytes. A body is a format, a kind and the kind's fields; a later format or an unknown kind
- * is passed over, anything else that is not exactly a message is malformed.
+ * Encodes and decodes messages and announcements. A body consists of a format, a kind and the fields of the kind. Later
+ * formats and unknown kinds are passed over; everything else that is not exactly one message is malformed.
  */
 final class RolloutCodec {
+    /** The format that this program writes and reads. */
     static final int FORMAT = 1;
-    /** Bytes of a chunk; the last of a content may be shorter. */
+    /** Length of a chunk in bytes; the last chunk of a content may be shorter. */
     static final int CHUNK_BYTES = 200;
-    /** Chunks of a content at most. */
+    /** Maximum number of chunks of a content. */
     static final int MAX_CHUNKS = (Configuration.MAX_BYTES + CHUNK_BYTES - 1) / CHUNK_BYTES;
 
     private static final int MISSING_MASK_BYTES = (MAX_CHUNKS + 7) / 8;
+    /** Kinds of message, as sent. */
     private static final int REPORT_REQUEST = 1;
+
     private static final int REPORT = 2;
     private static final int PROPOSAL = 3;
     private static final int CHUNK_REQUEST = 4;
@@ -33,12 +36,12 @@
 
     private RolloutCodec() {}
 
-    /** Of a later program: not read, and nothing is wrong with it. */
+    /** A message of a later program: not decoded, but not an error. */
     static final class PassedOverException extends Exception {
         private static final long serialVersionUID = 1L;
     }
 
-    /** Not a message, or cut off, or too long. */
+    /** Not a message, truncated, or too long. */
     static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -49,6 +52,7 @@
 
     // ---- Messages.
 
+    /** Encodes a message. */
     static byte[] write(RolloutMessage message) {
         ByteBuffer out = ByteBuffer.allocate(RolloutNode.MAX_BODY_BYTES).put((byte) FORMAT);
         if (message instanceof ReportRequest m) {
@@ -76,16 +80,18 @@
         return toBytes(out);
     }
 
-    private static void writeReport(ByteBuffer out, Report m) {
-        out.putInt(m.round()).put((byte) m.phase().ordinal()).put((byte) (m.invalid() ? 1 : 0));
-        putVersion(out, m.highest());
-        out.put((byte) m.known().size());
-        m.known().forEach(id -> putId(out, id));
+    private static void writeReport(ByteBuffer out, Report report) {
+        out.putInt(report.round()).put((byte) report.phase().ordinal()).put((byte) (report.invalid() ? 1 : 0));
+        putVersion(out, report.highest());
+        out.put((byte) report.known().size());
+        report.known().forEach(id -> putId(out, id));
     }
 
+    /** Decodes a message; chunk indexes and lengths are checked, identities and versions are in range. */
     static RolloutMessage read(byte[] body) throws PassedOverException, MalformedException {
         if (body.length < 2 || body.length > RolloutNode.MAX_BODY_BYTES) {
-            throw new MalformedException(body.length + " bytes");
+            throw new MalformedException(
+                    "message: expected 2 to " + RolloutNode.MAX_BODY_BYTES + " bytes, got " + body.length);
         }
         ByteBuffer in = ByteBuffer.wrap(body);
         checkFormat(in);
@@ -93,18 +99,18 @@
         try {
             RolloutMessage message = read(kind, in);
             if (in.hasRemaining()) {
-                throw new MalformedException(in.remaining() + " bytes behind a message of kind " + kind);
+                throw new MalformedException(in.remaining() + " unexpected bytes after a message of kind " + kind);
             }
             return message;
         } catch (BufferUnderflowException e) {
-            throw new MalformedException("a message of kind " + kind + " is cut off");
+            throw new MalformedException("truncated message of kind " + kind);
         }
     }
 
     private static void checkFormat(ByteBuffer in) throws PassedOverException, MalformedException {
         int format = in.get() & 0xFF;
         if (format == 0) {
-            throw new MalformedException("format 0");
+            throw new MalformedException("format: expected at least 1, got 0");
         }
         if (format > FORMAT) {
             throw new PassedOverException();
@@ -127,13 +133,14 @@
         int round = in.getInt();
         int phase = in.get() & 0xFF;
         if (phase >= VoterPhase.values().length) {
-            throw new MalformedException("phase " + phase);
+            throw new MalformedException("voter's phase: expected a known one, got " + phase);
         }
         boolean invalid = readFlag(in);
         long highest = readVersion(in);
         int count = in.get() & 0xFF;
         if (count > Report.MAX_KNOWN) {
-            throw new MalformedException(count + " versions in a report");
+            throw new MalformedException(
+                    "versions in a report: expected at most " + Report.MAX_KNOWN + ", got " + count);
         }
         List<ConfigurationId> known = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -150,15 +157,16 @@
         byte[] bytes = new byte[in.remaining()];
         in.get(bytes);
         if (length < 1 || length > Configuration.MAX_BYTES || index >= chunkCount(length)) {
-            throw new MalformedException("chunk " + index + " of " + length + " bytes");
+            throw new MalformedException("chunk: got index " + index + " of a content of " + length + " bytes");
         }
         if (bytes.length != Math.min(CHUNK_BYTES, length - index * CHUNK_BYTES)) {
-            throw new MalformedException("chunk " + index + " of " + length + " bytes has " + bytes.length);
+            throw new MalformedException("chunk " + index + " of a content of " + length
+                    + " bytes has an unexpected length: " + bytes.length);
         }
         return new Chunk(request, version, length, index, bytes);
     }
 
-    /** Chunks of a content of that many bytes. */
+    /** Number of chunks of a content of that many bytes. */
     static int chunkCount(int length) {
         return (length + CHUNK_BYTES - 1) / CHUNK_BYTES;
     }
@@ -166,7 +174,7 @@
     private static boolean readFlag(ByteBuffer in) throws MalformedException {
         byte flag = in.get();
         if (flag != 0 && flag != 1) {
-            throw new MalformedException("flag " + flag);
+            throw new MalformedException("flag: expected 0 or 1, got " + flag);
         }
         return flag == 1;
     }
@@ -191,7 +199,8 @@
     private static long readVersion(ByteBuffer in) throws MalformedException {
         long version = (long) (in.getShort() & 0xFFFF) << 32 | in.getInt() & 0xFFFFFFFFL;
         if (version > ConfigurationId.MAX_VERSION) {
-            throw new MalformedException("version " + version);
+            throw new MalformedException(
+                    "version: expected at most " + ConfigurationId.MAX_VERSION + ", got " + version);
         }
         return version;
     }
@@ -206,7 +215,7 @@
         byte[] digest = new byte[ContentDigest.BYTES];
         in.get(digest);
         if (version == 0) {
-            throw new MalformedException("version 0 has no content");
+            throw new MalformedException("version of a content: expected at least 1, got 0");
         }
         return new ConfigurationId(version, ContentDigest.fromBytes(digest));
     }
@@ -219,29 +228,32 @@
 
     // ---- Announcements.
 
-    static byte[] write(Announcement a) {
+    /** Encodes an announcement. */
+    static byte[] write(Announcement announcement) {
         ByteBuffer out = ByteBuffer.allocate(RolloutNode.MAX_ANNOUNCEMENT_BYTES).put((byte) FORMAT);
-        putVersion(out, a.version());
-        out.putLong(a.digestPrefix());
-        putVersion(out, a.chosen());
-        out.put((byte) (a.refused() ? 1 : 0));
+        putVersion(out, announcement.version());
+        out.putLong(announcement.digestPrefix());
+        putVersion(out, announcement.chosen());
+        out.put((byte) (announcement.refused() ? 1 : 0));
         return toBytes(out);
     }
 
+    /** Decodes an announcement. */
     static Announcement readAnnouncement(byte[] body) throws PassedOverException, MalformedException {
         if (body.length < 1 || body.length > RolloutNode.MAX_ANNOUNCEMENT_BYTES) {
-            throw new MalformedException("announcement of " + body.length + " bytes");
+            throw new MalformedException(
+                    "announcement: expected 1 to " + RolloutNode.MAX_ANNOUNCEMENT_BYTES + " bytes, got " + body.length);
         }
         ByteBuffer in = ByteBuffer.wrap(body);
         checkFormat(in);
         try {
-            Announcement a = new Announcement(readVersion(in), in.getLong(), readVersion(in), readFlag(in));
+            Announcement announcement = new Announcement(readVersion(in), in.getLong(), readVersion(in), readFlag(in));
             if (in.hasRemaining()) {
-                throw new MalformedException(in.remaining() + " bytes behind an announcement");
+                throw new MalformedException(in.remaining() + " unexpected bytes after an announcement");
             }
-            return a;
+            return announcement;
         } catch (BufferUnderflowException e) {
-            throw new MalformedException("an announcement is cut off");
+            throw new MalformedException("truncated announcement");
         }
     }
 }
--- a/src/main/java/dockshed/rollout/RolloutCounts.java
+++ b/src/main/java/dockshed/rollout/RolloutCounts.java
@@ -1,29 +1,36 @@
 package dockshed.rollout;
 
-/** Counts since the start; {@link RolloutNode} alone writes them. */
+/** Counts since the start; only {@link RolloutNode} and its parts write them. */
 public final class RolloutCounts {
-    /** Bodies and bytes sent and received. */
+    /** Bodies sent. */
     public long sent;
 
+    /** Bytes of the bodies sent. */
     public long sentBytes;
+    /** Bodies received. */
     public long received;
+    /** Bytes of the bodies received. */
     public long receivedBytes;
-    /** Bodies and announcements that could not be read, and those of unknown kinds or later formats. */
+    /** Bodies and announcements that could not be decoded. */
     public long malformed;
 
+    /** Bodies and announcements of unknown kinds or later formats, and proposals of brokers that are no voters. */
     public long passedOver;
-    /** Bodies of a sender beyond its allowance, and requests that were not served for want of allowance. */
+    /** Bodies from senders that exceeded their rate. */
     public long overAllowance;
 
+    /** Chunk requests answered as busy because of the rates or the slots. */
     public long unserved;
-    /** Rounds of asking the voters, of them without a result. */
+    /** Rounds of requests to the voters. */
     public long rounds;
 
+    /** Rounds that ended without a result. */
     public long roundsWithoutResult;
-    /** Chunks asked for again, and contents whose digest was wrong. */
+    /** Chunks that were requested and did not arrive. */
     public long chunksRequestedAgain;
 
+    /** Downloaded contents whose digest was wrong. */
     public long badDigests;
-    /** Announcements of the version in force here with another content: never of sound brokers. */
+    /** Announcements of the version in force here with another content: correct brokers never send these. */
     public long conflicts;
 }
--- a/src/main/java/dockshed/rollout/RolloutEvent.java
+++ b/src/main/java/dockshed/rollout/RolloutEvent.java
@@ -1,25 +1,31 @@
 package dockshed.rollout;
 
-/** What happened at this broker that an operator may want to know. */
+/** An event at this broker that an operator may need to know of. */
 public sealed interface RolloutEvent {
-    /** A configuration came in force; {@code after}: microseconds since this broker first heard of a newer one. */
+    /**
+     * A configuration was applied; {@code afterUs}: microseconds since this broker was first notified of a newer one, 0
+     * at the start.
+     */
     record InForce(ConfigurationId id, long afterUs) implements RolloutEvent {}
 
-    /** A chosen configuration cannot be used by this program; the one in force stays. */
+    /** A chosen configuration cannot be used by this program; the previous one stays in force. */
     record Refused(ConfigurationId id, String reason) implements RolloutEvent {}
 
-    /** The proposal made here ended. */
+    /** The proposal made at this broker ended. */
     record ProposalEnded(ConfigurationId id, ProposalOutcome outcome) implements RolloutEvent {}
 
-    /** This voter begins without knowing its earlier votes and abstains for now. */
+    /** This voter starts without knowing its earlier votes and abstains for now. */
     record VoterRecovering(String reason) implements RolloutEvent {}
 
-    /** This voter votes from now on, for versions above the one named. */
+    /** This voter votes from now on, for versions above {@code floor}. */
     record VoterReady(long floor) implements RolloutEvent {}
 
     /** A record could not be saved or read. */
     record StorageFailed(String reason) implements RolloutEvent {}
 
-    /** Another broker announces or serves what a majority of voters does not know; it is not listened to for a while. */
+    /**
+     * Another broker announces a version that no voter knows, or served a content with a wrong digest; it is ignored
+     * for {@link SourceTable#AVOID_TIME_US}.
+     */
     record SourceAvoided(int broker, String reason) implements RolloutEvent {}
 }
--- a/src/main/java/dockshed/rollout/RolloutListener.java
+++ b/src/main/java/dockshed/rollout/RolloutListener.java
@@ -1,6 +1,6 @@
 package dockshed.rollout;
 
-/** Hears of events, in the order in which they happen, on the thread that calls {@link RolloutNode}. */
+/** Receives events, in the order in which they happen, on the thread that calls {@link RolloutNode}. */
 public interface RolloutListener {
     void onEvent(long now, RolloutEvent event);
 }
--- a/src/main/java/dockshed/rollout/RolloutNode.java
+++ b/src/main/java/dockshed/rollout/RolloutNode.java
@@ -14,28 +14,31 @@
 import java.util.SplittableRandom;
 
 /**
- * One broker's part in the spread of configuration. Calls come from one thread, with a time that never goes back.
+ * One broker's part in the distribution of the configuration. Calls come from one thread, with a time that never goes
+ * back.
  *
- * <p>The gossip carries {@link #announcement()} in every datagram and hands what it receives to {@link
- * #receiveAnnouncement}; bodies of {@link Outbox} travel in datagrams of their own and arrive at {@link #receive}. Both may
- * be lost, repeated, late or made up.
+ * <p>The gossip carries {@link #announcement()} in every datagram and passes the announcements that it receives to
+ * {@link #receiveAnnouncement}; bodies sent to the {@link Outbox} travel in datagrams of their own and arrive at {@link
+ * #receive}. Both may be lost, duplicated, delayed or forged.
  */
 public final class RolloutNode {
-    /** Bytes of a body at most. */
+    /** Maximum length of a body. */
     public static final int MAX_BODY_BYTES = 240;
-    /** Bytes of an announcement at most. */
+    /** Maximum length of an announcement. */
     public static final int MAX_ANNOUNCEMENT_BYTES = 24;
-    /** Between two calls of {@link #tick} at most, in microseconds. */
+    /** Maximum time between two calls of {@link #tick}, in microseconds. */
     static final long MAX_TICK_GAP_US = 500_000;
-    /** Questions of one broker that are answered: so many a second, so many at once. */
+    /** Requests from one broker that are answered per second. */
     static final double REQUESTS_PER_SECOND_PER_BROKER = 20;
 
+    /** Requests from one broker that are answered at once. */
     static final double REQUEST_BURST_PER_BROKER = 40;
-    /** Questions that are answered in all, a second and at once. */
+    /** Requests from all brokers together that are answered per second. */
     static final double REQUESTS_PER_SECOND = 400;
 
+    /** Requests from all brokers together that are answered at once. */
     static final double REQUEST_BURST = 600;
-    /** Brokers whose questions are counted, those that asked last. */
+    /** Brokers whose request rates are tracked, those that asked last. */
     static final int MAX_TRACKED_BROKERS = 256;
 
     private final RolloutSettings settings;
@@ -43,7 +46,7 @@
     private final RolloutCounts counts = new RolloutCounts();
     private final SourceTable sources = new SourceTable();
     private final Learner learner;
-    private final Voter voter; // null: this broker is none
+    private final Voter voter; // null: this broker is no voter
     private final Proposer proposer;
     private final ChunkServer server;
     private final TokenBucket totalRequestBucket;
@@ -51,7 +54,7 @@
     private final ArrayDeque<RolloutMessage> selfMessages = new ArrayDeque<>();
     private byte[] announcement;
 
-    /** Begins with what the storage holds; puts the configuration in force that it held, if this program can use it. */
+    /** Starts from what the storage holds, and applies the stored configuration if this program can use it. */
     public RolloutNode(
             RolloutSettings settings,
             long now,
@@ -81,7 +84,7 @@
 
     // ---- Time.
 
-    /** Does what is due; may be called early. */
+    /** Does what is due; calls that come early do no harm. */
     public void tick(long now) {
         learner.tick(now);
         if (voter != null) {
@@ -91,7 +94,7 @@
         deliverSelfMessages(now);
     }
 
-    /** When {@link #tick} is to be called at the latest. */
+    /** When {@link #tick} has to be called at the latest, in microseconds. */
     public long nextTickAt(long now) {
         long due = Math.min(
                 learner.nextTickAt(),
@@ -99,15 +102,15 @@
         return Math.max(now, Math.min(now + MAX_TICK_GAP_US, due));
     }
 
-    /** Proposes a configuration; the listener hears how it ends. */
+    /** Proposes a configuration; the listener receives a {@link RolloutEvent.ProposalEnded}. */
     public void propose(long now, Configuration configuration) {
         proposer.propose(now, configuration);
         deliverSelfMessages(now);
     }
 
-    // ---- What comes.
+    // ---- Receiving.
 
-    /** Takes a body that another broker sent. Never throws, whatever it holds. */
+    /** Handles a body from another broker. Never throws, whatever the body contains. */
     public void receive(long now, int from, byte[] body) {
         counts.received++;
         counts.receivedBytes += body.length;
@@ -130,13 +133,13 @@
         deliverSelfMessages(now);
     }
 
-    /** Questions cost an answer; answers that nobody asked for cost nothing. */
+    /** Whether the rates allow a message. Requests cost an answer; answers that were not asked for cost nothing. */
     private boolean isAllowed(long now, int from, RolloutMessage message) {
         if (message instanceof Report || message instanceof Chunk || message instanceof Unavailable) {
             return true;
         }
         TokenBucket own = requestBuckets.computeIfAbsent(
-                from, b -> new TokenBucket(now, REQUESTS_PER_SECOND_PER_BROKER, REQUEST_BURST_PER_BROKER));
+                from, broker -> new TokenBucket(now, REQUESTS_PER_SECOND_PER_BROKER, REQUEST_BURST_PER_BROKER));
         return own.tryTake(now, 1) && totalRequestBucket.tryTake(now, 1);
     }
 
@@ -171,7 +174,7 @@
         }
     }
 
-    /** Takes an announcement that came with another broker's datagram. Never throws, whatever it holds. */
+    /** Handles an announcement that came with another broker's datagram. Never throws, whatever it contains. */
     public void receiveAnnouncement(long now, int from, byte[] body) {
         if (from < 0 || from >= settings.members() || from == settings.me()) {
             counts.malformed++;
@@ -186,7 +189,7 @@
         }
     }
 
-    // ---- What goes out.
+    // ---- Sending.
 
     private void send(long now, int to, RolloutMessage message) {
         if (to == settings.me()) {
@@ -199,7 +202,7 @@
         outbox.send(to, body);
     }
 
-    /** Delivers what this broker said to itself, and renews what it announces. */
+    /** Delivers the messages that this broker sent to itself, and updates its announcement. */
     private void deliverSelfMessages(long now) {
         for (RolloutMessage next = selfMessages.poll(); next != null; next = selfMessages.poll()) {
             handle(now, settings.me(), next);
@@ -207,13 +210,14 @@
         announcement = RolloutCodec.write(learner.announcement());
     }
 
-    /** What every datagram of the gossip carries: at most {@link #MAX_ANNOUNCEMENT_BYTES} bytes; never empty. */
+    /** What every gossip datagram carries: at most {@link #MAX_ANNOUNCEMENT_BYTES} bytes, never empty. */
     public byte[] announcement() {
         return announcement;
     }
 
-    // ---- What is read.
+    // ---- Status.
 
+    /** The configuration in force, the phase of the voter, and how many other brokers are up to date. */
     public RolloutStatus status(long now) {
         return new RolloutStatus(
                 learner.inForceId(),
@@ -223,6 +227,7 @@
                 sources.countBelow(now, learner.version()));
     }
 
+    /** Counts since the start; they go on changing. */
     public RolloutCounts counts() {
         return counts;
     }
--- a/src/main/java/dockshed/rollout/TokenBucket.java
+++ b/src/main/java/dockshed/rollout/TokenBucket.java
@@ -1,6 +1,6 @@
 package dockshed.rollout;
 
-/** A token bucket: so much a second, and so much at once after a rest. */
+/** A token bucket: a rate per second, and a burst that may be used at once after an idle time. */
 final class TokenBucket {
     private final double perSecond;
     private final double burst;
@@ -14,14 +14,14 @@
         refilledAt = now;
     }
 
-    /** Whether an amount is there. */
+    /** Whether that many tokens are available. */
     boolean hasTokens(long now, double amount) {
         tokens = Math.min(burst, tokens + (now - refilledAt) * perSecond / 1e6);
         refilledAt = now;
         return tokens >= amount;
     }
 
-    /** Takes an amount if it is there. */
+    /** Takes that many tokens if they are available. */
     boolean tryTake(long now, double amount) {
         if (!hasTokens(now, amount)) {
             return false;
--- a/src/main/java/dockshed/rollout/VoteStorage.java
+++ b/src/main/java/dockshed/rollout/VoteStorage.java
@@ -3,11 +3,14 @@
 import java.util.Optional;
 
 /**
- * What outlives the process. A record is written whole or not at all: what is read back is the last one saved, or it is
- * told to be unusable. Calls return once the record is durable.
+ * State that survives the process. A record is written completely or not at all: a read returns the last record saved,
+ * or reports it as unusable. Calls return once the record is durable.
  */
 public interface VoteStorage {
-    /** A record could not be written, or what is there cannot be used (torn, foreign, of a later program). */
+    /**
+     * A record could not be written, or the stored one cannot be used: truncated, of another broker, or written by a
+     * later program.
+     */
     final class StorageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -16,13 +19,13 @@
         }
     }
 
-    /** The voter's record; empty: there is none. */
+    /** Reads the voter's record; empty if there is none. */
     Optional<VoterRecord> loadVoter() throws StorageException;
 
     /** Makes the voter's record durable. */
     void saveVoter(VoterRecord record) throws StorageException;
 
-    /** The configuration last in force here; empty: none was saved. */
+    /** Reads the configuration that was last in force here; empty if none was saved. */
     Optional<Configuration> loadInForce() throws StorageException;
 
     /** Makes the configuration in force durable. */
--- a/src/main/java/dockshed/rollout/Voter.java
+++ b/src/main/java/dockshed/rollout/Voter.java
@@ -11,46 +11,57 @@
 import java.util.Optional;
 
 /**
- * A voter: votes for at most one content of a version, and only for versions above all that it voted for. A content is
+ * A voter: votes for at most one content of a version, and only for versions above all those it voted for. A content is
  * <em>chosen</em> once a majority of the voters have voted for it.
  *
- * <p>Why no two contents of one version are ever counted as chosen:
+ * <p>Why two contents of one version are never both counted as chosen:
  * <ol>
- * <li>A voter answers with a vote only once its record of it is durable, and its record allows one vote a version: {@link
- * #vote} refuses every version up to the highest one it voted for.
- * <li>The voters are the same at every broker, so two majorities have a voter in common. As long as no voter forgets, that
- * voter voted for both contents, which 1 excludes.
- * <li>A voter whose record is missing or unusable does not know its votes. It abstains ({@link VoterPhase#RECOVERING}) for
- * the longest time for which an answer counts ({@link VoterRound#DURATION_US}, lengthened by {@link VoterRound#MAX_CLOCK_DRIFT}). Whoever
- * counts answers counts them from when it asked, which is before they were given; so after that time no count that is
- * still going on holds a vote that was forgotten.
- * <li>Only then it asks the other voters, and begins to vote once a majority of these others, none of them recovering, have
- * told it the highest version they voted for. A content that was chosen with a forgotten vote has the votes of a majority
- * less one, all given by then (3). Of n voters that is (n-1)/2 of the n-1 others; a majority of the others is (n-1)/2+1;
- * together more than n-1, so one of those asked is among them, and the recovering voter votes only above that version.
- * <li>One that answered such a question and recovered before had the same said to it, so what it reports is no lower:
- * {@code floor} in its record.
- * <li>The rule in 4 would keep all waiting for ever at the first start, when nobody has a record. A voter to which all
- * others have answered within one round, none with a record, is {@link VoterPhase#READY}: there were no votes. It votes
- * once a majority, itself included, is ready or votes; from then on the others join by 4.
+ * <li>A voter answers with a vote only once its record of the vote is durable, and its record allows one vote per
+ * version: {@link #vote} is not reached for any version up to the highest one it voted for.
+ * <li>The voters are the same at every broker, so any two majorities have a voter in common. As long as no voter
+ * forgets its votes, that voter would have voted for both contents, which 1 excludes.
+ * <li>A voter whose record is missing or unusable does not know its votes. It abstains ({@link VoterPhase#RECOVERING})
+ * for the longest time for which an answer counts ({@link VoterRound#DURATION_US}, lengthened by {@link
+ * VoterRound#MAX_CLOCK_DRIFT}). Whoever counts answers counts that time from the request, which is sent before any
+ * answer is given; so afterwards no count still in progress includes a forgotten vote.
+ * <li>Only then does it ask the other voters, and it begins to vote once a majority of these others, none of them
+ * recovering, have reported the highest version they voted for. A content that was chosen with a forgotten vote has the
+ * votes of a majority less one, all given by then (3). Of n voters that is (n-1)/2 of the n-1 others; a majority of the
+ * others is (n-1)/2+1; together that is more than n-1, so at least one voter that reported is among them, and the
+ * recovering voter votes only above that version.
+ * <li>A voter that reported and had itself recovered earlier had received the same answers, so the version it reports
+ * is no lower: {@code floor} in its record.
+ * <li>At the very first start, when no voter has a record, the rule in 4 would make all of them wait for ever. A voter
+ * that has answers from all others within one round, none with a record, becomes {@link VoterPhase#READY}: there were
+ * no votes. It begins to vote once a majority, itself included, is ready or votes; from then on the others join by 4.
  * </ol>
- * What this rests on: fewer than a majority of the voters lose their records at a time (all at once is a first start), clocks'
- * rates differ by less than {@link VoterRound#MAX_CLOCK_DRIFT}, and voters run this program; the other brokers may say what they like.
  *
- * <p>A voter that reports a version as in force counts as one that voted for it: it has it only because it was chosen.
+ * <p>Assumptions: fewer than a majority of the voters lose their records at the same time (if all do, it is a first
+ * start), the rates of the clocks differ by less than {@link VoterRound#MAX_CLOCK_DRIFT}, and the voters run this
+ * program; all other brokers may send anything.
+ *
+ * <p>A voter that reports a version as in force counts as having voted for it: it has that version only because it was
+ * chosen.
  */
 final class Voter {
-    /** How far above all that it knows a version may be: numbers are not to be used up by one broker's mistake. */
+    /**
+     * How far a proposed version may be above the highest one known here: one broker's mistake must not use up the
+     * numbers.
+     */
     static final long MAX_VERSIONS_AHEAD = 1024;
-    /** A proposer that brought no content in that time is not fetched from for {@link #PROPOSER_PAUSE_US}. */
+    /** Time in microseconds for which nothing is downloaded from a proposer that did not deliver its content. */
     static final long PROPOSER_PAUSE_US = 5_000_000;
 
-    /** A record that cannot be saved is told of so often at most. */
+    /** Minimum time between two events about a record that cannot be saved, in microseconds. */
     private static final long MIN_FAILURE_EVENT_GAP_US = 10_000_000;
 
+    /**
+     * Time for which a voter without its record abstains before it asks the others, in microseconds: see 3 in the class
+     * comment.
+     */
     private static final long RECOVERY_WAIT_US = (long) (VoterRound.DURATION_US * (1 + 2 * VoterRound.MAX_CLOCK_DRIFT));
 
-    /** What the learner at the same broker has in force; null: nothing. */
+    /** Reads which configuration the learner at the same broker has in force; null: none. */
     interface InForceSource {
         ConfigurationId id();
     }
@@ -62,11 +73,11 @@
     private VoterRecord record = new VoterRecord(false, 0, List.of(), null);
     private VoterRound recovery;
     private Download download;
-    private Configuration fetched; // for a vote that is not given yet
+    private Configuration fetched; // for a vote that has not been given yet
     private Configuration ownProposal; // proposed at this broker
-    private ConfigurationId invalid; // a content that this program cannot use
+    private ConfigurationId invalid; // the latest content that this program cannot use
     private int proposer = -1;
-    private Proposal fetchingProposal; // that is being fetched
+    private Proposal fetchingProposal; // whose content is being downloaded
     private long nextFailureEventAt = Long.MIN_VALUE;
     private final BoundedMap<Integer, Long> pausedUntil = new BoundedMap<>(RolloutSettings.MAX_VOTERS);
 
@@ -83,11 +94,11 @@
         }
     }
 
-    /** Why the record is not to be had; null: it was read. */
+    /** Reads the record; returns why it is not available, or null if it was read. */
     private String load() {
         try {
             Optional<VoterRecord> loaded = context.storage().loadVoter();
-            loaded.ifPresent(r -> record = r);
+            loaded.ifPresent(read -> record = read);
             return loaded.isPresent() ? null : "no record of earlier votes";
         } catch (StorageException e) {
             return e.getMessage();
@@ -98,7 +109,7 @@
         return phase;
     }
 
-    /** The contents that it can serve to others. */
+    /** The contents that this voter can serve to other brokers. */
     List<Configuration> contents() {
         List<Configuration> out = new ArrayList<>();
         if (record.content() != null) {
@@ -112,6 +123,7 @@
 
     // ---- Time.
 
+    /** When {@link #tick} is due. */
     long nextTickAt() {
         long due = recovery != null
                 ? recovery.nextTickAt()
@@ -119,6 +131,7 @@
         return download == null ? due : Math.min(due, download.nextTickAt());
     }
 
+    /** Goes on with a recovery and a download. */
     void tick(long now) {
         if (phase != VoterPhase.VOTING) {
             recover(now);
@@ -155,14 +168,14 @@
         }
     }
 
-    /** Takes another voter's answer; false: it was not asked for here. */
+    /** Handles another voter's answer; false if this recovery did not ask for it. */
     boolean reportReceived(long now, int from, Report report) {
         if (recovery == null || phase == VoterPhase.VOTING || !recovery.reportReceived(now, from, report)) {
             return false;
         }
         int others = context.settings().voters().size() - 1;
         long withRecord = recovery.reports().values().stream()
-                .filter(r -> r.phase() != VoterPhase.RECOVERING)
+                .filter(received -> received.phase() != VoterPhase.RECOVERING)
                 .count();
         boolean nobodyVotes = recovery.votingVoters() == 0;
         if (phase == VoterPhase.RECOVERING && withRecord >= others / 2 + 1) {
@@ -178,6 +191,7 @@
         return true;
     }
 
+    /** The highest version that this voter or any voter that answered knows of. */
     private long reportedFloor() {
         return Math.max(highest(), recovery.highest());
     }
@@ -205,6 +219,7 @@
         return Math.max(record.floor(), Math.max(voted, here));
     }
 
+    /** Answers what this voter voted for and has in force. */
     void reportRequested(long now, int from, ReportRequest request) {
         sendReport(now, from, request.round(), request.above(), false);
     }
@@ -220,35 +235,42 @@
         context.sender().send(now, to, new Report(round, phase, refused, highest(), known));
     }
 
-    void proposalReceived(long now, int from, Proposal p) {
+    /**
+     * Votes for a proposal of another voter or of this broker, after downloading its content if necessary, or reports
+     * why not.
+     */
+    void proposalReceived(long now, int from, Proposal proposal) {
         if (!context.settings().isVoter(from)) {
             context.counts().passedOver++;
             return;
         }
         boolean open = phase == VoterPhase.VOTING
-                && p.id().version() > highest()
-                && p.id().version() <= highest() + MAX_VERSIONS_AHEAD;
-        if (!open || p.id().equals(invalid)) {
-            sendReport(now, from, p.round(), p.above(), open);
-        } else if (contentOf(p.id()) != null) {
-            vote(now, from, p);
-        } else if (download != null && download.id().equals(p.id()) && from == proposer) {
-            fetchingProposal = p; // a later round of the same
+                && proposal.id().version() > highest()
+                && proposal.id().version() <= highest() + MAX_VERSIONS_AHEAD;
+        if (!open || proposal.id().equals(invalid)) {
+            sendReport(now, from, proposal.round(), proposal.above(), open);
+        } else if (contentOf(proposal.id()) != null) {
+            vote(now, from, proposal);
+        } else if (download != null && download.id().equals(proposal.id()) && from == proposer) {
+            fetchingProposal = proposal; // a later round of the same proposal
         } else if (from != context.settings().me() && mayFetch(now, from)) {
-            fetch(now, from, p);
+            fetch(now, from, proposal);
         }
     }
 
-    /** One content is fetched at a time; a proposer that falls silent holds no other up. */
+    /**
+     * Whether a download may start now: there is one at a time, and a proposer that does not answer must not delay the
+     * others.
+     */
     private boolean mayFetch(long now, int from) {
         boolean free = download == null || download.isStalled(now);
         return free && pausedUntil.getOrDefault(from, Long.MIN_VALUE) <= now;
     }
 
-    private void fetch(long now, int from, Proposal p) {
+    private void fetch(long now, int from, Proposal proposal) {
         proposer = from;
-        fetchingProposal = p;
-        download = new Download(context, now, p.id(), t -> List.of(from), (t, bad) -> fetchFailed(t, from));
+        fetchingProposal = proposal;
+        download = new Download(context, now, proposal.id(), at -> List.of(from), (at, bad) -> fetchFailed(at, from));
     }
 
     private void fetchFailed(long now, int from) {
@@ -256,7 +278,7 @@
         download = null;
     }
 
-    /** Takes a chunk of what it fetches; false: it is not for this part. */
+    /** Handles a chunk; ignored unless it belongs to the download in progress. */
     void chunkReceived(long now, int from, Chunk chunk) {
         Configuration whole = download == null ? null : download.chunkReceived(now, from, chunk);
         if (whole != null) {
@@ -271,12 +293,12 @@
         }
     }
 
-    /** The content of a proposal made at this broker. */
+    /** Supplies the content of a proposal made at this broker. */
     void provide(Configuration configuration) {
         ownProposal = configuration;
     }
 
-    /** The content of that identity, if it is here; else null. */
+    /** The content of a configuration, or null if it is not available here. */
     private Configuration contentOf(ConfigurationId id) {
         if (ownProposal != null && ownProposal.id().equals(id)) {
             return ownProposal;
@@ -294,17 +316,17 @@
         proposalReceived(now, proposer, fetchingProposal);
     }
 
-    private void vote(long now, int from, Proposal p) {
-        List<ConfigurationId> votes = new ArrayList<>(List.of(p.id()));
+    private void vote(long now, int from, Proposal proposal) {
+        List<ConfigurationId> votes = new ArrayList<>(List.of(proposal.id()));
         votes.addAll(record.votes());
         List<ConfigurationId> latest = votes.subList(0, Math.min(votes.size(), VoterRecord.MAX_VOTES));
-        if (save(now, new VoterRecord(true, p.id().version(), latest, contentOf(p.id())))) {
+        if (save(now, new VoterRecord(true, proposal.id().version(), latest, contentOf(proposal.id())))) {
             fetched = null;
-            sendReport(now, from, p.round(), p.above(), false);
+            sendReport(now, from, proposal.round(), proposal.above(), false);
         }
     }
 
-    /** Makes a record durable and takes it; false: it is not, and nothing changed. */
+    /** Makes a record durable, then uses it; returns false, with nothing changed, if it could not be saved. */
     private boolean save(long now, VoterRecord next) {
         try {
             context.storage().saveVoter(next);
--- a/src/main/java/dockshed/rollout/VoterPhase.java
+++ b/src/main/java/dockshed/rollout/VoterPhase.java
@@ -1,10 +1,10 @@
 package dockshed.rollout;
 
-/** What a voter may do. */
+/** Whether a voter votes. The order is that of the wire. */
 public enum VoterPhase {
-    /** It does not know its earlier votes: abstains. */
+    /** Does not know its earlier votes, and abstains. */
     RECOVERING,
-    /** All voters began without a record; it waits for a majority to be ready: abstains. */
+    /** No voter had a record at the first start; abstains until a majority is ready. */
     READY,
     /** Votes. */
     VOTING
--- a/src/main/java/dockshed/rollout/VoterRound.java
+++ b/src/main/java/dockshed/rollout/VoterRound.java
@@ -6,18 +6,18 @@
 import java.util.SplittableRandom;
 
 /**
- * One round of asking the voters. Answers count from when the round began, which is before any of them was given, and for
- * {@link #DURATION_US}: {@link Voter}'s argument rests on that.
+ * One round of requests to the voters. Answers count for {@link #DURATION_US} from the start of the round, which is
+ * before any of them was given; the reasoning in {@link Voter} depends on that.
  */
 final class VoterRound {
-    /** Microseconds for which an answer counts at most. */
+    /** Maximum time for which an answer counts, in microseconds. */
     static final long DURATION_US = 2_000_000;
-    /** Of 1: how much faster one broker's clock may run than another's. */
+    /** How much faster one broker's clock may run than another's, as a fraction. */
     static final double MAX_CLOCK_DRIFT = 0.01;
-    /** Voters that have not answered are asked again after so long, then after twice that. */
+    /** Delay before voters that have not answered are asked again, in microseconds; doubled each time. */
     static final long FIRST_RETRY_DELAY_US = 400_000;
 
-    /** Asks one voter: the question carries the round's number. */
+    /** Sends a request to one voter, with the round's number. */
     interface VoterRequest {
         void ask(long now, int voter, int round);
     }
@@ -30,7 +30,10 @@
     private long retryAt;
     private long retryDelay = FIRST_RETRY_DELAY_US;
 
-    /** Begins a round and asks {@code first} voters, chosen at random; the others hear of it if those do not answer. */
+    /**
+     * Starts a round and sends the request to {@code first} voters, chosen at random; the others are asked if those do
+     * not answer.
+     */
     VoterRound(RolloutSettings settings, SplittableRandom random, long now, int first, VoterRequest question) {
         this.settings = settings;
         this.request = question;
@@ -44,25 +47,27 @@
         }
     }
 
+    /** Whether the answers do not count any more. */
     boolean isOver(long now) {
         return now - startedAt >= DURATION_US;
     }
 
-    /** Whether every voter answered, or had a time to do so. */
-    boolean allVotersConsidered(long now, long patience) {
-        return reports.size() == settings.voters().size() || now - startedAt >= patience;
+    /** Whether every voter has answered, or has had {@code maxWait} microseconds to do so. */
+    boolean allVotersConsidered(long now, long maxWait) {
+        return reports.size() == settings.voters().size() || now - startedAt >= maxWait;
     }
 
-    /** When {@link #allVotersConsidered} is true at the latest. */
-    long allVotersConsideredAt(long patience) {
-        return startedAt + patience;
+    /** When {@link #allVotersConsidered} becomes true at the latest. */
+    long allVotersConsideredAt(long maxWait) {
+        return startedAt + maxWait;
     }
 
-    /** When {@link #tick} has something to do. */
+    /** When {@link #tick} is due. */
     long nextTickAt() {
         return Math.min(retryAt, startedAt + DURATION_US);
     }
 
+    /** Asks the voters that have not answered again. */
     void tick(long now) {
         if (isOver(now) || now < retryAt) {
             return;
@@ -76,7 +81,7 @@
         }
     }
 
-    /** Takes a voter's answer; false: it is not one to this round, or too late. */
+    /** Records a voter's answer; false if it belongs to another round or is too late. */
     boolean reportReceived(long now, int from, Report report) {
         if (report.round() != number || isOver(now) || !settings.isVoter(from)) {
             return false;
@@ -90,7 +95,7 @@
         return reports;
     }
 
-    /** Voters that voted for it or have it in force. */
+    /** Voters that voted for a configuration or have it in force. */
     int votersKnowing(ConfigurationId id) {
         int count = 0;
         for (Report report : reports.values()) {
@@ -99,7 +104,7 @@
         return count;
     }
 
-    /** The highest version above one given that a majority knows; null: there is none. */
+    /** The highest configuration above a version that a majority knows; null if there is none. */
     ConfigurationId chosenAbove(long version) {
         ConfigurationId best = null;
         for (Report report : reports.values()) {
@@ -113,7 +118,7 @@
         return best;
     }
 
-    /** What a majority knows at a version; null: nothing. */
+    /** The configuration of a version that a majority knows; null if there is none. */
     ConfigurationId chosenAt(long version) {
         for (Report report : reports.values()) {
             ConfigurationId id = report.knownAt(version);
@@ -124,14 +129,14 @@
         return null;
     }
 
-    /** Answers of voters that vote. */
+    /** Answers from voters that vote. */
     int votingVoters() {
         return (int) reports.values().stream()
-                .filter(r -> r.phase() == VoterPhase.VOTING)
+                .filter(report -> report.phase() == VoterPhase.VOTING)
                 .count();
     }
 
-    /** The highest version that any answer names. */
+    /** The highest version in any answer; 0 if there is none. */
     long highest() {
         return reports.values().stream().mapToLong(Report::highest).max().orElse(0);
     }
--- a/src/main/java/dockshed/rollout/host/FileVoteStorage.java
+++ b/src/main/java/dockshed/rollout/host/FileVoteStorage.java
@@ -22,19 +22,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records in a directory, a file each. A file is written whole under a temporary name, forced to the disk and renamed, and
- * the rename is forced too; so what stands under the name is an old record or a new one, never a part. A checksum tells
- * what a disk spoilt, and the broker's number what belongs to another.
+ * Stores records in a directory, one file each. A file is written completely under a temporary name, forced to disk and
+ * renamed, and the rename is forced to disk too; so the file of a record is always an old or a new version, never a
+ * part of one. A checksum detects damaged files, and the broker's number detects files of another broker.
  */
 public final class FileVoteStorage implements VoteStorage {
+    /** Name of the voter's record in the directory. */
     static final String VOTER_FILE = "voter";
+    /** Name of the configuration in force in the directory. */
     static final String IN_FORCE_FILE = "in-force";
-    /** No record is longer. */
+    /** Maximum length of a file: anything longer is not a record. */
     static final int MAX_RECORD_BYTES = Configuration.MAX_BYTES + 4096;
 
     private static final int MAGIC = 0xD0C5_0B01;
     private static final int FORMAT = 1;
+    /** Magic number, format and broker number. */
     private static final int HEADER_BYTES = 4 + 2 + 4;
+
     private static final int CHECKSUM_BYTES = 4;
 
     private interface BodyWriter {
@@ -48,14 +52,17 @@
     private final Path directory;
     private final int broker;
 
-    /** Records of one broker in a directory, which is made if it is not there. */
+    /**
+     * Opens the records of one broker in a directory, which is created if it does not exist; throws StorageException if
+     * it cannot be created.
+     */
     public FileVoteStorage(Path directory, int broker) throws StorageException {
         this.directory = directory;
         this.broker = broker;
         try {
             Files.createDirectories(directory);
         } catch (IOException e) {
-            throw new StorageException(directory + ": cannot be made: " + e, e);
+            throw new StorageException(directory + ": cannot create directory: " + e, e);
         }
     }
 
@@ -79,7 +86,7 @@
         save(IN_FORCE_FILE, out -> writeConfiguration(configuration, out));
     }
 
-    // ---- Bodies.
+    // ---- Encoding.
 
     private static void writeVoter(VoterRecord record, DataOutputStream out) throws IOException {
         out.writeBoolean(record.joined());
@@ -138,7 +145,7 @@
                 names.force(true);
             }
         } catch (IOException e) {
-            throw new StorageException(directory.resolve(name) + ": not saved: " + e, e);
+            throw new StorageException(directory.resolve(name) + ": cannot save record: " + e, e);
         }
     }
 
@@ -171,7 +178,7 @@
         }
         try {
             if (Files.size(file) > MAX_RECORD_BYTES) {
-                throw new IOException("longer than " + MAX_RECORD_BYTES + " bytes");
+                throw new IOException("expected at most " + MAX_RECORD_BYTES + " bytes, got more");
             }
             byte[] bytes = Files.readAllBytes(file);
             checkHeader(bytes);
@@ -179,25 +186,25 @@
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, bodyBytes));
             T record = reader.read(in);
             if (in.available() > 0) {
-                throw new IOException(in.available() + " bytes too many");
+                throw new IOException(in.available() + " unexpected bytes after the record");
             }
             return Optional.of(record);
         } catch (IOException | IllegalArgumentException e) {
-            throw new StorageException(file + ": cannot be used: " + e.getMessage(), e);
+            throw new StorageException(file + ": cannot use record: " + e.getMessage(), e);
         }
     }
 
     private void checkHeader(byte[] bytes) throws IOException {
         if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES) {
-            throw new IOException("cut off at " + bytes.length + " bytes");
+            throw new IOException("truncated after " + bytes.length + " bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int covered = bytes.length - CHECKSUM_BYTES;
         if (in.getInt(covered) != checksum(bytes, covered)) {
-            throw new IOException("its checksum does not match");
+            throw new IOException("checksum does not match");
         }
         if (in.getInt() != MAGIC || in.getShort() != FORMAT) {
-            throw new IOException("not a record of this format");
+            throw new IOException("expected a record of format " + FORMAT + ", got another magic number or format");
         }
         int owner = in.getInt();
         if (owner != broker) {
--- a/src/main/java/dockshed/rollout/host/RolloutHost.java
+++ b/src/main/java/dockshed/rollout/host/RolloutHost.java
@@ -23,28 +23,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a {@link RolloutNode} as an extension of the gossip, on the gossip's thread, and logs what happens. A proposal may
+ * Runs a {@link RolloutNode} as an extension of the gossip, on the gossip's thread, and logs its events. A proposal may
  * come from any thread.
  */
 public final class RolloutHost implements GossipExtension {
-    /** Microseconds between two log lines of figures. */
+    /** Time between two log lines of figures, in microseconds. */
     private static final long FIGURES_LOG_PERIOD_US = 10_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(RolloutHost.class);
 
-    /** A document that was read and waits for the gossip's thread. */
+    /** A document that has been read and waits for the gossip's thread. */
     private record PendingProposal(Path file, RolloutDocument document, Configuration configuration) {}
 
     private final RolloutNode node;
     private final Consumer<RolloutDocument> applier;
     private final AtomicReference<PendingProposal> pending = new AtomicReference<>();
-    private PendingProposal current; // the latest one put to the vote
+    private PendingProposal current; // the latest proposal started
     private long nextFiguresAt;
 
     /**
-     * @param now     of the clock that the gossip goes by
+     * Creates the host and starts the node from what the storage holds.
+     *
+     * @param now     by the clock that the gossip uses, in microseconds
+     * @param seed    of the node's random numbers
      * @param outbox  sends a body in the gossip's datagrams
-     * @param applier puts a document in force; called on the gossip's thread
+     * @param applier applies a document; called on the gossip's thread
      */
     public RolloutHost(
             RolloutSettings settings,
@@ -59,16 +62,16 @@
         nextFiguresAt = now + FIGURES_LOG_PERIOD_US;
     }
 
-    /** Reads a document and proposes it; what is wrong with it is logged, and nothing changes. From any thread. */
+    /** Reads a document and proposes it, from any thread. An unusable document is logged and changes nothing. */
     public void propose(Path file) {
         try {
             byte[] content = RolloutDocument.load(file, Configuration.MAX_BYTES);
             RolloutDocument document = RolloutDocument.read(file.toString(), content);
             PendingProposal next = new PendingProposal(file, document, new Configuration(document.version(), content));
             if (!pending.compareAndSet(null, next)) {
-                logRejected(file + ": another proposal waits to be begun");
+                logRejected(file + ": another proposal is waiting to be started");
             }
-        } catch (RuntimeException e) { // whatever is wrong with the file, what is in force stays
+        } catch (RuntimeException e) { // whatever is wrong with the file, the configuration in force stays
             logRejected(e.getMessage());
         }
     }
@@ -77,7 +80,7 @@
         LOG.error("configuration rejected, the previous one stays active: why={}", why);
     }
 
-    /** Validates documents and puts them in force. */
+    /** Validates documents and applies them. */
     private final class DocumentApplier implements ConfigurationApplier {
         private RolloutDocument read(Configuration configuration) {
             return RolloutDocument.read("configuration-" + configuration.version(), configuration.content());
@@ -102,7 +105,7 @@
         }
     }
 
-    // ---- The gossip's extension.
+    // ---- GossipExtension.
 
     @Override
     public void receive(long now, int from, byte[] body) {
@@ -164,27 +167,28 @@
     }
 
     private static String reasonFor(ConfigurationId id, ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.NotNextVersion n) {
-            return "expected " + n.expectedVersion() + ", the next, got " + id.version();
+        if (outcome instanceof ProposalOutcome.NotNextVersion notNext) {
+            return "expected " + notNext.expectedVersion() + ", the next, got " + id.version();
         }
-        if (outcome instanceof ProposalOutcome.OtherContentChosen b) {
-            return "expected a later one, as " + id.version() + " was chosen with digest "
-                    + b.chosen().digest() + ", got digest " + id.digest();
+        if (outcome instanceof ProposalOutcome.OtherContentChosen other) {
+            return "expected a later version, as " + id.version() + " was chosen with digest "
+                    + other.chosen().digest() + ", got digest " + id.digest();
         }
-        if (outcome instanceof ProposalOutcome.SplitVote c) {
-            return "expected " + c.nextVersion() + ", as the voters are split over " + id.version() + ", got "
+        if (outcome instanceof ProposalOutcome.SplitVote split) {
+            return "expected " + split.nextVersion() + ", as the voters are split over " + id.version() + ", got "
                     + id.version();
         }
         if (outcome instanceof ProposalOutcome.Invalid) {
             return "expected a document that a majority of the voters can use, got one that they refuse";
         }
-        if (outcome instanceof ProposalOutcome.Undecided u) {
-            return "expected " + u.needed() + " votes, got " + u.votes() + " in time: propose it again unchanged";
+        if (outcome instanceof ProposalOutcome.Undecided undecided) {
+            return "expected " + undecided.needed() + " votes, got " + undecided.votes()
+                    + " in time: propose it again unchanged";
         }
-        return outcome instanceof ProposalOutcome.Rejected r ? r.reason() : outcome.toString();
+        return outcome instanceof ProposalOutcome.Rejected rejected ? rejected.reason() : outcome.toString();
     }
 
-    // ---- What is logged.
+    // ---- Logging.
 
     private void logEvent(long now, RolloutEvent event) {
         if (event instanceof RolloutEvent.InForce e) {
@@ -196,7 +200,8 @@
                     .log();
         } else if (event instanceof RolloutEvent.Refused e) {
             LOG.error(
-                    "configuration refused, the old one stands: version={} digest={} why={}",
+                    "configuration not usable by this program, the previous one stays active:"
+                            + " version={} digest={} why={}",
                     e.id().version(),
                     e.id().digest(),
                     e.reason());
@@ -207,9 +212,9 @@
         } else if (event instanceof RolloutEvent.VoterReady e) {
             LOG.info("voter votes: above={}", e.floor());
         } else if (event instanceof RolloutEvent.StorageFailed e) {
-            LOG.error("state of the rollout not saved or read: why={}", e.reason());
+            LOG.error("cannot save or read the rollout state: why={}", e.reason());
         } else if (event instanceof RolloutEvent.SourceAvoided e) {
-            LOG.warn("broker not listened to for a minute: broker={} why={}", e.broker(), e.reason());
+            LOG.warn("ignoring a broker for a minute: broker={} why={}", e.broker(), e.reason());
         }
     }
 
--- a/src/main/java/dockshed/rollout/host/package-info.java
+++ b/src/main/java/dockshed/rollout/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Ties {@link dockshed.rollout.RolloutNode} to the gossip, the disk and the log: the thin host of a package that has none
- * of these.
+ * Connects {@link dockshed.rollout.RolloutNode} to the gossip, the disk and the log, none of which that package
+ * accesses itself.
  */
 package dockshed.rollout.host;
--- a/src/main/java/dockshed/rollout/package-info.java
+++ b/src/main/java/dockshed/rollout/package-info.java
@@ -1,15 +1,16 @@
 /**
- * Spread of configuration: a numbered document that the operator changes at one broker and that comes in force at all.
+ * Distribution of the shared configuration: a versioned document that the operator changes at one broker and that all
+ * brokers then apply.
  *
- * <p>A few brokers named by the operator, the voters, decide which content a version has: each votes for one content of a
- * version, durably, and a majority chooses it ({@link dockshed.rollout.Voter}, {@link dockshed.rollout.Proposer}). All
- * brokers learn it ({@link dockshed.rollout.Learner}): they hear of a newer version by the gossip, have it confirmed by a
- * majority of the voters, fetch the content in chunks from whoever has it, check its digest, validate it and put it in
- * force.
+ * <p>A few brokers named by the operator, the voters, decide which content a version has: each votes for one content of
+ * a version, durably, and a majority chooses it ({@link dockshed.rollout.Voter}, {@link dockshed.rollout.Proposer}).
+ * Every broker learns it ({@link dockshed.rollout.Learner}): it is notified of a newer version by the gossip, has it
+ * confirmed by a majority of the voters, downloads the content in chunks from any broker that has it, checks the
+ * digest, validates the content and applies it.
  *
- * <p>No class here has a thread, socket, file, clock or log. Time (microseconds of a clock that never goes back within the
- * process), messages and random numbers are arguments; what goes out goes through {@link dockshed.rollout.Outbox},
- * {@link dockshed.rollout.VoteStorage}, {@link dockshed.rollout.ConfigurationApplier} and
+ * <p>No class here has a thread, socket, file, clock or logger. Time (microseconds of a clock that never goes back
+ * within the process), messages and random numbers are arguments; all output goes through {@link
+ * dockshed.rollout.Outbox}, {@link dockshed.rollout.VoteStorage}, {@link dockshed.rollout.ConfigurationApplier} and
  * {@link dockshed.rollout.RolloutListener}.
  */
 package dockshed.rollout;
--- a/src/test/java/dockshed/rollout/RolloutMutantsTest.java
+++ b/src/test/java/dockshed/rollout/RolloutMutantsTest.java
@@ -51,7 +51,7 @@
 
     static Stream<Mutant> mutants() {
         return Stream.of(
-                mutant("a voter votes twice", "Voter", "&& p.id().version() > highest()", ""),
+                mutant("a voter votes twice", "Voter", "&& proposal.id().version() > highest()", ""),
                 mutant("less than a majority decides", "RolloutSettings", "voters.size() / 2 + 1", "voters.size() / 2"),
                 mutant("the digest is not checked", "Download", "configuration.id().equals(id)", "true"),
                 new Mutant(
