--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -16,39 +16,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The fleet as the broker's loop meets it: a director before the decision module (and before the retry-storm part). It
- * refuses requests below the shedding threshold, samples the load for the other brokers, and tells the module its shares
- * and which edge servers are being probed or reported down. Without a fresh snapshot it lets everything pass: the broker
+ * The fleet's part in the broker's loop: a director in front of the decision module (and of the storm part). It refuses
+ * requests below the shedding threshold, samples the load for the other brokers, and gives the module its shares and
+ * the edge servers that are being probed or reported down. Without a fresh snapshot it lets everything pass: the broker
  * serves alone.
  *
- * <p>Times are microseconds of Unix time on the process's own clock. What all brokers have to compute alike (priorities and
- * retry times) needs clocks within a few tenths of a second of one another, and differs for some clients otherwise.
+ * <p>Times are microseconds of Unix time by the process's own clock. Priorities and retry times must be the same at all
+ * brokers; this needs clocks within a few hundred milliseconds of one another, otherwise they differ for some clients.
  */
 public final class AdmissionFilter extends DirectorFilter {
-    /** Microseconds between two load samples. */
+    /** Time between two load samples, in microseconds. */
     static final long LOAD_SAMPLE_PERIOD_US = 250_000;
-    /** Microseconds before its retry time at which a client still keeps it. */
+    /** A client keeps its retry time if it comes up to this many microseconds before it. */
     static final long EARLY_RETRY_TOLERANCE_US = 250_000;
-    /** Microseconds after its retry time at which a client still keeps it. */
+    /** A client keeps its retry time if it comes up to this many microseconds after it. */
     static final long LATE_RETRY_TOLERANCE_US = 500_000;
-    /** The shortest retry time that is advised, in microseconds. */
+    /** Minimum retry time that is advised, in microseconds. */
     static final long MIN_RETRY_AFTER_US = 250_000;
-    /** Retries of the whole fleet over its requests. */
+    /** Maximum ratio of the whole fleet's retries to its requests. */
     static final double MAX_RETRY_RATIO = 0.15;
-    /** Retries of this broker over its own requests, whatever others claim; and one more. */
+    /**
+     * Maximum ratio of this broker's retries to its own requests, whatever others report; one more retry is always
+     * allowed.
+     */
     static final double MAX_OWN_RETRY_RATIO = 0.5;
 
     /** Microseconds over which retries and requests are counted. */
     private static final long RETRY_WINDOW_US = 5_000_000;
 
     private static final String TIMER_KEY = "fleet";
-    /** The age of a request whose session was displaced: see {@link SheddingThreshold#step}. */
+    /** Age of a request whose session was displaced: see {@link SheddingThreshold#step}. */
     private static final int AGE_DISPLACED = 2;
-    /** The age of a request that returns at its retry time. */
+    /** Age of a request that returns at its retry time. */
     private static final int AGE_RETURNED = 1;
 
     private static final int AGE_FRESH = 0;
-    /** Bounds the age of a snapshot in the log, which has none before the first. */
+    /** Upper limit of the snapshot age in the log, since there is none before the first snapshot. */
     private static final long MAX_LOGGED_AGE_US = 1_000_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionFilter.class);
@@ -57,15 +60,15 @@
     public static final class Counts {
         /** Requests of known classes. */
         public long requests;
-        /** Of them, those refused below the threshold. */
+        /** Requests refused below the threshold. */
         public long shed;
         /** Requests that got a server. */
         public long accepted;
-        /** Requests that the module found no room for. */
+        /** Requests for which the module found no capacity. */
         public long rejected;
-        /** Further attempts. */
+        /** Attempts after a request's first one. */
         public long retries;
-        /** Further attempts that were over the share. */
+        /** Further attempts denied because they exceeded the share. */
         public long retriesDenied;
     }
 
@@ -74,11 +77,11 @@
     private final Supplier<FleetSnapshot> snapshots;
     private final Predicate<LocalEvent> events;
     private final Map<String, Integer> classLevels = new HashMap<>();
-    /** Requests with an attempt behind them; bounded by the broker's requests. */
+    /** Requests that have had an attempt; bounded by the broker's requests. */
     private final Set<String> attempted = new HashSet<>();
     /** Servers that are being probed; bounded by the server list. */
     private final Set<String> avoided = new HashSet<>();
-    /** The counter of the latest storm note handed on, by broker. */
+    /** Counter of the latest storm message passed to the module, by broker. */
     private final Map<Integer, Integer> forwardedMessages = new HashMap<>();
 
     private final ArrayDeque<Long> retryTimes = new ArrayDeque<>();
@@ -115,8 +118,8 @@
         List<Double> worths = List.copyOf(new TreeSet<>(
                 settings.classes().stream().map(SessionClass::worth).toList()));
         int belowLowestLevel = Math.max(0, worths.size() - SheddingThreshold.CLASS_LEVELS);
-        for (SessionClass c : settings.classes()) {
-            classLevels.put(c.name(), Math.max(0, worths.indexOf(c.worth()) - belowLowestLevel));
+        for (SessionClass sessionClass : settings.classes()) {
+            classLevels.put(sessionClass.name(), Math.max(0, worths.indexOf(sessionClass.worth()) - belowLowestLevel));
         }
         this.nextDirector = module.apply(new ModuleActions());
     }
@@ -126,16 +129,16 @@
         return counts;
     }
 
-    /** Whether a server is being probed: then what can go elsewhere goes there. */
-    public void avoid(String server, boolean is) {
-        if (is) {
+    /** Sets whether a server is being probed: sessions that can go to another server then do so. */
+    public void avoid(String server, boolean probed) {
+        if (probed) {
             avoided.add(server);
         } else {
             avoided.remove(server);
         }
     }
 
-    /** The snapshot, if it is fresh; else that of a broker alone. Changes are logged. */
+    /** The snapshot if it is fresh, otherwise the one of a broker alone. Changes between the two are logged. */
     private FleetSnapshot snapshot() {
         FleetSnapshot latest = snapshots.get();
         boolean fresh = latest.isFresh(now);
@@ -151,64 +154,67 @@
 
     // ---- Requests.
 
-    private int step(Request r) {
+    private int step(Request request) {
         int age = AGE_FRESH;
-        if (r.afterMove() || r.afterRefusal()) {
+        if (request.afterMove() || request.afterRefusal()) {
             age = AGE_DISPLACED;
-        } else if (r.retry() && keepsRetryTime(r)) {
+        } else if (request.retry() && keepsRetryTime(request)) {
             age = AGE_RETURNED;
         }
-        return SheddingThreshold.step(classLevels.getOrDefault(r.className(), 0), age);
+        return SheddingThreshold.step(classLevels.getOrDefault(request.className(), 0), age);
     }
 
-    /** The client's hash; a client that gives no name is a new one each time. */
-    private static int clientHash(Request r) {
-        return StableHash.of(r.viewer() == null || r.viewer().isBlank() ? r.id() : r.viewer());
+    /** The client's hash; a client without a name counts as a new one each time. */
+    private static int clientHash(Request request) {
+        return StableHash.of(request.viewer() == null || request.viewer().isBlank() ? request.id() : request.viewer());
     }
 
-    private boolean keepsRetryTime(Request r) {
-        long unit = Math.max(1, out.retryAfterUnit(r.id()));
+    private boolean keepsRetryTime(Request request) {
+        long unit = Math.max(1, out.retryAfterUnit(request.id()));
         return SheddingThreshold.keepsRetryTime(
-                clientHash(r),
+                clientHash(request),
                 now,
                 settings.limits().maxRetryAfter(),
                 EARLY_RETRY_TOLERANCE_US + unit,
                 LATE_RETRY_TOLERANCE_US + unit);
     }
 
-    /** Whether a request that came now would be shed: alike at every broker with the same snapshot. */
-    public boolean isShed(long at, Request r) {
+    /** Whether a request that comes now would be shed: the same at every broker with the same snapshot. */
+    public boolean isShed(long at, Request request) {
         beforeEvent(at);
         int threshold = snapshot().sheddingThreshold();
-        return threshold > 0 && SheddingThreshold.priority(step(r), clientHash(r), now) < threshold;
+        return threshold > 0 && SheddingThreshold.priority(step(request), clientHash(request), now) < threshold;
     }
 
     @Override
-    public void request(long at, Request r) {
+    public void request(long at, Request request) {
         beforeEvent(at);
-        if (!classLevels.containsKey(r.className())) {
-            nextDirector.request(at, r); // fails it
+        if (!classLevels.containsKey(request.className())) {
+            nextDirector.request(at, request); // which fails it
             return;
         }
         counts.requests++;
-        requests[step(r)]++;
-        if (isShed(at, r)) {
+        requests[step(request)]++;
+        if (isShed(at, request)) {
             counts.shed++;
-            out.refuse(r.id(), retryAfter(r));
+            out.refuse(request.id(), retryAfter(request));
             return;
         }
         requestTimes.add(at);
-        nextDirector.request(at, r);
+        nextDirector.request(at, request);
     }
 
-    /** In whole units of what the client's protocol can express; 0: no advice. */
-    private long retryAfter(Request r) {
-        long unit = Math.max(1, out.retryAfterUnit(r.id()));
+    /**
+     * The advised retry time in microseconds, a multiple of the unit that the client's protocol can express; 0: no
+     * advice.
+     */
+    private long retryAfter(Request request) {
+        long unit = Math.max(1, out.retryAfterUnit(request.id()));
         long longest = settings.limits().maxRetryAfter();
         if (longest < unit) {
             return 0;
         }
-        long delay = SheddingThreshold.retryAfter(clientHash(r), now, MIN_RETRY_AFTER_US, longest);
+        long delay = SheddingThreshold.retryAfter(clientHash(request), now, MIN_RETRY_AFTER_US, longest);
         return Math.max(unit, Math.min(longest, delay) / unit * unit);
     }
 
@@ -261,7 +267,7 @@
         });
     }
 
-    // ---- What the module may do.
+    // ---- The module's actions.
 
     private final class ModuleActions extends ForwardingActions {
         ModuleActions() {
@@ -309,7 +315,10 @@
         }
     }
 
-    /** Whether another broker lately reported a server down, which costs at most a choice between servers. */
+    /**
+     * Whether another broker recently reported a server as down. A wrong report costs no more than a choice between
+     * servers.
+     */
     private boolean isReportedDown(String server) {
         FleetSnapshot fleet = snapshot();
         if (fleet.healthReports().isEmpty()) {
@@ -340,8 +349,9 @@
     }
 
     /**
-     * Whether one more retry is within this broker's share of the fleet's retries, which follow the fleet's requests as
-     * replicated, and within what its own requests allow: forged figures of others permit no more than that.
+     * Whether one more retry is within this broker's share of the fleet's retries, which are limited by the replicated
+     * requests of the fleet, and within the limit by its own requests: forged figures of others cannot allow more than
+     * that.
      */
     private boolean retryAllowed() {
         FleetSnapshot fleet = snapshot();
@@ -358,7 +368,7 @@
         return allowed;
     }
 
-    // ---- Events that pass through.
+    // ---- Other events, passed on.
 
     @Override
     public void sessionStarted(long at, String request, int attempt, String server) {
@@ -390,7 +400,7 @@
     @Override
     public void serversChanged(long at, ListScope scope, List<Server> servers) {
         beforeEvent(at);
-        servers.stream().filter(s -> s.state() == State.GONE).forEach(s -> avoided.remove(s.id()));
+        servers.stream().filter(server -> server.state() == State.GONE).forEach(server -> avoided.remove(server.id()));
         nextDirector.serversChanged(at, scope, servers);
     }
 }
--- a/src/main/java/dockshed/fleet/ContactSchedule.java
+++ b/src/main/java/dockshed/fleet/ContactSchedule.java
@@ -9,16 +9,16 @@
 import java.util.SplittableRandom;
 
 /**
- * When this broker contacts one of another scope, and which: the scopes in turn, in a random order, and in each a random
- * broker, whether it is up or not. So every scope hears of every other by many brokers, none of which is special, and
- * the cost for a broker does not depend on the size of the fleet.
+ * When this broker contacts a broker of another scope, and which one: the scopes in turn, in random order, and in each
+ * a random broker, whether it is up or not. So every scope is notified of every other by many brokers, none of which is
+ * special, and the cost for a broker does not depend on the size of the fleet.
  */
 final class ContactSchedule {
-    /** Microseconds between two contacts at most. */
+    /** Maximum time between two contacts, in microseconds. */
     static final long MAX_PERIOD_US = 500_000;
-    /** Microseconds between two contacts at least, where few brokers have to reach many scopes. */
+    /** Minimum time between two contacts, in microseconds, if few brokers have to reach many scopes. */
     static final long MIN_PERIOD_US = 125_000;
-    /** Contacts a second that a scope has from each other one, as far as the bounds of the period allow. */
+    /** Contacts per second that a scope receives from each other scope, within the limits of the period. */
     private static final double CONTACTS_PER_SECOND = 2;
 
     private final ZoneMap zones;
@@ -38,12 +38,12 @@
         dueAt = others == 0 ? Long.MAX_VALUE : now + random.nextLong(period);
     }
 
-    /** When the next contact is due; never in a fleet of one scope. */
+    /** When the next contact is due; Long.MAX_VALUE in a fleet of one scope. */
     long dueAt() {
         return dueAt;
     }
 
-    /** The broker to contact now; the next contact is due a period later, give or take a quarter. */
+    /** The broker to contact now; the next contact is due one period later, plus or minus a quarter. */
     int nextContact(long now) {
         dueAt = now + period * 3 / 4 + random.nextLong(period / 2);
         if (round.isEmpty()) {
--- a/src/main/java/dockshed/fleet/EntryStore.java
+++ b/src/main/java/dockshed/fleet/EntryStore.java
@@ -14,30 +14,34 @@
 import java.util.function.Predicate;
 
 /**
- * The own entries and copies of the others'. Invariants: of each entry the latest version received is held, and no version
- * of an earlier incarnation than the latest known of its owner; merging is commutative, associative and idempotent; a copy
- * expires after its kind's time to live, however often it is received again.
+ * This broker's own entries and copies of the others'. Invariants: of each entry the latest version received is held,
+ * and none of an earlier incarnation than the latest known of its owner; merging is commutative, associative and
+ * idempotent; a copy expires after the time to live of its kind, however often it is received again.
  */
 final class EntryStore {
-    /** Entries of one owner at most: one of each single kind, and health reports. */
+    /** Maximum number of entries of one owner: one of each kind that has a single entry, and health reports. */
     static final int MAX_ENTRIES_PER_OWNER = 24;
-    /** Within {@link #STRIKE_WINDOW_US} a relay's copies are overtaken by their owner's less often than this. */
+    /**
+     * A relay counts as a forger once this many of its copies were overtaken by their owners' own within {@link
+     * #STRIKE_WINDOW_US}.
+     */
     static final int MAX_STRIKES = 3;
 
-    /** Microseconds for which a strike counts. */
+    /** Time for which a strike counts, in microseconds. */
     static final long STRIKE_WINDOW_US = 10_000_000;
-    /** Buckets of the digest: owners by their number. */
+    /** Buckets of the digest; entries are assigned to them by their owners' numbers. */
     static final int DIGEST_BUCKETS = 16;
 
+    /** Time to live of kinds for which none was set, in microseconds. */
     private static final long DEFAULT_TIME_TO_LIVE_US = 10_000_000;
-    /** An item's kind and length, and the entry's header. */
+    /** Bytes of an entry's item without the value: the item's kind and length, and the entry's header. */
     private static final int ITEM_OVERHEAD = 2 + VersionedEntry.HEADER_BYTES;
 
     private static final class StoredEntry {
         VersionedEntry entry;
         /** The broker that it was received from: its owner, or a relay. */
         int source;
-        /** How often this version was relayed. */
+        /** How many times this version was relayed. */
         int timesSent;
 
         StoredEntry(VersionedEntry entry, int source) {
@@ -52,13 +56,13 @@
     private final Map<Long, StoredEntry> stored = new LinkedHashMap<>();
     private final Map<Integer, Integer> entriesByOwner = new HashMap<>();
     private final Map<Integer, Long> latestIncarnations = new HashMap<>();
-    /** Counts all changes of own entries, so that no counter is used twice, also of one that was evicted. */
+    /** Number of changes of own entries, so that no counter is used twice, not even for an entry that was evicted. */
     private int ownChanges;
 
     private final long[] timeToLive = new long[VersionedEntry.HIGHEST_KNOWN_KIND + 1];
-    /** How often an owner's own version was behind what a relay had sent. */
+    /** Number of times that an owner's own version was behind the one that a relay had sent. */
     int forged;
-    /** When that happened, by relay. */
+    /** Times of a relay's strikes, by relay. */
     private final Map<Integer, List<Long>> strikes = new HashMap<>();
 
     EntryStore(int me, Scope scope, long incarnation) {
@@ -73,7 +77,7 @@
         timeToLive[kind] = micros;
     }
 
-    /** Writes or changes an own entry. */
+    /** Creates or changes an own entry. */
     void put(long now, int kind, int key, byte[] value) {
         boolean isNew = !stored.containsKey(VersionedEntry.id(me, kind, key));
         if (isNew && count(me) >= MAX_ENTRIES_PER_OWNER) {
@@ -82,18 +86,18 @@
         set(new StoredEntry(new VersionedEntry(me, kind, key, incarnation, ++ownChanges, now, value), me));
     }
 
-    /** Makes room among the own entries: the longest unchanged of that kind goes. */
+    /** Makes room for another own entry: evicts the one of that kind that was not changed for the longest time. */
     private void evictOldestOwn(int kind) {
         stored.values().stream()
-                .filter(s -> s.entry.owner() == me && s.entry.kind() == kind)
-                .min(Comparator.comparingLong(s -> s.entry.writtenAt()))
+                .filter(held -> held.entry.owner() == me && held.entry.kind() == kind)
+                .min(Comparator.comparingLong(held -> held.entry.writtenAt()))
                 .ifPresent(this::remove);
     }
 
-    /** Rewrites the own entries under a later incarnation: all versions of the one before are void. */
-    void startIncarnation(long later) {
-        incarnation = later;
-        for (StoredEntry own : matching(s -> s.entry.owner() == me)) {
+    /** Rewrites the own entries under a later incarnation: all versions of earlier ones are void. */
+    void startIncarnation(long newIncarnation) {
+        incarnation = newIncarnation;
+        for (StoredEntry own : matching(held -> held.entry.owner() == me)) {
             put(own.entry.writtenAt(), own.entry.kind(), own.entry.key(), own.entry.value());
         }
     }
@@ -124,12 +128,12 @@
     }
 
     /**
-     * Merges an entry received from {@code source}. A copy from the owner itself that is older than the one held, in the
-     * same incarnation, was either overtaken on its way, or the source of the held one forged it. The owner's copy wins;
-     * what it lacks comes again.
+     * Merges an entry received from {@code source}. A copy from the owner itself that is older than the one held, in
+     * the same incarnation, was either overtaken on its way, or the source of the held copy forged it. The owner's copy
+     * wins; if it was overtaken, the later version arrives again.
      *
      * @param onForger called with a relay to which that happened {@link #MAX_STRIKES} times
-     * @return whether the entry was new
+     * @return whether the held version was replaced or added
      */
     boolean merge(long now, VersionedEntry received, int source, Consumer<Integer> onForger) {
         if (!accepts(now, received)) {
@@ -156,7 +160,7 @@
         return false;
     }
 
-    /** Whether it is of another broker of the scope, of its latest incarnation, and not expired. */
+    /** Whether an entry is of another broker of the scope, of that broker's latest incarnation, and not expired. */
     private boolean accepts(long now, VersionedEntry received) {
         return scope.contains(received.owner())
                 && received.owner() != me
@@ -174,7 +178,7 @@
 
     private void recordStrike(long now, int relay, Consumer<Integer> onForger) {
         forged++;
-        List<Long> times = strikes.computeIfAbsent(relay, x -> new ArrayList<>());
+        List<Long> times = strikes.computeIfAbsent(relay, key -> new ArrayList<>());
         times.removeIf(time -> now - time > STRIKE_WINDOW_US);
         times.add(now);
         if (times.size() >= MAX_STRIKES) {
@@ -183,35 +187,35 @@
         }
     }
 
-    /** If the incarnation of an owner is later than those known, removes all entries of earlier ones. */
-    void noteIncarnation(int owner, long later) {
-        if (owner != me && later > latestIncarnations.getOrDefault(owner, 0L)) {
-            latestIncarnations.put(owner, later);
-            removeMatching(s -> s.entry.owner() == owner && s.entry.incarnation() < later);
+    /** Records an owner's incarnation; if it is the latest known, removes the owner's entries of earlier ones. */
+    void noteIncarnation(int owner, long newIncarnation) {
+        if (owner != me && newIncarnation > latestIncarnations.getOrDefault(owner, 0L)) {
+            latestIncarnations.put(owner, newIncarnation);
+            removeMatching(held -> held.entry.owner() == owner && held.entry.incarnation() < newIncarnation);
         }
     }
 
     /** Removes all entries of an owner that is gone. */
     void forgetOwner(int owner) {
-        removeMatching(s -> s.entry.owner() == owner);
+        removeMatching(held -> held.entry.owner() == owner);
     }
 
-    /** Removes what a relay sent of others: it was caught forging. */
+    /** Removes the copies received from a relay that was caught forging, except its own entries. */
     void forgetRelayedBy(int relay) {
-        removeMatching(s -> s.source == relay && s.entry.owner() != relay);
+        removeMatching(held -> held.source == relay && held.entry.owner() != relay);
     }
 
-    /** Removes what has outlived its time to live. */
+    /** Removes entries whose time to live is over. */
     void expire(long now) {
-        removeMatching(s -> now - s.entry.writtenAt() > timeToLive[s.entry.kind()]);
+        removeMatching(held -> now - held.entry.writtenAt() > timeToLive[held.entry.kind()]);
     }
 
-    /** The entries of a kind, the own one included, by owner. */
+    /** All entries of a kind, own ones included, ordered by owner. */
     List<VersionedEntry> ofKind(int kind) {
         List<VersionedEntry> out = new ArrayList<>();
-        for (StoredEntry s : stored.values()) {
-            if (s.entry.kind() == kind) {
-                out.add(s.entry);
+        for (StoredEntry held : stored.values()) {
+            if (held.entry.kind() == kind) {
+                out.add(held.entry);
             }
         }
         out.sort(Comparator.comparingLong(VersionedEntry::id));
@@ -229,24 +233,24 @@
     }
 
     Collection<VersionedEntry> all() {
-        return stored.values().stream().map(s -> s.entry).toList();
+        return stored.values().stream().map(held -> held.entry).toList();
     }
 
     /**
-     * Entries to relay, those sent least first; counts them as sent.
+     * Entries to relay, those sent the fewest times first; counts them as sent.
      *
      * @param bytes    that the items may take together
-     * @param maxTimes how often a version is relayed at most
+     * @param maxTimes number of times that a version is relayed at most
      */
     List<Envelope.Item> deltas(long now, int bytes, int maxTimes) {
         List<Envelope.Item> out = new ArrayList<>();
         int left = bytes;
-        for (StoredEntry s : dueForRelay(maxTimes)) {
-            int size = ITEM_OVERHEAD + s.entry.value().length;
+        for (StoredEntry held : dueForRelay(maxTimes)) {
+            int size = ITEM_OVERHEAD + held.entry.value().length;
             if (size <= left) {
                 left -= size;
-                s.timesSent++;
-                out.add(s.entry.write(now));
+                held.timesSent++;
+                out.add(held.entry.write(now));
             }
             if (left < ITEM_OVERHEAD) {
                 break;
@@ -257,34 +261,38 @@
 
     private List<StoredEntry> dueForRelay(int maxTimes) {
         List<StoredEntry> due = new ArrayList<>();
-        for (StoredEntry s : stored.values()) {
-            if (s.timesSent < maxTimes && !VersionedEntry.isPushed(s.entry.kind())) {
-                due.add(s);
+        for (StoredEntry held : stored.values()) {
+            if (held.timesSent < maxTimes && !VersionedEntry.isPushed(held.entry.kind())) {
+                due.add(held);
             }
         }
-        due.sort(Comparator.comparingInt((StoredEntry s) -> s.timesSent).thenComparing(s -> -s.entry.writtenAt()));
+        due.sort(Comparator.comparingInt((StoredEntry held) -> held.timesSent)
+                .thenComparing(held -> -held.entry.writtenAt()));
         return due;
     }
 
     /** A digest for anti-entropy: a hash for each bucket of owners. */
     int[] digest() {
         int[] out = new int[DIGEST_BUCKETS];
-        for (StoredEntry s : stored.values()) {
-            if (!VersionedEntry.isPushed(s.entry.kind())) {
-                out[s.entry.owner() % DIGEST_BUCKETS] += s.entry.hash();
+        for (StoredEntry held : stored.values()) {
+            if (!VersionedEntry.isPushed(held.entry.kind())) {
+                out[held.entry.owner() % DIGEST_BUCKETS] += held.entry.hash();
             }
         }
         return out;
     }
 
-    /** The entries of the buckets whose digests differ, rotated by {@code start}, so that repeated calls cover all. */
+    /**
+     * The entries of the buckets whose digests differ, rotated by {@code start} so that repeated calls cover all of
+     * them.
+     */
     List<VersionedEntry> differing(int[] theirs, int start) {
         int[] mine = digest();
         List<VersionedEntry> out = new ArrayList<>();
-        for (StoredEntry s : stored.values()) {
-            int bucket = s.entry.owner() % DIGEST_BUCKETS;
-            if (mine[bucket] != theirs[bucket] && !VersionedEntry.isPushed(s.entry.kind())) {
-                out.add(s.entry);
+        for (StoredEntry held : stored.values()) {
+            int bucket = held.entry.owner() % DIGEST_BUCKETS;
+            if (mine[bucket] != theirs[bucket] && !VersionedEntry.isPushed(held.entry.kind())) {
+                out.add(held.entry);
             }
         }
         Collections.rotate(out, -start);
--- a/src/main/java/dockshed/fleet/Envelope.java
+++ b/src/main/java/dockshed/fleet/Envelope.java
@@ -7,45 +7,50 @@
 import java.util.List;
 
 /**
- * One datagram between brokers: the sender, its incarnation, a serial number, then items. An item is a kind, a length and
- * that many bytes, so a reader skips kinds that it does not know; a higher version may add kinds and lengthen bodies, but
- * never change what is defined here.
+ * One datagram between brokers: the sender, its incarnation, a serial number, then items. An item is a kind, a length
+ * and that many bytes, so readers can skip unknown kinds; a higher version may add kinds and lengthen bodies, but must
+ * not change what is defined here.
  *
  * @param sender      the sender's number in the tier
- * @param incarnation of the sender: grows with each start, and when it has to refute a suspicion of itself
+ * @param incarnation of the sender: increases with each start, and whenever it has to refute a suspicion of itself
  * @param serial      of the datagram within that incarnation
  * @param items       in the order written
  */
 public record Envelope(int sender, long incarnation, int serial, List<Item> items) {
-    /** Bytes of a datagram at most: the platform's limit. */
+    /** Maximum length of a datagram in bytes: the platform's limit. */
     public static final int MAX_BYTES = 256;
 
+    /** First byte of a datagram. */
     static final byte MAGIC = (byte) 0xF1;
+    /** Version of the protocol that this program writes, and the lowest that it reads. */
     static final int VERSION = 1;
-    /** Magic and version, sender, incarnation, serial. */
+    /** Length of the header: magic and version, sender, incarnation, serial. */
     static final int HEADER_BYTES = 2 + 2 + 6 + 4;
-    /** Brokers' numbers take two bytes. */
+    /** Maximum number of brokers: their numbers take two bytes. */
     static final int MAX_BROKERS = 0xFFFF;
 
-    /** Kind of item: a probe; probe number. */
+    /** Kind of item: a probe, with its number. */
     static final int PING = 1;
-    /** Kind of item: the answer to a probe; probe number. */
+    /** Kind of item: the answer to a probe, with its number. */
     static final int ACK = 2;
-    /** Kind of item: asks for an indirect probe; probe number, target. */
+    /** Kind of item: a request for an indirect probe, with probe number and target. */
     static final int PING_REQUEST = 3;
-    /** Kind of item: a member's state; member, state, incarnation. */
+    /** Kind of item: a member's state, with its number, state and incarnation. */
     static final int MEMBER = 4;
     /** Kind of item: a {@link VersionedEntry}. */
     static final int ENTRY = 5;
-    /** Kind of item: a digest for anti-entropy; whether one is wanted back, a hash for each bucket. */
+    /** Kind of item: a digest for anti-entropy, with whether the receiver's is wanted and a hash for each bucket. */
     static final int DIGEST = 6;
-    /** Kind of item: a candidate's request to a voter; round, the candidate's incarnation. */
+    /**
+     * Kind of item: a candidate's request to a voter, with round, the candidate's incarnation and, in a divided fleet,
+     * the hash of the zone layout.
+     */
     static final int VOTE_REQUEST = 7;
-    /** Kind of item: a voter's vote; round. */
+    /** Kind of item: a voter's vote, with the round. */
     static final int VOTE = 8;
-    /** Kind of item: a request to the lease coordinator; request number, demand by resource. */
+    /** Kind of item: a request to the lease coordinator, with its number and the demand for each resource. */
     static final int LEASE_REQUEST = 9;
-    /** Kind of item: a lease; request number, milliseconds, share by resource. */
+    /** Kind of item: a lease, with the request's number, its length in milliseconds and the share of each resource. */
     static final int LEASE_GRANT = 10;
 
     /** Kind of item: a {@link ScopeSummary}. */
@@ -55,28 +60,35 @@
     /** Kind of item: an announcement of the {@link GossipExtension}. */
     static final int ANNOUNCEMENT = 13;
 
+    /** Maximum length of an item's body: the length takes one byte. */
     private static final int MAX_BODY_BYTES = 255;
-    /** An item's kind and length. */
+    /** Length of an item's kind and length. */
     static final int ITEM_HEADER_BYTES = 2;
 
-    /** One item; the class that handles a kind decodes its body. */
+    /**
+     * One item; the class that handles its kind decodes the body. A body longer than 255 bytes throws
+     * IllegalArgumentException.
+     */
     record Item(int kind, byte[] body) {
         Item {
             if (body.length > MAX_BODY_BYTES) {
-                throw new IllegalArgumentException("item of " + body.length + " bytes");
+                throw new IllegalArgumentException(
+                        "item: expected a body of at most " + MAX_BODY_BYTES + " bytes, got " + body.length);
             }
         }
 
-        /** Its bytes in the datagram. */
+        /** Bytes that the item takes in a datagram. */
         int size() {
             return ITEM_HEADER_BYTES + body.length;
         }
 
+        /** A buffer over the body, for reading. */
         ByteBuffer read() {
             return ByteBuffer.wrap(body);
         }
     }
 
+    /** Encodes the datagram. */
     byte[] write() {
         int size = HEADER_BYTES + items.stream().mapToInt(Item::size).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
@@ -89,7 +101,7 @@
         return out.array();
     }
 
-    /** Whether a datagram claims to be an envelope. */
+    /** Whether a datagram is marked as an envelope. */
     public static boolean isEnvelope(byte[] datagram) {
         return datagram.length >= HEADER_BYTES && datagram[0] == MAGIC;
     }
@@ -99,7 +111,7 @@
         return isEnvelope(datagram) ? (datagram[2] & 0xFF) << 8 | datagram[3] & 0xFF : -1;
     }
 
-    /** Returns null if the datagram cannot be decoded. */
+    /** Decodes a datagram; returns null if that is not possible. */
     static Envelope read(byte[] datagram) {
         if (!isEnvelope(datagram) || datagram.length > MAX_BYTES || datagram[1] < VERSION) {
             return null;
@@ -112,7 +124,7 @@
         return items == null ? null : new Envelope(sender, incarnation, serial, items);
     }
 
-    /** Returns null if the datagram is truncated: then nothing of it is trusted. */
+    /** Returns null if the datagram is truncated: then none of its items is used. */
     private static List<Item> readItems(ByteBuffer in) {
         List<Item> items = new ArrayList<>();
         try {
@@ -138,7 +150,7 @@
         return (long) (in.getShort() & 0xFFFF) << 32 | in.getInt() & 0xFFFFFFFFL;
     }
 
-    /** Writes the body of an item, big-endian. */
+    /** Builds the body of an item, big-endian. */
     static final class BodyWriter {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
--- a/src/main/java/dockshed/fleet/ExtensionQueue.java
+++ b/src/main/java/dockshed/fleet/ExtensionQueue.java
@@ -2,19 +2,22 @@
 
 import java.util.ArrayDeque;
 
-/** Bodies of a {@link GossipExtension} that wait for the byte budget, in their order; beyond the bound they are dropped. */
+/**
+ * Bodies of a {@link GossipExtension} that wait, in order, for the extension's byte allowance; when the queue is full,
+ * further ones are dropped.
+ */
 final class ExtensionQueue {
-    /** Bodies that wait at most: some five seconds' worth of the part of the budget that is left to them. */
+    /** Maximum number of waiting bodies: about five seconds' worth of the extension's part of the byte budget. */
     static final int MAX_QUEUED_BODIES = 64;
 
-    /** A body and the broker that it is for. */
+    /** A body and the broker to which it is sent. */
     record Message(int to, byte[] body) {}
 
     private final ArrayDeque<Message> queued = new ArrayDeque<>();
-    /** Bodies that found the queue full, since the start. */
+    /** Bodies dropped since the start. */
     long dropped;
 
-    /** Queues a body; false if it is too long or the queue is full. */
+    /** Queues a body; returns false if it is too long or the queue is full. */
     boolean offer(int to, byte[] body) {
         if (body.length > GossipExtension.MAX_BODY_BYTES || queued.size() >= MAX_QUEUED_BODIES) {
             dropped++;
@@ -24,7 +27,7 @@
         return true;
     }
 
-    /** The next message, which stays; null: there is none. */
+    /** The next message, which stays in the queue; null if there is none. */
     Message peek() {
         return queued.peek();
     }
--- a/src/main/java/dockshed/fleet/FleetHealthProber.java
+++ b/src/main/java/dockshed/fleet/FleetHealthProber.java
@@ -6,7 +6,10 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Health probing in turns by {@link HealthProbeSchedule}; without a fresh, steady snapshot this broker probes by itself. */
+/**
+ * Health probing in turns by {@link HealthProbeSchedule}; without a fresh, steady snapshot this broker probes by
+ * itself.
+ */
 public final class FleetHealthProber implements ProbeCoordinator {
     private final int me;
     private final Supplier<FleetSnapshot> snapshots;
@@ -14,8 +17,10 @@
     private final BiConsumer<String, Boolean> avoid;
 
     /**
+     * Creates the prober.
+     *
      * @param me    this broker's number
-     * @param avoid told which servers are suspect, so that set-ups go elsewhere meanwhile
+     * @param avoid notified with a server's id and whether it is suspect, so that set-ups go elsewhere meanwhile
      */
     public FleetHealthProber(
             int me,
@@ -45,7 +50,7 @@
     }
 
     @Override
-    public void suspicionChanged(String server, boolean is) {
-        avoid.accept(server, is);
+    public void suspicionChanged(String server, boolean suspect) {
+        avoid.accept(server, suspect);
     }
 }
--- a/src/main/java/dockshed/fleet/FleetHost.java
+++ b/src/main/java/dockshed/fleet/FleetHost.java
@@ -21,19 +21,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a {@link GossipNode} on one event loop with a thread of its own, and on datagrams. The broker's loop reads {@link
- * #snapshot()} and hands events to {@link #offer}; it never waits for this one. Events beyond {@link #MAX_PENDING_EVENTS}
- * are dropped and counted.
+ * Runs a {@link GossipNode} on an event loop with a thread of its own and sends its datagrams. The broker's loop reads
+ * {@link #snapshot()} and passes events to {@link #offer}; it never waits for this loop. Events beyond {@link
+ * #MAX_PENDING_EVENTS} are dropped and counted.
  */
 public final class FleetHost implements Peers {
-    /** Events not handled yet: a second of the busiest broker's, with a load sample each tenth of a second. */
+    /**
+     * Maximum number of events not handled yet: a second's worth for the busiest broker, with a load sample every 100
+     * ms.
+     */
     static final int MAX_PENDING_EVENTS = 1024;
 
-    /** Microseconds between two log lines of figures. */
+    /** Time between two log lines of figures, in microseconds. */
     private static final long FIGURES_LOG_PERIOD_US = 10_000_000;
 
+    /** Minimum time between two ticks, in microseconds. */
     private static final long MIN_TICK_DELAY_US = 1000;
-    /** Microseconds between two snapshots at least. */
+    /** Minimum time between two snapshots, in microseconds. */
     private static final long MIN_PUBLISH_GAP_US = 50_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetHost.class);
@@ -57,17 +61,21 @@
     private boolean publishDue;
 
     /**
-     * @param me    this broker's number, and place in {@code peers}
-     * @param peers the addresses of all brokers, by number
+     * Creates the host of a broker that exchanges datagrams by UDP.
+     *
+     * @param me    this broker's number, and its index in {@code peers}
+     * @param peers addresses of all brokers, by number
      */
     public FleetHost(FleetSettings settings, int me, List<InetSocketAddress> peers, Clock clock, long seed) {
         this(settings, me, peers.size(), new UdpPeers(peers, null), clock, seed);
     }
 
     /**
+     * Creates the host of a broker.
+     *
      * @param me      this broker's number
-     * @param brokers how many there are, this one included
-     * @param peers   carries the datagrams among them
+     * @param brokers number of brokers, this one included
+     * @param peers   carries the datagrams between them
      */
     public FleetHost(FleetSettings settings, int me, int brokers, DatagramPeers peers, Clock clock, long seed) {
         this.clock = clock;
@@ -76,19 +84,19 @@
         node = new GossipNode(settings, me, brokers, now / 1000, now, seed);
     }
 
-    /** Begins to listen and to gossip. Throws IllegalStateException if the address cannot be listened on. */
+    /** Starts to listen and to gossip; throws IllegalStateException if it cannot listen on the address. */
     public void start(InetSocketAddress at) {
         nextLogAt = clock.now() + FIGURES_LOG_PERIOD_US;
         peers.listen(net, at, (from, message) -> runGuarded(() -> receive(from, message)));
         net.loop().execute(this::tick);
     }
 
-    /** The latest snapshot; from any thread. */
+    /** The latest snapshot; may be called from any thread. */
     public FleetSnapshot snapshot() {
         return snapshot;
     }
 
-    /** Hands an event over, from any thread; false if the queue is full, which drops the event. */
+    /** Passes an event, from any thread; returns false if the queue is full and the event was dropped. */
     public boolean offer(LocalEvent event) {
         boolean queued = pending.offer(event);
         if (!queued) {
@@ -99,18 +107,21 @@
         return queued;
     }
 
-    /** Replicates the retry-storm part's message as an entry, so that all messages share one form and one budget. */
+    /** Replicates a storm message as an entry, so that all messages share one format and one byte budget. */
     @Override
     public void broadcast(byte[] message) {
         offer(new LocalEvent.StormMessage(message.clone()));
     }
 
-    /** Carries another protocol along in the gossip's datagrams; to be called before {@link #start}. */
+    /** Sets the protocol that is carried in the gossip's datagrams; must be called before {@link #start}. */
     public void setExtension(GossipExtension extension) {
         node.setExtension(extension);
     }
 
-    /** Queues a body of the extension; on the fleet's loop only, from where the extension is called. */
+    /**
+     * Queues a body of the extension, see {@link GossipNode#sendExtension}; only on the fleet's loop, where the
+     * extension is called.
+     */
     public boolean sendExtension(int to, byte[] body) {
         return node.sendExtension(to, body);
     }
@@ -144,7 +155,10 @@
         net.loop().schedule(this::tick, Math.max(MIN_TICK_DELAY_US, due - now), TimeUnit.MICROSECONDS);
     }
 
-    /** An internal error does not end the loop; if no snapshot comes of it any more, the broker serves alone. */
+    /**
+     * Runs a task of the loop. An internal error does not end the loop; if it prevents snapshots, the broker serves
+     * alone.
+     */
     private void runGuarded(Runnable task) {
         try {
             task.run();
@@ -154,7 +168,7 @@
         }
     }
 
-    /** In a fleet with zones there are a hundred ticks a second; nobody needs as many snapshots. */
+    /** In a fleet with zones there are a hundred ticks per second; fewer snapshots are enough. */
     private void publishIfDue() {
         publishDue = clock.now() - publishedAt < MIN_PUBLISH_GAP_US;
         if (!publishDue) {
@@ -229,7 +243,7 @@
                 .log();
     }
 
-    /** A line for each scope that has become known or unknown. */
+    /** Logs a line for each scope that has become known or unknown. */
     private void logScopeChanges(FleetSnapshot current) {
         for (ScopeStatus status : current.otherScopes()) {
             ScopeStatus logged = loggedScopes.put(status.scope(), status);
@@ -265,22 +279,22 @@
                 .log();
     }
 
-    /** Zone, present brokers of those configured, and how old that figure is: {@code north-2:73/73:0.8s}. */
+    /** Zone, present of configured brokers, and the age of that figure: {@code north-2:73/73:0.8s}. */
     private static String describe(ScopeStatus status) {
         String age = status.isKnown() ? String.format(Locale.ROOT, "%.1fs", status.age() / 1e6) : "unknown";
         return status.zone() + ":" + status.present() + "/" + status.configured() + ":" + age;
     }
 
     private static List<Integer> without(List<Integer> all, List<Integer> excluded) {
-        return all.stream().filter(i -> !excluded.contains(i)).toList();
+        return all.stream().filter(broker -> !excluded.contains(broker)).toList();
     }
 
-    /** Reads the node on the loop's thread, for measurements; on a loop that stands still it waits as long. */
+    /** Reads the node on the loop's thread, for measurements; if the loop stalls, the result is delayed as long. */
     <T> Future<T> inspect(Function<GossipNode, T> reading) {
         return net.loop().submit(() -> reading.apply(node));
     }
 
-    /** Ends the loop and its thread. */
+    /** Stops the loop and its thread. */
     public void close() {
         net.close();
     }
--- a/src/main/java/dockshed/fleet/FleetSettings.java
+++ b/src/main/java/dockshed/fleet/FleetSettings.java
@@ -8,13 +8,13 @@
 /**
  * The {@code fleet} section of the operator's file.
  *
- * @param bytesPerSecond  that a broker may send to the others, beside what {@code bytesPerSession} allows
- * @param bytesPerSession that each new session allows in addition
- * @param guaranteedShare part of the shared capacity that is split evenly among all brokers and never leased
- * @param leases          whether new sessions and retries keep to leased shares
- * @param loadShedding    whether all brokers refuse below one priority threshold in an overload
+ * @param bytesPerSecond  that a broker may send to the others, in addition to what {@code bytesPerSession} allows
+ * @param bytesPerSession bytes that each new session adds to the budget
+ * @param guaranteedShare part of the shared capacity, of 1, that is split evenly among all brokers and never leased
+ * @param leases          whether new sessions and retries are limited by leased shares
+ * @param loadShedding    whether all brokers refuse requests below one priority threshold in an overload
  * @param healthProbes    whether brokers take turns at probing edge servers
- * @param zones           in which each broker is; none: the fleet is not divided
+ * @param zones           that divide the fleet; empty: the fleet is not divided
  */
 public record FleetSettings(
         double bytesPerSecond,
@@ -24,12 +24,12 @@
         boolean loadShedding,
         boolean healthProbes,
         List<Zone> zones) {
-    /** What holds for each directive that the file leaves out. */
+    /** Values of the directives that the file leaves out. */
     public static final FleetSettings DEFAULTS = new FleetSettings(1800, 0, 0.5, true, true, true);
-    /** Bytes a second where the fleet has zones: a round of pushes to 72 peers takes some 0.8 s. */
+    /** Default for {@code bytesPerSecond} if the fleet has zones: a round of pushes to 72 peers takes about 0.8 s. */
     public static final double ZONED_BYTES_PER_SECOND = 12_000;
 
-    /** Settings of a fleet without zones. */
+    /** Creates the settings of a fleet without zones. */
     public FleetSettings(
             double bytesPerSecond,
             double bytesPerSession,
@@ -40,18 +40,21 @@
         this(bytesPerSecond, bytesPerSession, guaranteedShare, leases, loadShedding, healthProbes, List.of());
     }
 
-    /** The same with zones. */
-    public FleetSettings withZones(List<Zone> divided) {
+    /** The same settings with zones. */
+    public FleetSettings withZones(List<Zone> newZones) {
         return new FleetSettings(
-                bytesPerSecond, bytesPerSession, guaranteedShare, leases, loadShedding, healthProbes, divided);
+                bytesPerSecond, bytesPerSession, guaranteedShare, leases, loadShedding, healthProbes, newZones);
     }
 
-    /** The same with another budget. */
+    /** The same settings with another byte budget. */
     public FleetSettings withBytesPerSecond(double bytes) {
         return new FleetSettings(bytes, bytesPerSession, guaranteedShare, leases, loadShedding, healthProbes, zones);
     }
 
-    /** The zones of a fleet of that many brokers. Throws IllegalArgumentException if they are not those of such a fleet. */
+    /**
+     * The zone map of a fleet of that many brokers; throws IllegalArgumentException if the zones do not fit such a
+     * fleet.
+     */
     public ZoneMap zoneMap(int brokers) {
         try {
             return ZoneMap.of(zones, brokers);
--- a/src/main/java/dockshed/fleet/GossipNode.java
+++ b/src/main/java/dockshed/fleet/GossipNode.java
@@ -15,69 +15,77 @@
 import java.util.SplittableRandom;
 
 /**
- * All that a broker knows and says of the fleet, without I/O: it is told the time, what arrived and what happened on this
- * broker, and hands out datagrams and snapshots. Calls come from one thread, with a time that never goes back.
+ * One broker's gossip protocol, without I/O: it is given the time, the datagrams that arrive and the events at this
+ * broker, and produces datagrams and snapshots. Calls come from one thread, with a time that never goes back.
  */
 public final class GossipNode {
-    /** Microseconds without a call after which the process counts as stalled: its calls come every tenth of a second. */
+    /** Microseconds without a call after which the process counts as stalled; normally calls come every 100 ms. */
     static final long STALL_THRESHOLD_US = 1_000_000;
-    /** Microseconds after a stall in which datagrams are discarded: they had waited in the socket. */
+    /** Microseconds after a stall in which datagrams are discarded, since they had waited in the socket. */
     static final long STALE_DATAGRAM_WINDOW_US = 60_000;
-    /** Microseconds between two ticks at most. */
+    /** Maximum time between two ticks, in microseconds. */
     static final long MAX_TICK_GAP_US = 100_000;
-    /** Part of the byte budget that pushing the own entries to each peer in turn may take. */
+    /** Part of the byte budget, of 1, for pushing the own entries to each peer in turn. */
     private static final double PUSH_BUDGET_SHARE = 0.5;
-    /** Bytes that a push takes, about. */
+    /** Estimated bytes of a push. */
     private static final double ESTIMATED_PUSH_BYTES = 70;
-    /** Microseconds between two pushes at least. */
+    /** Minimum time between two pushes, in microseconds. */
     private static final long MIN_PUSH_GAP_US = 100_000;
-    /** Bytes a second that allow probes at their usual pace, a third of them for the probes themselves. */
+    /** Byte budget per second that allows probes at their normal rate; the probes themselves take a third of it. */
     private static final double FULL_PROBE_RATE_BYTES_PER_SECOND = 900;
-    /** Part of the byte budget that pushing takes in a fleet with zones. */
+    /** Part of the byte budget, of 1, for pushing in a fleet with zones. */
     private static final double ZONED_PUSH_BUDGET_SHARE = 0.85;
-    /** Bytes that a push takes in a fleet with zones, about, until some were sent. */
+    /** Estimated bytes of a push in a fleet with zones, before any were sent. */
     private static final double INITIAL_ZONED_PUSH_BYTES = 110;
-    /** How much a push changes the average of their bytes. */
+    /** Weight of the latest push in the average of their bytes. */
     private static final double PUSH_BYTES_SMOOTHING = 0.05;
-    /** Microseconds in which each peer of the scope is pushed to at most once. */
+    /** Minimum time between two pushes to the same peer in a fleet with zones, in microseconds. */
     private static final long MIN_PUSH_ROUND_US = 500_000;
-    /** Microseconds between two changes of the own load figures in a fleet with zones. */
+    /** Minimum time between two changes of the own load figures in a fleet with zones, in microseconds. */
     private static final long MIN_LOAD_CHANGE_GAP_US = 200_000;
-    /** Part of the pushes that relay another scope's summary: each peer has several a second of each scope by that. */
+    /**
+     * Part of the pushes, of 1, that relay another scope's summary: each peer receives several per second of each scope
+     * that way.
+     */
     private static final double RELAYING_PUSH_SHARE = 0.5;
     /**
-     * Of the gossip's bytes a second, how many more the extension may send, and for how many seconds it may save them up.
-     * It has an allowance of its own: the gossip uses all of its budget at times, and would hold it up for minutes.
+     * Bytes per second that the extension may send in addition to the gossip, as a part of the gossip's. The extension
+     * has an allowance of its own because the gossip uses all of its budget at times, which would delay the extension
+     * by minutes.
      */
     private static final double EXTENSION_BUDGET_SHARE = 0.5;
 
+    /** Seconds' worth of the extension's allowance that may be saved up. */
     private static final double EXTENSION_BURST_SECONDS = 10;
-    /** Microseconds between two rounds of anti-entropy. */
+    /** Time between two rounds of anti-entropy, in microseconds. */
     private static final long REPAIR_PERIOD_US = 2_000_000;
-    /** Microseconds between two answers to digests at least. */
+    /** Minimum time between two answers to digests, in microseconds. */
     private static final long MIN_REPAIR_REPLY_GAP_US = 400_000;
-    /** Datagrams of an answer to a digest at most. */
+    /** Maximum number of datagrams in an answer to a digest. */
     private static final int MAX_REPAIR_DATAGRAMS = 3;
-    /** By how many entries the start of an answer to a digest moves on each time. */
+    /** Number of entries by which the start of an answer to a digest moves on each time. */
     private static final int REPAIR_STRIDE = 7;
-    /** The time constant of the load figures, in microseconds. */
+    /** Time constant of the smoothed load figures, in microseconds. */
     private static final double LOAD_TIME_CONSTANT_US = 1_000_000;
-    /** Rounds of pushing that an entry of load figures outlives. */
+    /** Time to live of load figures, in rounds of pushing. */
     private static final int LOAD_LIFETIME_ROUNDS = 4;
-    /** Added to the life of an entry of load figures, in microseconds. */
+    /** Added to each of these rounds, in microseconds. */
     private static final long LOAD_LIFETIME_MARGIN_US = 500_000;
-    /** How long a note of the retry-storm part is held, in microseconds. */
+    /** Time to live of a storm message, in microseconds. */
     private static final long STORM_MESSAGE_LIFETIME_US = 3_000_000;
-    /** Retries that a lease asks for at least, over requests. */
+    /** Minimum demand for retries in a lease request, as a part of the requests. */
     private static final double MIN_RETRY_DEMAND_RATIO = 0.05;
     /** Milliseconds by which an incarnation may lie in the future: a clock is seldom off by more than a week. */
     private static final long MAX_INCARNATION_LEAD_MS = 7L * 24 * 3600 * 1000;
-    /** More refutations than this never occur in one incarnation: then the others speak of another one of this broker. */
+    /**
+     * More refutations than this do not occur in one incarnation: beyond it, the others refer to a later start of this
+     * broker.
+     */
     private static final long MAX_REFUTATIONS = 10_000;
-    /** Budget saved up at most: this many seconds' worth, and a datagram. */
+    /** Maximum byte budget that is saved up, in seconds' worth; one datagram is added. */
     private static final double BURST_SECONDS = 2;
 
-    /** Where datagrams go. */
+    /** Sends datagrams. */
     public interface Sink {
         /** Sends a datagram to the broker of that number; it may be lost. */
         void send(int to, byte[] datagram);
@@ -93,17 +101,17 @@
         public long received;
         /** Bytes that arrived. */
         public long bytesReceived;
-        /** Datagrams that named another sender than the address that they came from. */
+        /** Datagrams that named another sender than the one that they came from. */
         public long spoofed;
         /** Summaries of other scopes that were refused. */
         public long summariesRefused;
-        /** Messages of the extension that found the queue full. */
+        /** Bodies of the extension that were dropped. */
         public long extensionDropped;
-        /** Datagrams that were not read. */
+        /** Datagrams that were discarded unread. */
         public long discarded;
-        /** Times that the process did not run for over a second. */
+        /** Number of times that the process stalled, for over a second. */
         public long stalls;
-        /** Times that an owner's own entry was behind what a relay had sent. */
+        /** Number of times that an owner's own entry was behind the one that a relay had sent. */
         public long forged;
     }
 
@@ -148,13 +156,18 @@
     private boolean hasLeft;
 
     /**
-     * @param me      this broker's number of {@code brokers}
-     * @param unixMs  the time of its start, which has to differ from that of every earlier start
-     * @param now     microseconds of the clock that all later calls go by
+     * Creates the node of one broker; throws IllegalArgumentException if {@code me} or {@code brokers} is out of range
+     * or the zones do not fit.
+     *
+     * @param me     this broker's number, below {@code brokers}
+     * @param unixMs the time of the start in milliseconds; must differ from that of every earlier start
+     * @param now    in microseconds of the clock that all later calls use
+     * @param seed   of the node's random numbers
      */
     public GossipNode(FleetSettings settings, int me, int brokers, long unixMs, long now, long seed) {
         if (me < 0 || me >= brokers || brokers > Envelope.MAX_BROKERS) {
-            throw new IllegalArgumentException("broker " + me + " of " + brokers);
+            throw new IllegalArgumentException("broker number: got " + me + ", expected 0 or more and below " + brokers
+                    + ", which is at most " + Envelope.MAX_BROKERS);
         }
         this.settings = settings;
         this.me = me;
@@ -190,17 +203,20 @@
         return counts;
     }
 
-    /** Carries another protocol along; to be called before the first datagram. */
+    /** Sets the protocol that is carried along; must be called before the first datagram. */
     public void setExtension(GossipExtension other) {
         extension = other;
     }
 
-    /** Queues a body of the extension for a broker of the fleet; false if it is too long, or too many wait. */
+    /**
+     * Queues a body of the extension for a broker of the fleet; returns false if there is no such other broker, the
+     * body is too long or the queue is full.
+     */
     public boolean sendExtension(int to, byte[] body) {
         return zones.contains(to) && to != me && extensionQueue.offer(to, body);
     }
 
-    /** The part of the whole that this broker may use for new sessions now, for checks. */
+    /** The part of the whole that this broker may use for new sessions now; for checks. */
     public double newSessionShare(long now) {
         return leases.share(now, SharedResource.NEW_SESSIONS);
     }
@@ -225,6 +241,7 @@
         return summaries;
     }
 
+    /** Microseconds between two pushes. */
     private long pushInterval() {
         if (zones.zoned()) {
             double gap = pushBytes / (settings.bytesPerSecond() * ZONED_PUSH_BUDGET_SHARE) * 1e6;
@@ -234,7 +251,7 @@
                 MIN_PUSH_GAP_US, (long) (ESTIMATED_PUSH_BYTES / (settings.bytesPerSecond() * PUSH_BUDGET_SHARE) * 1e6));
     }
 
-    /** When {@link #tick} is to be called at the latest. */
+    /** When {@link #tick} has to be called at the latest, in microseconds. */
     public long nextTickAt(long now) {
         long due = Math.min(membership.nextTickAt(), Math.min(pushAt, leases.nextTickAt(now)));
         due = Math.min(due, Math.min(contacts.dueAt(), extension.nextTickAt(now)));
@@ -243,6 +260,7 @@
 
     // ---- Time.
 
+    /** Handles a stall of this process, if the time since the previous call shows one. */
     private void detectStall(long now) {
         long gap = now - lastCalledAt;
         lastCalledAt = now;
@@ -251,12 +269,14 @@
             membership.resumeAfterStall(now, gap);
             leases.resumeAfterStall();
             discardUntil = now + STALE_DATAGRAM_WINDOW_US;
-            steadyAt = Long.MAX_VALUE; // until somebody has answered
+            steadyAt = Long.MAX_VALUE; // until another broker has answered
             pushAt = now;
         }
     }
 
-    /** Does what is due: probes, leases, a push, a round of anti-entropy. */
+    /**
+     * Does what is due: probes, leases, a push, a round of anti-entropy, a contact with another scope, the extension.
+     */
     public void tick(long now, Sink sink) {
         detectStall(now);
         if (hasLeft) {
@@ -290,17 +310,17 @@
         sendExtensionMessages(now, sink);
     }
 
-    private static double sum(double[] all) {
+    private static double sum(double[] values) {
         double sum = 0;
-        for (double d : all) {
-            sum += d;
+        for (double value : values) {
+            sum += value;
         }
         return sum;
     }
 
-    // ---- Load figures, pushed by their owner.
+    // ---- Pushing load figures.
 
-    /** Pushes the own load figures and storm note to the next present peer. */
+    /** Pushes the own load figures and storm message to the next present peer. */
     private void push(long now, Sink sink) {
         pushAt = now + pushInterval();
         writeLoadFigures(now);
@@ -332,14 +352,16 @@
         return items;
     }
 
-    /** Bytes of a datagram with these items. */
+    /** Length of a datagram with these items. */
     private static int sizeOf(List<Item> items) {
         return Envelope.HEADER_BYTES + items.stream().mapToInt(Item::size).sum();
     }
 
     // ---- Other scopes.
 
-    /** Sends the own scope's summary to a broker of another one, and what was heard of further ones first hand. */
+    /**
+     * Sends the own scope's summary to a broker of another scope, with summaries of further scopes received first hand.
+     */
     private void contactOtherScope(long now, Sink sink) {
         int to = contacts.nextContact(now);
         Scope theirs = zones.scopeOf(to);
@@ -366,7 +388,7 @@
                 me, summaryVersion, now, membership.presentMembers().size(), load);
     }
 
-    /** A datagram of a broker outside the scope makes no member of it. */
+    /** Handles a datagram of a broker outside the scope, which does not make it a member. */
     private void receiveFromOutside(long now, Envelope envelope, Sink sink) {
         int from = envelope.sender();
         if (!zones.contains(from) || !outsideSenders.admits(now, from)) {
@@ -375,7 +397,7 @@
         }
         for (Item item : envelope.items()) {
             if (item.kind() == Envelope.PING && item.body().length >= 2) {
-                // Of a broker that is not told of the zones: without an answer it would take this one for dead.
+                // From a broker without the zones in its settings: without an answer it would count this one as dead.
                 refill(now);
                 sendDatagram(now, from, List.of(new Item(Envelope.ACK, Arrays.copyOf(item.body(), 2))), sink);
             } else {
@@ -404,12 +426,13 @@
     private Item announcement() {
         byte[] body = extension.announcement();
         if (body.length > GossipExtension.MAX_ANNOUNCEMENT_BYTES) {
-            throw new IllegalStateException("announcement of " + body.length + " bytes");
+            throw new IllegalStateException("announcement: expected at most " + GossipExtension.MAX_ANNOUNCEMENT_BYTES
+                    + " bytes, got " + body.length);
         }
         return new Item(Envelope.ANNOUNCEMENT, body);
     }
 
-    /** Bytes that the announcement takes in a datagram. */
+    /** Bytes that the announcement takes in a datagram; 0 if there is none. */
     private int announcementBytes() {
         Item item = announcement();
         return item.body().length == 0 ? 0 : item.size();
@@ -426,7 +449,7 @@
             extensionQueue.remove();
             sendDatagram(now, next.to(), List.of(item), sink);
             extensionTokens -= size;
-            tokens += size; // not the gossip's
+            tokens += size; // not charged to the gossip's budget
         }
     }
 
@@ -444,7 +467,7 @@
         entries.put(now, VersionedEntry.LOAD, 0, proposed.write());
     }
 
-    /** The load figures of the present brokers, with or without the own ones. */
+    /** The load figures of the present brokers, with or without this broker's. */
     private List<LoadFigures> loadFigures(boolean own) {
         List<LoadFigures> out = new ArrayList<>();
         for (VersionedEntry entry : entries.ofKind(VersionedEntry.LOAD)) {
@@ -458,9 +481,9 @@
         return out;
     }
 
-    // ---- What arrives.
+    // ---- Receiving.
 
-    /** Handles a datagram; one that is malformed, repeated or not of the fleet is counted and discarded. */
+    /** Handles a datagram. Those that are malformed, repeated or not from the fleet are counted and discarded. */
     public void receive(long now, byte[] datagram, Sink sink) {
         detectStall(now);
         counts.received++;
@@ -471,7 +494,7 @@
             return;
         }
         if (envelope != null && membership.hasStaleIncarnation(envelope)) {
-            // It does not know what was said of it: an earlier datagram of its incarnation, or a clock that went back.
+            // The sender does not know what is gossiped about it: its datagram is older, or its clock went back.
             if (membership.takeToken(now, envelope.sender())) {
                 send(now, envelope.sender(), List.of(membership.stateItem(envelope.sender())), sink);
             }
@@ -491,7 +514,7 @@
         sendExtensionMessages(now, sink);
     }
 
-    /** The latest incarnation that is plausible. */
+    /** The latest incarnation that is plausible, in milliseconds of Unix time. */
     static long latestIncarnation(long now) {
         return now / 1000 + MAX_INCARNATION_LEAD_MS;
     }
@@ -509,7 +532,7 @@
             default -> membership.handleItem(now, from, item, out);
         }
         if (membership.incarnation() - incarnation > MAX_REFUTATIONS) {
-            // The others know of an incarnation that began later: this clock went back.
+            // The others know an incarnation that started later: this broker's clock went back.
             startIncarnation(membership.incarnation());
         }
         if (item.kind() == Envelope.ACK && steadyAt == Long.MAX_VALUE) {
@@ -517,12 +540,12 @@
         }
     }
 
-    private void startIncarnation(long later) {
-        incarnation = later;
-        entries.startIncarnation(later);
+    private void startIncarnation(long newIncarnation) {
+        incarnation = newIncarnation;
+        entries.startIncarnation(newIncarnation);
     }
 
-    /** A broker that joins is told at once whom to ask for its lease. */
+    /** Tells a broker that joins at once where to request its lease. */
     private void sendPublishedVotes(long now, int to, Sink sink) {
         List<Item> items = new ArrayList<>();
         for (VersionedEntry vote : entries.ofKind(VersionedEntry.LEASE_COORDINATOR)) {
@@ -540,7 +563,7 @@
         }
         if (entry.owner() == me) {
             if (entry.incarnation() > incarnation) {
-                // Of an incarnation before this one, by a clock that went back since, or forged.
+                // Forged, or of an earlier start whose clock was ahead of this one's.
                 startIncarnation(entry.incarnation() + 1);
             }
             return;
@@ -565,7 +588,7 @@
         return body.item(Envelope.DIGEST);
     }
 
-    /** Sends what the other does not hold alike, in a few datagrams, and asks it for the same once. */
+    /** Sends the entries that the other broker holds differently, in a few datagrams, and asks it once for the same. */
     private void answerDigest(long now, int from, Item item, Sink sink) {
         if (item.body().length < 1 + 4 * EntryStore.DIGEST_BUCKETS || now - repairRepliedAt < MIN_REPAIR_REPLY_GAP_US) {
             return;
@@ -606,9 +629,9 @@
         }
     }
 
-    // ---- What happens on this broker.
+    // ---- Events at this broker.
 
-    /** Takes in an event of this broker. */
+    /** Handles an event at this broker. */
     public void handle(long now, LocalEvent event, Sink sink) {
         detectStall(now);
         if (event instanceof LocalEvent.LoadSample sample) {
@@ -638,9 +661,9 @@
         tokens = Math.min(maxTokens(), tokens + settings.bytesPerSession() * sample.accepted());
     }
 
-    // ---- What is sent.
+    // ---- Sending.
 
-    /** Sends items that have to go, and fills the datagram up with gossip as far as the budget goes. */
+    /** Sends required items, and fills the datagram up with gossip as far as the byte budget allows. */
     private void send(long now, int to, List<Item> items, Sink sink) {
         refill(now);
         List<Item> all = new ArrayList<>(items);
@@ -667,6 +690,7 @@
         tokensAt = now;
     }
 
+    /** Sends exactly these items, with the announcement if there is room for it. */
     private void sendDatagram(long now, int to, List<Item> items, Sink sink) {
         Item announcement = announcement();
         List<Item> all = items;
@@ -681,9 +705,9 @@
         sink.send(to, datagram);
     }
 
-    // ---- What is read.
+    // ---- Snapshots.
 
-    /** What this broker knows of the fleet now. */
+    /** What this broker knows about the fleet now. */
     public FleetSnapshot snapshot(long now) {
         detectStall(now);
         List<Integer> proposals = new ArrayList<>();
@@ -737,7 +761,8 @@
         Map<Integer, List<VersionedEntry>> reports = new HashMap<>();
         for (VersionedEntry report : entries.ofKind(VersionedEntry.HEALTH_REPORT)) {
             if (membership.member(report.owner()).isPresent()) {
-                reports.computeIfAbsent(report.key(), k -> new ArrayList<>()).add(report);
+                reports.computeIfAbsent(report.key(), server -> new ArrayList<>())
+                        .add(report);
             }
         }
         return Map.copyOf(reports);
--- a/src/main/java/dockshed/fleet/HealthProbeSchedule.java
+++ b/src/main/java/dockshed/fleet/HealthProbeSchedule.java
@@ -7,26 +7,27 @@
 import java.util.List;
 
 /**
- * Which broker probes an edge server that is suspect, silent or coming back. Rendezvous hashing over the present brokers
- * gives each server an order of brokers; they take turns, {@link #TURN_US} apart from the time of the suspicion, until one has
- * reported a result. So a dead server is probed by one broker in each turn, whatever the size of the fleet, and a prober
- * that is dead or partitioned off costs one turn.
+ * Which broker probes an edge server that is suspect, silent or coming back. Rendezvous hashing over the present
+ * brokers gives each server an order of brokers; they take turns, {@link #TURN_US} apart from the time of the
+ * suspicion, until one has reported a result. So a dead server is probed by one broker per turn, whatever the size of
+ * the fleet, and a prober that is dead or cut off costs one turn.
  *
  * <p>Trust: a server counts as down only by the probes of two brokers, this one included, both later than the server's
- * last sign of life here. A report that it is up is believed for {@link #MAX_WAIT_US} of a suspicion; then this broker probes.
+ * last sign of life here. A report that it is up is trusted during the first {@link #MAX_WAIT_US} of a suspicion; after
+ * that this broker probes.
  */
 final class HealthProbeSchedule {
     /** Microseconds between two brokers' turns: a connection attempt that fails takes a quarter of a second. */
     static final long TURN_US = 700_000;
-    /** Microseconds that a health report counts. */
+    /** Microseconds for which a health report counts. */
     static final long REPORT_VALIDITY_US = 2_500_000;
-    /** Microseconds from the suspicion on that a broker waits for the others at most. */
+    /** Microseconds from the suspicion for which a broker waits for the others at most. */
     static final long MAX_WAIT_US = 6_000_000;
-    /** The value of a report that the server is up. */
+    /** Value of a report that the server is up. */
     static final int UP = 1;
-    /** The value of a report that the server is down. */
+    /** Value of a report that the server is down. */
     static final int DOWN = 2;
-    /** Different brokers whose probes have to agree that a server is down; this one counts among them. */
+    /** Number of brokers whose probes must agree that a server is down; this broker is one of them. */
     static final int REQUIRED_REPORTS = 2;
 
     private HealthProbeSchedule() {}
@@ -45,7 +46,7 @@
      *
      * @param brokers the present brokers
      * @param server  the hash of the server's id
-     * @param reports on the server, of present brokers
+     * @param reports on the server, from present brokers
      */
     static Verdict verdict(
             long now, int me, List<Integer> brokers, int server, List<VersionedEntry> reports, Suspicion suspicion) {
--- a/src/main/java/dockshed/fleet/LeaseCoordinator.java
+++ b/src/main/java/dockshed/fleet/LeaseCoordinator.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * A broker as candidate and lease coordinator: it is one as long as a majority of votes run, and grants leases by demand.
- * It never grants more than the leased part, counting all leases that may still run.
+ * A broker as a candidate and lease coordinator: it is the coordinator as long as a majority's votes are running, and
+ * grants leases by demand. It never grants more than the leased part, counting all leases that may still be running.
  */
 final class LeaseCoordinator {
     /** Part of the leased share that is reserved for brokers that join. */
@@ -16,12 +16,12 @@
     /** Part of the leased share that is split evenly; the rest follows the demand. */
     private static final double EVEN_FRACTION = 0.2;
 
-    /** Microseconds of the shortest lease that is worth granting. */
+    /** Minimum length of a lease that is worth granting, in microseconds. */
     private static final long MIN_LEASE_US = LeasedShares.REQUEST_RETRY_DELAY_US;
-    /** Microseconds after which a broker that asks no more does not count. */
+    /** Microseconds after which a broker that has not requested again is not counted any more. */
     private static final long DEMAND_VALIDITY_US = 2 * LeasedShares.MAX_LEASE_US;
 
-    /** A lease to be sent: its length in microseconds, and the shares. */
+    /** A granted lease: its length in microseconds, and the shares. */
     record Grant(long micros, ResourceAmounts shares) {}
 
     private record RunningLease(ResourceAmounts shares, long until) {}
@@ -29,11 +29,11 @@
     private record Demand(ResourceAmounts amounts, long reportedAt) {}
 
     private final int quorum;
-    /** The whole that is leased, of 1. */
+    /** Part of the whole that is leased, of 1. */
     private final double leasable;
-    /** When each vote ends, by voter and by this broker's clock. */
+    /** When each vote ends, by voter, in microseconds of this broker's clock. */
     private final Map<Integer, Long> votes = new HashMap<>();
-    /** The round of vote requests; votes of other rounds are void. */
+    /** The current round of vote requests; votes of other rounds are ignored. */
     private int round;
 
     private long roundAt = Long.MIN_VALUE / 2;
@@ -41,8 +41,10 @@
     private final Map<Integer, Demand> demands = new HashMap<>();
 
     /**
-     * @param leasable   what is leased of the whole, of 1
-     * @param firstRound differs from that of every earlier incarnation
+     * Creates a candidate without votes.
+     *
+     * @param leasable   part of the whole that is leased, of 1
+     * @param firstRound number that differs from those of every earlier incarnation
      */
     LeaseCoordinator(int quorum, double leasable, int firstRound) {
         this.quorum = quorum;
@@ -57,18 +59,18 @@
         return roundAt + LeasedShares.VOTE_TERM_US / 4;
     }
 
-    /** Begins a round of vote requests and returns its number. */
+    /** Starts a round of vote requests and returns its number. */
     int startRound(long now) {
         roundAt = now;
         return ++round;
     }
 
-    /** Makes votes under way void: this process stalled since it requested them. */
+    /** Invalidates votes in progress, since this process has stalled after it requested them. */
     void voidRound() {
         round++;
     }
 
-    /** A voter's vote. It counts from when it was requested, so it ends before the voter's own term. */
+    /** Handles a voter's vote. It counts from when it was requested, so it ends before the voter's own term. */
     void voted(long now, int voter, int votedRound) {
         if (votedRound != round || now - roundAt >= LeasedShares.VOTE_TERM_US) {
             return;
@@ -79,7 +81,7 @@
         votes.put(voter, roundAt + LeasedShares.VOTE_TERM_US);
     }
 
-    /** Whether a majority's votes run. */
+    /** Whether votes of a majority are running. */
     boolean isCoordinator(long now) {
         return termEnd(now) > now;
     }
@@ -94,7 +96,7 @@
 
     // ---- Leases.
 
-    /** Grants a lease to a broker by its demand; null if the own term is nearly over. */
+    /** Grants a lease to a broker by its demand; null if the coordinator's term is nearly over. */
     Grant grant(long now, int holder, ResourceAmounts wanted) {
         long micros = (long)
                 (Math.min(LeasedShares.MAX_LEASE_US, termEnd(now) - now) * (1 - 2 * LeasedShares.MAX_CLOCK_DRIFT));
@@ -107,7 +109,7 @@
         running.values().removeIf(List::isEmpty);
         ResourceAmounts shares = ResourceAmounts.of(resource -> share(holder, wanted, resource));
         long until = now + (long) (micros * (1 + 2 * LeasedShares.MAX_CLOCK_DRIFT));
-        running.computeIfAbsent(holder, x -> new ArrayList<>()).add(new RunningLease(shares, until));
+        running.computeIfAbsent(holder, unused -> new ArrayList<>()).add(new RunningLease(shares, until));
         return new Grant(micros, shares);
     }
 
@@ -120,7 +122,7 @@
         return Math.floor(share * ResourceAmounts.SHARE_UNIT) / ResourceAmounts.SHARE_UNIT;
     }
 
-    /** The part of the leased share that a demand is worth. */
+    /** The part of the leased share that corresponds to a demand. */
     private double part(ResourceAmounts wanted, SharedResource resource) {
         int holders = demands.size();
         double all = demands.values().stream()
@@ -132,7 +134,7 @@
         return EVEN_FRACTION / holders + (1 - EVEN_FRACTION) * wanted.get(resource) / all;
     }
 
-    /** What the others may hold: the largest running lease of each, since a later, smaller one may be lost. */
+    /** What the other holders may have: the largest running lease of each, because a later, smaller one may be lost. */
     private double heldByOthers(int holder, SharedResource resource) {
         double sum = 0;
         for (Map.Entry<Integer, List<RunningLease>> other : running.entrySet()) {
--- a/src/main/java/dockshed/fleet/LeaseHolder.java
+++ b/src/main/java/dockshed/fleet/LeaseHolder.java
@@ -1,13 +1,13 @@
 package dockshed.fleet;
 
-/** A broker as holder of a lease: asks for one by its demand, renews it in time, and counts it from its request. */
+/** A broker as the holder of a lease: requests one by its demand, renews it in time, and counts it from its request. */
 final class LeaseHolder {
-    /** A lease is renewed once this part of it is over. */
+    /** A lease is renewed after this part of its length. */
     private static final double RENEWAL_FRACTION = 0.65;
 
     private static final int NOBODY = -1;
 
-    /** What is leased at most, of 1. */
+    /** Upper limit of a lease's shares, of 1. */
     private final double leasable;
 
     private ResourceAmounts demand = ResourceAmounts.NONE;
@@ -20,15 +20,17 @@
     private boolean granted;
 
     /**
-     * @param leasable     what is leased of the whole, of 1
-     * @param firstRequest differs from that of every earlier incarnation
+     * Creates a holder without a lease.
+     *
+     * @param leasable     part of the whole that is leased, of 1
+     * @param firstRequest number that differs from those of every earlier incarnation
      */
     LeaseHolder(double leasable, int firstRequest) {
         this.leasable = leasable;
         request = firstRequest;
     }
 
-    /** Sets what this broker wants a second of each resource. */
+    /** Sets this broker's demand for each resource, per second. */
     void demand(ResourceAmounts wanted) {
         demand = wanted;
     }
@@ -37,7 +39,7 @@
         return demand;
     }
 
-    /** What is held by a lease now, of 1. */
+    /** The leased share of a resource now, of 1. */
     double held(long now, SharedResource resource) {
         return isLeased(now) ? held.get(resource) : 0;
     }
@@ -50,13 +52,13 @@
         return heldUntil;
     }
 
-    /** When the next request is due: a renewal, or another try. */
+    /** When the next request is due: a renewal, or a retry. */
     long nextRequestAt() {
         long renewal = (long) (RENEWAL_FRACTION * Math.max(1, heldUntil - heldSince));
         return requestedAt + (granted ? renewal : LeasedShares.REQUEST_RETRY_DELAY_US);
     }
 
-    /** Begins a request to a coordinator and returns its number. */
+    /** Starts a request to a coordinator and returns its number. */
     int startRequest(long now, int coordinator) {
         requestedAt = now;
         requestedOf = coordinator;
@@ -64,13 +66,13 @@
         return ++request;
     }
 
-    /** Makes a request under way void, and the next one due: this process stalled since. */
+    /** Invalidates the request in progress, since this process has stalled, and makes the next one due. */
     void voidRequest() {
         request++;
         requestedAt = Long.MIN_VALUE / 2;
     }
 
-    /** A lease arrived; it counts only as the first answer to the latest request. */
+    /** Handles a grant; it counts only as the first answer to the latest request. */
     void granted(int from, int answered, LeaseCoordinator.Grant grant) {
         if (answered != request || granted || from != requestedOf) {
             return;
--- a/src/main/java/dockshed/fleet/LeasedShares.java
+++ b/src/main/java/dockshed/fleet/LeasedShares.java
@@ -13,48 +13,52 @@
 import java.util.SplittableRandom;
 
 /**
- * Shares of what all brokers may use together: each server's room and cold pace ({@link SharedResource#NEW_SESSIONS}), and
- * retries ({@link SharedResource#RETRIES}). The whole is 1. Of it the guaranteed share is split evenly among all configured
- * brokers for good; the rest is leased by demand, by one broker at a time, the lease coordinator. Where the fleet is divided
- * into scopes, each has a coordinator and voters of its own, and leases the part of the whole that is its part of the
- * configured brokers.
+ * Shares of what all brokers may use together: each server's capacity and cold-start rate ({@link
+ * SharedResource#NEW_SESSIONS}), and retries ({@link SharedResource#RETRIES}). The whole is 1. The guaranteed share of
+ * it is split evenly among all configured brokers permanently; the rest is leased by demand by one broker at a time,
+ * the lease coordinator. If the fleet is divided into scopes, each scope has its own coordinator and voters, and leases
+ * a part of the whole in proportion to its number of configured brokers.
  *
  * <p>Why the shares held never add up to more than the whole:
  * <ul>
- * <li>Even parts of the guaranteed share add up to it, whoever is present.
+ * <li>Even parts of the guaranteed share add up to it, whichever brokers are present.
  * <li>Every broker is in one scope, so the leased parts of all scopes add up to the leased part of the whole, and it is
- * enough that no scope leases more than its own. What follows is of one scope. A voter votes only for candidates that
- * divide the fleet as it does, since a broker with other zones counts on other voters and another part.
- * <li>A voter votes for one candidate at a time, and for nobody in the first vote term after its start, as it does not know
- * its earlier vote. A coordinator needs a majority of the voters, which are the same at every broker, so any two
- * coordinators have one in common, and the later one got its vote only when the earlier one's had ended. A candidate counts
- * a vote's term from when it requested it, a voter from when it gave it, which is later.
- * <li>A lease ends before its coordinator's own term: the holder counts it from its request, the coordinator from its grant.
- * <li>A coordinator grants a lease only if it and all granted ones that may still run add up to the leased part. What it
- * counts for a holder is the largest of that holder's running leases, as a later, smaller one may be lost.
- * <li>Each of these compares two times of one process's own clock, so the clocks' settings have no part in it; their rates
- * may differ by {@link #MAX_CLOCK_DRIFT}. A process that stalled compares the time again before it uses a share.
+ * sufficient that no scope leases more than its own part. The rest of the argument is about one scope. A voter votes
+ * only for candidates that divide the fleet as it does, since a broker with other zones relies on other voters and
+ * another part.
+ * <li>A voter votes for one candidate at a time, and for nobody during the first vote term after its start, because it
+ * does not know its earlier vote. A coordinator needs a majority of the voters, which are the same at every broker, so
+ * any two coordinators have one voter in common, and the later one got that vote only when the earlier one's had ended.
+ * A candidate counts a vote's term from its request, a voter from its vote, which is later.
+ * <li>A lease ends before its coordinator's own term: the holder counts it from its request, the coordinator from its
+ * grant.
+ * <li>A coordinator grants a lease only if it and all granted leases that may still be running add up to at most the
+ * leased part. For each holder it counts the largest of the holder's running leases, because a later, smaller one may
+ * be lost.
+ * <li>Each of these rules compares two times of the same process's clock, so the setting of the clocks does not matter;
+ * their rates may differ by {@link #MAX_CLOCK_DRIFT}. A process that stalled compares the time again before it uses a
+ * share.
  * </ul>
  */
 final class LeasedShares {
-    /** Of 1: how much faster one clock may run than another. */
+    /** How much faster one clock may run than another, as a fraction. */
     static final double MAX_CLOCK_DRIFT = 0.01;
-    /** Microseconds of a vote's term. */
+    /** Length of a vote's term, in microseconds. */
     static final long VOTE_TERM_US = 4_000_000;
-    /** Microseconds of a lease at most. */
+    /** Maximum length of a lease, in microseconds. */
     static final long MAX_LEASE_US = 3_000_000;
-    /** Voters; a majority of them makes a coordinator. */
+    /** Number of voters in a scope of at least that many brokers; a majority of them makes a coordinator. */
     static final int VOTER_COUNT = 5;
     /** Microseconds between two requests for a lease that was not granted. */
     static final long REQUEST_RETRY_DELAY_US = 300_000;
 
     private static final int NOBODY = -1;
-    /** Keeps the order of candidates apart from other orders by hash. */
+    /** Makes the order of candidates independent of other orders by hash. */
     private static final int CANDIDATE_SALT = 0x5ee7;
 
     private static final int VOTE_REQUEST_BYTES = 4 + 6;
     private static final int LAYOUT_HASH_BYTES = 4;
-    /** Stands for the layout of a fleet without zones, whose requests for votes name none. */
+    /** Stands for the layout of a fleet without zones, whose vote requests contain no layout. */
     private static final int UNDIVIDED_LAYOUT = 0;
 
     private static final int VOTE_BYTES = 4;
@@ -64,15 +68,15 @@
     private final int me;
     private final int brokers;
     private final Scope scope;
-    /** How the fleet is divided into scopes; goes with requests for votes if it is. */
+    /** How the fleet is divided into scopes; sent with vote requests if it is divided. */
     private final int layoutHash;
 
     private final double guaranteed;
     private final long incarnation;
     private final Membership membership;
-    /** The brokers of the scope; the first present one is the candidate. */
+    /** The brokers of the scope in order of preference; the first present one is the candidate. */
     private final List<Integer> preference;
-    /** The first brokers of the preference: the same at every broker. */
+    /** The first brokers of the preference; the same at every broker. */
     private final List<Integer> voters;
 
     private final LeaseVoter voter;
@@ -80,7 +84,9 @@
     private final LeaseHolder holder;
 
     /**
-     * @param guaranteed  part of the whole that is split evenly for good, of 1
+     * Creates the shares of one broker.
+     *
+     * @param guaranteed  part of the whole that is split evenly and permanently, of 1
      * @param incarnation differs from every earlier one of this broker
      */
     LeasedShares(
@@ -101,7 +107,7 @@
         preference = preference(scope);
         voters = preference.subList(0, Math.min(VOTER_COUNT, scope.size()));
         voter = new LeaseVoter(me, now);
-        // Numbers start at random: an answer to an earlier incarnation must not pass for one to this one.
+        // Numbers start at random: an answer to an earlier incarnation must not be taken for one to this incarnation.
         double leasable = (1 - guaranteed) * scope.size() / brokers;
         coordinator = new LeaseCoordinator(quorum(), leasable, random.nextInt());
         holder = new LeaseHolder(leasable, random.nextInt());
@@ -109,8 +115,8 @@
 
     private static List<Integer> preference(Scope scope) {
         List<Integer> order = new ArrayList<>(scope.brokers().boxed().toList());
-        order.sort(Comparator.comparingInt((Integer i) -> StableHash.mix(i, CANDIDATE_SALT))
-                .thenComparing(i -> i));
+        order.sort(Comparator.comparingInt((Integer broker) -> StableHash.mix(broker, CANDIDATE_SALT))
+                .thenComparing(broker -> broker));
         return List.copyOf(order);
     }
 
@@ -118,19 +124,19 @@
         return voters.size() / 2 + 1;
     }
 
-    // ---- What is asked for and read.
+    // ---- Demand and shares.
 
-    /** Sets what this broker wants a second of each resource. */
+    /** Sets this broker's demand for each resource, per second. */
     void demand(double newSessions, double retries) {
         holder.demand(new ResourceAmounts(newSessions, retries));
     }
 
-    /** Its part of the guaranteed share and what it holds by a lease, of 1. */
+    /** This broker's part of the guaranteed share plus its lease, of 1. */
     double share(long now, SharedResource resource) {
         return guaranteed / brokers + holder.held(now, resource);
     }
 
-    /** Until when {@link #share} holds as it is; what is used later must be the guaranteed part. */
+    /** Until when {@link #share} is valid; afterwards only the guaranteed part may be used. */
     long until(long now) {
         return leased(now) ? holder.leasedUntil() : now;
     }
@@ -151,11 +157,11 @@
     long nextTickAt(long now) {
         long request = holder.nextRequestAt();
         long round = coordinator.nextRoundAt();
-        // What is due and could not be done, for want of a coordinator or of a reason, waits for the next regular tick.
+        // What is due but could not be done, without a coordinator or a reason, waits for the next regular tick.
         return Math.min(request > now ? request : Long.MAX_VALUE, round > now ? round : Long.MAX_VALUE);
     }
 
-    /** Does what is due: requests votes, replicates the own vote, requests a lease. */
+    /** Does what is due: requests votes, replicates this broker's vote, requests a lease. */
     void tick(long now, EntryStore entries, Membership.ItemSender out) {
         int current = currentCoordinator(now, entries);
         if (shouldRequestVotes(current) && now >= coordinator.nextRoundAt()) {
@@ -167,13 +173,13 @@
         }
     }
 
-    /** This process stalled: answers to what it asked for before say nothing of now. */
+    /** Handles a stall of this process: answers to earlier requests are not valid any more. */
     void resumeAfterStall() {
         holder.voidRequest();
         coordinator.voidRound();
     }
 
-    /** The broker that a majority of the voters report to have voted for; one report alone makes nobody coordinator. */
+    /** The broker for which a majority of the voters report to have voted; a single report makes no coordinator. */
     private int currentCoordinator(long now, EntryStore entries) {
         if (isCoordinator(now)) {
             return me;
@@ -232,7 +238,7 @@
         send(now, from, request.item(Envelope.LEASE_REQUEST), out);
     }
 
-    /** Sends an item; one to this broker itself is handled at once. */
+    /** Sends an item; an item to this broker itself is handled at once. */
     private void send(long now, int to, Item item, Membership.ItemSender out) {
         if (to == me) {
             handleItem(now, me, item, out);
@@ -241,9 +247,9 @@
         }
     }
 
-    // ---- What arrives.
+    // ---- Receiving.
 
-    /** Handles an item of a kind that is about leases; others, and those too short, are ignored. */
+    /** Handles an item of a kind that concerns leases; ignores others, and those that are too short. */
     void handleItem(long now, int from, Item item, Membership.ItemSender out) {
         ByteBuffer in = item.read();
         switch (item.kind()) {
--- a/src/main/java/dockshed/fleet/LoadFigures.java
+++ b/src/main/java/dockshed/fleet/LoadFigures.java
@@ -3,26 +3,27 @@
 import java.nio.ByteBuffer;
 
 /**
- * One broker's load, as it is replicated to the others.
+ * One broker's load, as replicated to the others.
  *
- * @param demand   requests a second, by priority step
- * @param accepted requests a second that got a server
- * @param rejected requests a second that the decision module found no room for
+ * @param demand   requests per second, by priority step
+ * @param accepted requests per second that got a server
+ * @param rejected requests per second for which the decision module found no capacity
  * @param proposal the shedding threshold that this broker proposes
  */
 record LoadFigures(double[] demand, double accepted, double rejected, int proposal) {
-    /** Rates are encoded in twentieths of a request a second. */
+    /** Rates are encoded in twentieths of a request per second. */
     private static final double RATE_UNITS_PER_REQUEST = 20;
-    /** Proposals are encoded without their lowest bits. */
+    /** Number of low bits that are dropped when a proposal is encoded. */
     private static final int PROPOSAL_SHIFT = 4;
 
     private static final int MAX_U16 = 0xFFFF;
-    /** The highest rate that one broker can tell. */
+    /** The highest rate that one broker can report, in requests per second. */
     static final double MAX_RATE = MAX_U16 / RATE_UNITS_PER_REQUEST;
 
-    /** A mask of the steps with any demand, two rates and the proposal. */
+    /** Length of the fixed part: a mask of the steps with any demand, two rates and the proposal. */
     private static final int HEADER_BYTES = 4 + 2 + 2 + 2;
 
+    /** Encodes the figures as an entry's value. */
     byte[] write() {
         int mask = 0;
         for (int step = 0; step < SheddingThreshold.PRIORITY_STEPS; step++) {
@@ -49,7 +50,7 @@
         return (in.getShort() & MAX_U16) / RATE_UNITS_PER_REQUEST;
     }
 
-    /** Returns null if the value cannot be decoded; bytes behind the known fields are ignored. */
+    /** Decodes a value; returns null if that is not possible. Bytes after the known fields are ignored. */
     static LoadFigures read(byte[] value) {
         ByteBuffer in = ByteBuffer.wrap(value);
         if (in.remaining() < HEADER_BYTES) {
@@ -71,7 +72,7 @@
         return new LoadFigures(demand, accepted, rejected, Math.min(SheddingThreshold.MAX_PRIORITY, proposal));
     }
 
-    /** Requests a second of all priorities. */
+    /** Requests per second of all priorities. */
     double totalDemand() {
         double sum = 0;
         for (double rate : demand) {
@@ -80,7 +81,7 @@
         return sum;
     }
 
-    /** Requests a second that reached the decision module. */
+    /** Requests per second that reached the decision module. */
     double admitted() {
         return accepted + rejected;
     }
--- a/src/main/java/dockshed/fleet/Member.java
+++ b/src/main/java/dockshed/fleet/Member.java
@@ -3,17 +3,17 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Another broker as this one knows it. Times are microseconds. */
+/** Another broker as this one knows it. Times are microseconds of this broker's clock. */
 final class Member {
-    /** What is known of a member; the order is that of the wire. */
+    /** State of a member; the order is that of the wire. */
     enum State {
-        /** Configured, never heard of. */
+        /** Configured, and nothing received about it yet. */
         UNKNOWN,
-        /** Answers. */
+        /** Answers probes. */
         ALIVE,
-        /** Did not answer, and may still. */
+        /** Did not answer, but may still do so. */
         SUSPECT,
-        /** Did not answer for the time of a suspicion. */
+        /** Did not answer until its suspicion timed out. */
         DEAD,
         /** Announced its graceful shutdown. */
         LEFT
@@ -21,34 +21,34 @@
 
     final int number;
     State state = State.UNKNOWN;
-    /** The latest known. */
+    /** The latest incarnation known. */
     long incarnation;
-    /** When a datagram of its own last arrived. */
+    /** When its last datagram arrived. */
     long lastReceivedAt = Long.MIN_VALUE / 2;
-    /** When it entered its state. */
+    /** When the member entered its state. */
     long stateSince;
-    /** The highest serial of its own datagrams. */
+    /** The highest serial number received in its datagrams. */
     int serial;
-    /** Which of the 64 serials up to the highest have arrived: bit 0 is the highest. */
+    /** Which of the 64 serials up to the highest have arrived; bit 0 stands for the highest. */
     long serialWindow;
-    /** Whether a datagram of its own ever arrived in its incarnation. */
+    /** Whether any of its datagrams has arrived in its incarnation. */
     boolean hasReceived;
-    /** How often its state was gossiped. */
+    /** How many times its state was gossiped. */
     int timesSent;
-    /** Those that called it suspect or dead. */
+    /** Brokers that reported it as suspect or dead. */
     final Set<Integer> accusers = new HashSet<>();
-    /** Datagrams that it may send before they are discarded. */
+    /** Datagrams that it may send before further ones are discarded. */
     double tokens = Membership.MAX_DATAGRAM_BURST;
 
     long tokensAt;
-    /** Until then what it says of others is ignored. */
+    /** Until then its reports about other members are ignored. */
     long distrustedUntil = Long.MIN_VALUE;
 
     Member(int number) {
         this.number = number;
     }
 
-    /** Whether it counts as a member of the fleet: alive, or suspect only. */
+    /** Whether the broker counts as a member of the fleet: alive or only suspect. */
     boolean isPresent() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
--- a/src/main/java/dockshed/fleet/Membership.java
+++ b/src/main/java/dockshed/fleet/Membership.java
@@ -15,49 +15,54 @@
 
 /**
  * Which brokers are present: SWIM's probing in turn, suspicion and incarnations, with Lifeguard's local health score. A
- * broker that is slow itself gives the others more time, and one that stalled forgets what it was about to say of them.
+ * broker that is slow itself gives the others more time, and one that stalled discards the probes under way.
  *
- * <p>Trust: another broker's word makes this one suspect a member and no more. It calls the member dead only once the
- * member has answered neither it nor anybody that said so for the time of a suspicion, and a datagram of the member's own
- * ends any suspicion. So a byzantine peer costs probes, never a member.
+ * <p>Trust: another broker's report makes this one suspect a member, but no more. A member counts as dead only once it
+ * has answered neither this broker nor any broker that reports an answer until its suspicion times out, and a datagram
+ * from the member itself ends any suspicion. So a byzantine peer costs probes, never a member.
  */
 final class Membership {
-    /** Microseconds between two probes; grows with the local health score. */
+    /** Time between two probes in microseconds; increases with the local health score. */
     static final long PROBE_PERIOD_US = 500_000;
-    /** Microseconds for an answer before others are asked to probe; grows with the local health score. */
+    /**
+     * Microseconds that a probe's answer may take before other brokers are asked to probe; increases with the local
+     * health score.
+     */
     static final long ACK_TIMEOUT_US = 150_000;
-    /** Members asked for an indirect probe; also the accusers that shorten a suspicion to its minimum. */
+    /**
+     * Members asked for an indirect probe; also the number of further accusers that shorten a suspicion to its minimum.
+     */
     static final int INDIRECT_PROBES = 3;
-    /** The local health score at its worst: periods are five times as long then. */
+    /** The worst local health score: periods are five times as long then. */
     static final int MAX_HEALTH_SCORE = 4;
-    /** What a stall of this process adds to the local health score. */
+    /** Added to the local health score by a stall of this process. */
     private static final int STALL_HEALTH_SCORE = 2;
-    /** Periods of the shortest suspicion, times the logarithm of the tier's size. */
+    /** Shortest suspicion, in probe periods times the logarithm of the tier's size. */
     private static final double MIN_SUSPICION_PERIODS = 5;
-    /** The longest suspicion over the shortest. */
+    /** Ratio of the longest suspicion to the shortest. */
     private static final double MAX_SUSPICION_FACTOR = 4;
-    /** Microseconds after which a dead member is probed again: nobody announces the end of a partition. */
+    /** Microseconds between two probes of dead members: nothing announces the end of a partition. */
     static final long DEAD_RETRY_PERIOD_US = 3_000_000;
-    /** Datagrams of one sender that are read a second; a correct one sends under ten. */
+    /** Datagrams read per second from one sender; a correct one sends fewer than ten. */
     static final double MAX_DATAGRAMS_PER_SECOND = 40;
-    /** Datagrams of one sender that are read at once. */
+    /** Datagrams read at once from one sender. */
     static final double MAX_DATAGRAM_BURST = 80;
-    /** Microseconds for which a relay caught forging is not believed about others. */
+    /** Microseconds for which a relay caught forging is not trusted about other members. */
     static final long DISTRUST_TIME_US = 60_000_000;
-    /** Serials behind the highest that are still read, each once. */
+    /** Serial numbers up to the highest that are still read, each once. */
     private static final int SERIAL_WINDOW = 64;
-    /** Indirect probes under way for others. */
+    /** Maximum number of indirect probes in progress for other brokers. */
     private static final int MAX_RELAYED_PROBES = 4 * INDIRECT_PROBES;
-    /** Bytes of a member's state as an item. */
+    /** Length of a member's state as an item. */
     private static final int UPDATE_BYTES = 11;
 
     private static final int MAX_U16 = 0xFFFF;
 
-    /** A probe that waits for its answer. */
+    /** A probe in progress. */
     private static final class Probe {
         final Member target;
         final long sentAt;
-        /** Whether others were asked to probe, too. */
+        /** Whether other brokers were asked to probe, too. */
         boolean indirect;
 
         Probe(Member target, long sentAt) {
@@ -66,21 +71,21 @@
         }
     }
 
-    /** An indirect probe for another broker: whom to answer, and under which number. */
+    /** An indirect probe for another broker: the requester, its number for the probe, and when the probe expires. */
     private record RelayedProbe(int requester, int number, long until) {}
 
-    /** Where datagrams go: to whom, and the items that have to be in it. */
+    /** Sends a datagram that contains at least these items. */
     interface ItemSender {
         void send(int to, List<Item> items);
     }
 
     final int me;
     private final Scope scope;
-    /** The brokers of the scope, by their places in it. */
+    /** The brokers of the scope, in the order of their numbers. */
     private final Member[] members;
 
     private final SplittableRandom random;
-    /** What is left of the current round of probes, last first. */
+    /** Brokers that remain in the current round of probes; the last is probed next. */
     private final List<Integer> probeOrder = new ArrayList<>();
 
     private final Map<Integer, Probe> probes = new HashMap<>();
@@ -95,13 +100,15 @@
     private int lastProbeNumber;
     private boolean leaving;
     private boolean suspectsFirst;
-    /** Suspicions of this broker that it refuted. */
+    /** Suspicions of this broker that it refuted, since the start. */
     int refutations;
-    /** Suspicions of others that a datagram of theirs ended. */
+    /** Suspicions of other members that ended with a datagram from them, since the start. */
     int clearedSuspicions;
 
     /**
-     * @param stretch how many times longer its periods are, 1 or more, where the byte budget is small
+     * Creates the membership of a scope, with all other brokers unknown.
+     *
+     * @param stretch factor of the probe periods, 1 or more, for a small byte budget
      */
     Membership(int me, Scope scope, long incarnation, long now, double stretch, SplittableRandom random) {
         this.me = me;
@@ -124,6 +131,7 @@
         return scope;
     }
 
+    /** A broker of the scope. */
     Member member(int number) {
         return members[number - scope.first()];
     }
@@ -151,7 +159,7 @@
         return ACK_TIMEOUT_US * (1 + healthScore);
     }
 
-    /** The time for which a member is suspected: shorter, the more members accuse it (Lifeguard). */
+    /** How long a member stays suspect, in microseconds: the more accusers, the shorter (Lifeguard). */
     private long suspicionTime(Member member) {
         double shortest = MIN_SUSPICION_PERIODS * basePeriod * Math.max(1, Math.log10(members.length + 1));
         double longest = shortest * MAX_SUSPICION_FACTOR;
@@ -178,7 +186,10 @@
         return due;
     }
 
-    /** This process stalled for {@code gap}: whatever was due meanwhile says nothing of the others. */
+    /**
+     * Handles a stall of this process for {@code gap} microseconds: whatever was due meanwhile says nothing about the
+     * others.
+     */
     void resumeAfterStall(long now, long gap) {
         probes.clear();
         relayedProbes.clear();
@@ -239,7 +250,7 @@
         }
         List<Item> items = new ArrayList<>(List.of(new BodyWriter().u16(number).item(Envelope.PING)));
         if (target.state == State.SUSPECT || target.state == State.DEAD) {
-            items.add(memberItem(target)); // it can refute only what it hears
+            items.add(memberItem(target)); // it can refute only what it receives
         }
         out.send(target.number, items);
     }
@@ -248,18 +259,21 @@
         return lastProbeNumber++ & MAX_U16;
     }
 
-    /** Every second time a suspect; now and then a dead member; else the next one of a shuffled round. */
+    /**
+     * Every second time a suspect; once per {@link #DEAD_RETRY_PERIOD_US} a dead or unknown member; otherwise the next
+     * of a shuffled round.
+     */
     private Member nextTarget(long now) {
         suspectsFirst = !suspectsFirst;
-        if (suspectsFirst) { // each that suspects it probes it: one answer clears it
-            Member suspect = randomMember(m -> m.state == State.SUSPECT);
+        if (suspectsFirst) { // each broker that suspects it probes it: one answer clears it
+            Member suspect = randomMember(member -> member.state == State.SUSPECT);
             if (suspect != null) {
                 return suspect;
             }
         }
         if (now >= nextDeadProbeAt) {
             nextDeadProbeAt = now + DEAD_RETRY_PERIOD_US;
-            Member gone = randomMember(m -> m.state == State.DEAD || m.state == State.UNKNOWN);
+            Member gone = randomMember(member -> member.state == State.DEAD || member.state == State.UNKNOWN);
             if (gone != null) {
                 return gone;
             }
@@ -277,7 +291,7 @@
         return matching.isEmpty() ? null : matching.get(random.nextInt(matching.size()));
     }
 
-    /** The next member of the round, so that each is probed once in it; begins the next round where one is over. */
+    /** The next member of the round, in which each is probed once; starts the next round if this one is over. */
     private Member nextOfRound() {
         for (int round = 0; round < 2; round++) {
             Member next = restOfRound();
@@ -295,7 +309,7 @@
     private Member restOfRound() {
         while (!probeOrder.isEmpty()) {
             Member member = member(probeOrder.remove(probeOrder.size() - 1));
-            if (member.isPresent() && probes.values().stream().noneMatch(p -> p.target == member)) {
+            if (member.isPresent() && probes.values().stream().noneMatch(probe -> probe.target == member)) {
                 return member;
             }
         }
@@ -304,7 +318,7 @@
 
     private void shuffleRound() {
         for (Member member : members) {
-            // Until somebody answers, every configured peer is a seed.
+            // Until a broker answers, every configured peer is a seed.
             boolean seed = member.state == State.UNKNOWN && isAlone();
             if (member.number != me && (member.isPresent() || seed)) {
                 probeOrder.add(random.nextInt(probeOrder.size() + 1), member.number);
@@ -333,12 +347,13 @@
         return all.subList(0, Math.min(count, all.size()));
     }
 
-    // ---- What arrives.
+    // ---- Receiving.
 
     /**
-     * Whether a datagram is read: of a known sender, not too many of them, of its latest incarnation, and not a repeat.
+     * Whether a datagram is read: its sender is known and within its rate, and it is of the sender's latest incarnation
+     * and not a repeat.
      *
-     * @param latestIncarnation the latest that is plausible
+     * @param latestIncarnation the latest one that is plausible
      */
     boolean admits(long now, Envelope envelope, long latestIncarnation) {
         if (!scope.contains(envelope.sender())
@@ -356,7 +371,7 @@
         return true;
     }
 
-    /** Whether another datagram of that member may cost something now. */
+    /** Whether another datagram of that member may cost work now. */
     boolean takeToken(long now, int number) {
         return takeToken(now, member(number));
     }
@@ -377,19 +392,22 @@
         return behind < 0 || behind < SERIAL_WINDOW && (sender.serialWindow >> behind & 1) == 0;
     }
 
-    /** Whether a datagram's sender does not know yet under which incarnation the others speak of it. */
+    /** Whether a datagram's sender does not know yet under which incarnation it is gossiped about. */
     boolean hasStaleIncarnation(Envelope envelope) {
         return scope.contains(envelope.sender())
                 && envelope.sender() != me
                 && envelope.incarnation() < member(envelope.sender()).incarnation;
     }
 
-    /** The state held of a member, so that it can refute it. */
+    /** The state held of a member, sent to it so that it can refute it. */
     Item stateItem(int number) {
         return memberItem(member(number));
     }
 
-    /** A datagram of the sender's own arrived: whatever others say, it is present. True if it was not, or started anew. */
+    /**
+     * A datagram of the sender's own arrived, so it is present, whatever others report. Returns whether it was not
+     * present before or has restarted.
+     */
     boolean datagramReceived(long now, Envelope envelope) {
         Member sender = member(envelope.sender());
         boolean later = envelope.incarnation() > sender.incarnation;
@@ -422,7 +440,7 @@
         }
     }
 
-    /** Handles an item of a kind that is about membership; others are ignored. */
+    /** Handles an item of a kind that concerns membership; ignores others. */
     void handleItem(long now, int from, Item item, ItemSender out) {
         ByteBuffer in = item.read();
         switch (item.kind()) {
@@ -475,7 +493,7 @@
             probes.remove(number);
             healthScore = Math.max(0, healthScore - 1);
         } else if (probe.indirect && member(from).distrustedUntil < now) {
-            probes.remove(number); // a relay reached it: it is present, though not heard here
+            probes.remove(number); // a relay reached it: it is present, though its answer did not arrive here
             healthScore = Math.max(0, healthScore - 1);
             if (probe.target.state == State.SUSPECT) {
                 setState(now, probe.target, State.ALIVE);
@@ -483,14 +501,14 @@
         }
     }
 
-    /** A member's state as sent by another broker or by the member itself. */
+    /** Handles a member's state sent by another broker or by the member itself. */
     private void applyUpdate(long now, int from, int number, int stateNumber, long updatedIncarnation) {
         State[] states = State.values();
         if (!scope.contains(number) || stateNumber >= states.length || member(from).distrustedUntil > now) {
             return;
         }
         if (updatedIncarnation > GossipNode.latestIncarnation(now)) {
-            return; // a member that took it on would not be admitted by anybody any more
+            return; // a member that adopted it would not be admitted by any broker any more
         }
         State state = states[stateNumber];
         Member member = member(number);
@@ -511,7 +529,7 @@
         } else if (state == State.LEFT && from == member.number) {
             setState(now, member, State.LEFT);
         } else if (isNegative(state) && member.isPresent() && now - member.lastReceivedAt > basePeriod) {
-            // Whatever others say, it has the time of a suspicion to answer for itself.
+            // Whatever others report, the member has the time of a suspicion to answer.
             suspect(now, member, from);
         }
     }
@@ -520,7 +538,7 @@
         return state == State.SUSPECT || state == State.DEAD || state == State.LEFT;
     }
 
-    /** Contradicts what others say of this broker by a higher incarnation. */
+    /** Refutes another broker's report about this one by a higher incarnation. */
     private void refute(State state, long updatedIncarnation) {
         if (isNegative(state) && updatedIncarnation >= incarnation && !leaving) {
             incarnation = updatedIncarnation + 1;
@@ -550,7 +568,7 @@
         }
     }
 
-    /** A relay was caught forging: for {@link #DISTRUST_TIME_US} it is not believed about others. */
+    /** A relay was caught forging: it is not trusted about other members for {@link #DISTRUST_TIME_US}. */
     void distrust(long now, int number) {
         member(number).distrustedUntil = now + DISTRUST_TIME_US;
     }
@@ -565,7 +583,7 @@
                 .item(Envelope.MEMBER);
     }
 
-    /** Changes of state to be gossiped, those sent least first, in up to so many bytes. */
+    /** Changes of state to gossip, those sent the fewest times first, in up to that many bytes; counts them as sent. */
     List<Item> gossip(int bytes) {
         int maxTimes = gossipTimes();
         List<Member> due = new ArrayList<>();
@@ -586,12 +604,15 @@
         return out;
     }
 
-    /** How often a change is sent on: three times the logarithm of the tier's size reaches all with near certainty. */
+    /**
+     * How many times a change is gossiped: three times the logarithm of the tier's size reaches all members with near
+     * certainty.
+     */
     int gossipTimes() {
         return (int) Math.ceil(3 * Math.log(members.length + 1) / Math.log(2));
     }
 
-    /** A graceful shutdown begins: announced to some at once, and gossiped by them. */
+    /** Starts a graceful shutdown: announced to some members at once, and gossiped by them. */
     void leave(long now, ItemSender out) {
         leaving = true;
         member(me).state = State.LEFT;
--- a/src/main/java/dockshed/fleet/OutsideSenders.java
+++ b/src/main/java/dockshed/fleet/OutsideSenders.java
@@ -1,10 +1,13 @@
 package dockshed.fleet;
 
-/** Bounds the datagrams that are read of each broker outside the own scope; of these no other state is kept. */
+/**
+ * Limits the rate of datagrams that are read from each broker outside the own scope; no other state is kept for these
+ * brokers.
+ */
 final class OutsideSenders {
-    /** Datagrams a second that are read of one broker; a sound one sends less than one on average. */
+    /** Datagrams read per second from one broker; a correct broker sends less than one on average. */
     static final double MAX_DATAGRAMS_PER_SECOND = 10;
-    /** Datagrams at once. */
+    /** Datagrams read at once from one broker. */
     static final double MAX_DATAGRAM_BURST = 30;
 
     private final float[] tokens;
--- a/src/main/java/dockshed/fleet/ResourceAmounts.java
+++ b/src/main/java/dockshed/fleet/ResourceAmounts.java
@@ -4,24 +4,19 @@
 import java.nio.ByteBuffer;
 import java.util.function.ToDoubleFunction;
 
-/**
- * An amount of each {@link SharedResource}: a demand a second, or shares of 1.
- *
- * @param newSessions of {@link SharedResource#NEW_SESSIONS}
- * @param retries     of {@link SharedResource#RETRIES}
- */
+/** An amount of each {@link SharedResource}: a demand per second, or shares of 1. */
 record ResourceAmounts(double newSessions, double retries) {
     static final ResourceAmounts NONE = new ResourceAmounts(0, 0);
-    /** Bytes on the wire. */
+    /** Encoded length in bytes. */
     static final int BYTES = 4;
-    /** Demand is encoded in tenths a second. */
+    /** Unit for demands: they are encoded in tenths per second. */
     static final double DEMAND_UNIT = 10;
-    /** Shares are encoded in parts of 65,535. */
+    /** Unit for shares: they are encoded in 65,535ths. */
     static final double SHARE_UNIT = 65_535;
 
     private static final int MAX_U16 = 0xFFFF;
 
-    /** Asks for the amount of each resource. */
+    /** Creates the amounts from a function of the resource. */
     static ResourceAmounts of(ToDoubleFunction<SharedResource> amount) {
         return new ResourceAmounts(
                 amount.applyAsDouble(SharedResource.NEW_SESSIONS), amount.applyAsDouble(SharedResource.RETRIES));
@@ -31,12 +26,12 @@
         return resource == SharedResource.NEW_SESSIONS ? newSessions : retries;
     }
 
-    /** The amounts, each at most {@code limit}. */
+    /** The amounts, each limited to {@code limit}. */
     ResourceAmounts atMost(double limit) {
         return new ResourceAmounts(Math.min(limit, newSessions), Math.min(limit, retries));
     }
 
-    /** Writes both, in parts of {@code unit}. */
+    /** Writes both amounts in units of 1 / {@code unit}. */
     void write(BodyWriter out, double unit) {
         out.u16(encode(newSessions, unit)).u16(encode(retries, unit));
     }
--- a/src/main/java/dockshed/fleet/ScopeSummary.java
+++ b/src/main/java/dockshed/fleet/ScopeSummary.java
@@ -5,31 +5,34 @@
 import java.nio.ByteBuffer;
 
 /**
- * The load of one scope, added up by one of its brokers from what that broker knows. Which scope it is of follows from its
- * maker.
+ * The load of one scope, added up by one of its brokers from what that broker knows. The maker determines the scope.
  *
  * @param maker   number of the broker that added it up
- * @param version grows with each summary of that maker: its Unix time in milliseconds when it was made
- * @param madeAt  when it was made, in microseconds of the holder's clock, by the age that travels with it
- * @param present brokers of the scope that its maker sees present, itself included
+ * @param version increases with each summary of that maker: the Unix time in milliseconds at which it was made
+ * @param madeAt  when it was made, in microseconds of the holder's clock, computed from the age on the wire
+ * @param present number of brokers of the scope that the maker sees as present, itself included
  * @param load    sums over these brokers; its proposal is the median of theirs
  */
 record ScopeSummary(int maker, long version, long madeAt, int present, LoadFigures load) {
-    /** Maker, version, age, present brokers, proposal, exponent, two rates, a mask of the steps with any demand. */
+    /**
+     * Length of the fixed part: maker, version, age, present brokers, proposal, exponent, two rates, a mask of the
+     * steps with any demand.
+     */
     static final int HEADER_BYTES = 2 + 6 + 2 + 1 + 2 + 1 + 2 + 2 + 4;
 
-    /** Microseconds in which ages travel. */
+    /** Unit in which ages are encoded, in microseconds. */
     private static final long AGE_UNIT_US = 50_000;
 
     private static final int MAX_U16 = 0xFFFF;
     private static final int MAX_U8 = 0xFF;
-    /** Rates are encoded in twentieths of a request a second, times two to the power of the exponent. */
+    /** Rates are encoded in twentieths of a request per second, times two to the power of the exponent. */
     private static final double RATE_UNITS_PER_REQUEST = 20;
-    /** Of the largest scope at the largest rates that one broker can tell no more is needed. */
+    /** Highest exponent: the largest scope at the highest rates that one broker can report needs no more. */
     private static final int MAX_EXPONENT = 8;
-    /** Proposals are encoded without their lowest bits. */
+    /** Number of low bits that are dropped when a proposal is encoded. */
     private static final int PROPOSAL_SHIFT = 4;
 
+    /** Encodes the summary with its age. */
     Item write(long now) {
         int exponent = exponent();
         double unit = RATE_UNITS_PER_REQUEST / (1 << exponent);
@@ -56,7 +59,7 @@
         return body.item(Envelope.SCOPE_SUMMARY);
     }
 
-    /** The least exponent that all rates fit with. */
+    /** The lowest exponent with which all rates fit. */
     private int exponent() {
         double highest = Math.max(load.accepted(), load.rejected());
         for (double rate : load.demand()) {
@@ -73,7 +76,7 @@
         return (int) Math.min(MAX_U16, Math.round(rate * unit));
     }
 
-    /** Returns null if the item cannot be decoded; bytes behind the known fields are ignored. */
+    /** Decodes an item; returns null if that is not possible. Bytes after the known fields are ignored. */
     static ScopeSummary read(Item item, long now) {
         ByteBuffer in = item.read();
         if (in.remaining() < HEADER_BYTES) {
@@ -104,7 +107,9 @@
         return new ScopeSummary(maker, version, madeAt, present, new LoadFigures(demand, accepted, rejected, proposal));
     }
 
-    /** Whether a scope of that size can have such a load: no broker can tell of more than {@link LoadFigures#MAX_RATE}. */
+    /**
+     * Whether a scope of that size can have such a load: no broker can report more than {@link LoadFigures#MAX_RATE}.
+     */
     boolean isPlausible(int scopeSize) {
         if (present < 1 || present > scopeSize || load.proposal() > SheddingThreshold.MAX_PRIORITY) {
             return false;
--- a/src/main/java/dockshed/fleet/ScopeSummaryStore.java
+++ b/src/main/java/dockshed/fleet/ScopeSummaryStore.java
@@ -10,21 +10,20 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What this broker knows of the other scopes: for each a few summaries, and of them the median. Invariants:
- *
+ * What this broker knows about the other scopes: a few summaries of each, of which it uses the median. Invariants:
  * <ul>
- *   <li>The summaries held of a scope are of different makers and came from different brokers, so one broker that lies
- *       stands behind one of them at most, and with {@link #MAX_SUMMARIES_PER_SCOPE} held it does not move the median beyond what the
- *       others say.
- *   <li>A summary is relayed only by a broker that had it from its maker, and a broker's word on its own scope is its own:
- *       what a relay forges goes no further than to whom it is sent.
- *   <li>A summary is forgotten {@link #MAX_AGE_US} after it was made, however often it is sent again.
+ * <li>The summaries held of a scope are of different makers and came from different brokers, so one broker that lies is
+ * behind at most one of them, and with {@link #MAX_SUMMARIES_PER_SCOPE} held it cannot move the median beyond what the
+ * others report.
+ * <li>A summary is relayed only by a broker that received it from its maker, and a broker sends only summaries of its
+ * own making about its own scope: what a relay forges goes no further than the brokers to which it sends it.
+ * <li>A summary is removed {@link #MAX_AGE_US} after it was made, however often it is received again.
  * </ul>
  */
 final class ScopeSummaryStore {
-    /** Summaries held of one scope. */
+    /** Maximum number of summaries held of one scope. */
     static final int MAX_SUMMARIES_PER_SCOPE = 3;
-    /** Microseconds after which a summary says nothing any more: its scope is gone, or cut off. */
+    /** Microseconds after which a summary is not used any more: its scope is down or cut off. */
     static final long MAX_AGE_US = 6_000_000;
     /** Microseconds for which a summary is relayed. */
     static final long MAX_RELAY_AGE_US = 2_000_000;
@@ -33,21 +32,21 @@
     private record ReceivedSummary(ScopeSummary summary, int from) {}
 
     /**
-     * What is known of another scope.
+     * What is known about another scope.
      *
-     * @param scope   that it is of
+     * @param scope   the scope
      * @param age     of the median summary, in microseconds
-     * @param present brokers that are present there
-     * @param load    sums over these; its proposal is their median one
+     * @param present number of brokers present there
+     * @param load    sums over these brokers; its proposal is their median
      */
     record Estimate(Scope scope, long age, int present, LoadFigures load) {}
 
     private final ZoneMap zones;
     private final Scope own;
     private final List<List<ReceivedSummary>> received = new ArrayList<>(); // by scope
-    private final ScopeSummary[] firstHand; // by scope: the latest that came from its maker
+    private final ScopeSummary[] firstHand; // by scope: the latest received from its maker
     private int relayTurn;
-    /** Summaries that were refused, since the start. */
+    /** Summaries refused since the start. */
     long refused;
 
     ScopeSummaryStore(ZoneMap zones, Scope own) {
@@ -59,15 +58,20 @@
         firstHand = new ScopeSummary[zones.scopes().size()];
     }
 
-    /** Takes in a summary that a broker sent; one that cannot be, or is not that broker's to send, is counted and refused. */
+    /**
+     * Records a summary from another broker; refuses and counts one that is implausible or must not be sent by that
+     * broker.
+     *
+     * @param latestVersion the latest version that is plausible
+     */
     void offer(long now, ScopeSummary summary, int from, long latestVersion) {
         if (summary == null || !zones.contains(summary.maker()) || !zones.contains(from)) {
             refused++;
             return;
         }
         Scope scope = zones.scopeOf(summary.maker());
-        boolean ownWord = summary.maker() == from;
-        boolean relayOfOwnScope = !ownWord && scope.contains(from);
+        boolean firstHandSummary = summary.maker() == from;
+        boolean relayOfOwnScope = !firstHandSummary && scope.contains(from);
         if (scope.equals(own)
                 || relayOfOwnScope
                 || summary.version() > latestVersion
@@ -78,7 +82,7 @@
         if (now - summary.madeAt() > MAX_AGE_US) {
             return;
         }
-        if (ownWord) {
+        if (firstHandSummary) {
             ScopeSummary before = firstHand[scope.number()];
             if (before == null || summary.madeAt() >= before.madeAt()) {
                 firstHand[scope.number()] = summary;
@@ -87,53 +91,55 @@
         store(new ReceivedSummary(summary, from), received.get(scope.number()));
     }
 
-    private static void store(ReceivedSummary voice, List<ReceivedSummary> held) {
-        ReceivedSummary ofSender = find(held, v -> v.from() == voice.from());
-        ReceivedSummary ofMaker =
-                find(held, v -> v.summary().maker() == voice.summary().maker());
-        if (ofSender != null) {
-            // It replaces what the same broker sent before, and never another's.
-            boolean ofAnother = ofMaker != null && ofMaker != ofSender;
-            if (!ofAnother && isLater(voice, ofSender)) {
-                held.set(held.indexOf(ofSender), voice);
+    private static void store(ReceivedSummary added, List<ReceivedSummary> held) {
+        ReceivedSummary fromSender = find(held, candidate -> candidate.from() == added.from());
+        ReceivedSummary fromMaker = find(
+                held,
+                candidate -> candidate.summary().maker() == added.summary().maker());
+        if (fromSender != null) {
+            // It replaces what the same broker sent before, and never another broker's.
+            boolean fromAnother = fromMaker != null && fromMaker != fromSender;
+            if (!fromAnother && isLater(added, fromSender)) {
+                held.set(held.indexOf(fromSender), added);
             }
-        } else if (ofMaker != null) {
-            if (isLater(voice, ofMaker)) {
-                held.set(held.indexOf(ofMaker), voice);
+        } else if (fromMaker != null) {
+            if (isLater(added, fromMaker)) {
+                held.set(held.indexOf(fromMaker), added);
             }
         } else if (held.size() < MAX_SUMMARIES_PER_SCOPE) {
-            held.add(voice);
+            held.add(added);
         } else {
             ReceivedSummary oldest = held.stream()
-                    .min(Comparator.comparingLong(v -> v.summary().madeAt()))
+                    .min(Comparator.comparingLong(
+                            candidate -> candidate.summary().madeAt()))
                     .orElseThrow();
-            if (voice.summary().madeAt() > oldest.summary().madeAt()) {
-                held.set(held.indexOf(oldest), voice);
+            if (added.summary().madeAt() > oldest.summary().madeAt()) {
+                held.set(held.indexOf(oldest), added);
             }
         }
     }
 
-    private static boolean isLater(ReceivedSummary voice, ReceivedSummary than) {
-        if (voice.summary().maker() == than.summary().maker()) {
-            return voice.summary().version() > than.summary().version();
+    private static boolean isLater(ReceivedSummary first, ReceivedSummary second) {
+        if (first.summary().maker() == second.summary().maker()) {
+            return first.summary().version() > second.summary().version();
         }
-        return voice.summary().madeAt() > than.summary().madeAt();
+        return first.summary().madeAt() > second.summary().madeAt();
     }
 
     private static ReceivedSummary find(
             List<ReceivedSummary> held, java.util.function.Predicate<ReceivedSummary> wanted) {
-        for (ReceivedSummary voice : held) {
-            if (wanted.test(voice)) {
-                return voice;
+        for (ReceivedSummary candidate : held) {
+            if (wanted.test(candidate)) {
+                return candidate;
             }
         }
         return null;
     }
 
-    /** Forgets what is too old. */
+    /** Removes summaries that are too old. */
     void expire(long now) {
         for (List<ReceivedSummary> held : received) {
-            held.removeIf(voice -> now - voice.summary().madeAt() > MAX_AGE_US);
+            held.removeIf(summary -> now - summary.summary().madeAt() > MAX_AGE_US);
         }
         for (int i = 0; i < firstHand.length; i++) {
             if (firstHand[i] != null && now - firstHand[i].madeAt() > MAX_RELAY_AGE_US) {
@@ -142,29 +148,32 @@
         }
     }
 
-    /** The next summary to relay, in turn over the scopes that were heard of first hand; null: there is none. */
-    ScopeSummary nextToRelay(long now, Scope but) {
+    /**
+     * The next summary to relay, in turn over the scopes whose makers were received from directly; null if there is
+     * none.
+     */
+    ScopeSummary nextToRelay(long now, Scope excluded) {
         for (int i = 0; i < firstHand.length; i++) {
             relayTurn = (relayTurn + 1) % firstHand.length;
             ScopeSummary summary = firstHand[relayTurn];
-            if (summary != null && relayTurn != but.number() && now - summary.madeAt() <= MAX_RELAY_AGE_US) {
+            if (summary != null && relayTurn != excluded.number() && now - summary.madeAt() <= MAX_RELAY_AGE_US) {
                 return summary;
             }
         }
         return null;
     }
 
-    /** Whether anything is known of another scope that is young enough. */
+    /** Whether there is a summary of another scope that is recent enough. */
     boolean isKnown(long now, Scope scope) {
-        for (ReceivedSummary voice : received.get(scope.number())) {
-            if (now - voice.summary().madeAt() <= MAX_AGE_US) {
+        for (ReceivedSummary held : received.get(scope.number())) {
+            if (now - held.summary().madeAt() <= MAX_AGE_US) {
                 return true;
             }
         }
         return false;
     }
 
-    /** What is known of another scope; null where nothing is that is young enough. */
+    /** What is known about another scope; null if there is no summary that is recent enough. */
     Estimate estimate(long now, Scope scope) {
         List<ScopeSummary> held = received.get(scope.number()).stream()
                 .map(ReceivedSummary::summary)
@@ -188,7 +197,7 @@
         return new Estimate(scope, age, (int) median(held, ScopeSummary::present), load);
     }
 
-    /** What is known of all other scopes. */
+    /** What is known about all other scopes. */
     List<Estimate> estimates(long now) {
         List<Estimate> out = new ArrayList<>();
         for (Scope scope : zones.scopes()) {
@@ -200,23 +209,23 @@
         return out;
     }
 
-    /** The lower median; each snapshot needs it some two hundred times, so without streams. */
-    private static double median(Collection<ScopeSummary> of, ToDoubleFunction<ScopeSummary> figure) {
-        double[] sorted = new double[of.size()];
+    /** The lower median. Each snapshot needs it about two hundred times, hence no streams. */
+    private static double median(Collection<ScopeSummary> summaries, ToDoubleFunction<ScopeSummary> figure) {
+        double[] sorted = new double[summaries.size()];
         int count = 0;
-        for (ScopeSummary summary : of) {
+        for (ScopeSummary summary : summaries) {
             sorted[count++] = figure.applyAsDouble(summary);
         }
         Arrays.sort(sorted);
         return sorted[(count - 1) / 2];
     }
 
-    /** Summaries held, of all scopes. */
+    /** Number of summaries held, of all scopes. */
     int size() {
         return received.stream().mapToInt(List::size).sum();
     }
 
-    /** Drops everything, as after a start. */
+    /** Removes everything, as after a start. */
     void clear() {
         received.forEach(List::clear);
         Arrays.fill(firstHand, null);
--- a/src/main/java/dockshed/fleet/SharedResource.java
+++ b/src/main/java/dockshed/fleet/SharedResource.java
@@ -1,8 +1,8 @@
 package dockshed.fleet;
 
-/** What the brokers of a fleet may use together, and divide by leases. The order is that of the wire. */
+/** Resources that the brokers of a fleet use together and divide by leases. The order is that of the wire. */
 enum SharedResource {
-    /** Each edge server's room and cold pace for new sessions. */
+    /** Each edge server's capacity and cold-start rate for new sessions. */
     NEW_SESSIONS,
     /** Retries of requests. */
     RETRIES
--- a/src/main/java/dockshed/fleet/SheddingThreshold.java
+++ b/src/main/java/dockshed/fleet/SheddingThreshold.java
@@ -8,46 +8,59 @@
 
 /**
  * The load-shedding threshold: the priority below which all brokers refuse requests while the fleet is overloaded. A
- * request's priority is computed from the request alone (class, whether it returns at its retry time or was displaced, and
- * a hash of the client that rotates with time), so every broker computes the same one. Each broker replicates its load by
- * priority step. From these figures each proposes a threshold, with hysteresis; the one in force is the median of all
- * proposals, which a single broker cannot move.
+ * request's priority is computed from the request alone (its class, whether it returns at its retry time or was
+ * displaced, and a hash of the client that rotates with time), so every broker computes the same one. Each broker
+ * replicates its load by priority step. From these figures each proposes a threshold, with hysteresis; the effective
+ * one is the median of all proposals, which a single broker cannot move.
  */
 final class SheddingThreshold {
-    /** A step is the class level (3 bits) and the age (2 bits). */
+    /** Number of priority steps; a step consists of the class level (3 bits) and the age (2 bits). */
     static final int PRIORITY_STEPS = 32;
-    /** The lowest bits of a priority are the client's hash. */
+    /** Number of low bits of a priority that hold the client's hash. */
     static final int HASH_BITS = 11;
 
+    /** Upper limit of priorities and thresholds. */
     static final int MAX_PRIORITY = PRIORITY_STEPS << HASH_BITS;
-    /** Class levels; if there are more classes of different worth, the least valuable share the lowest level. */
+    /** Number of class levels; if more classes differ in worth, the least valuable ones share the lowest level. */
     static final int CLASS_LEVELS = 8;
 
     private static final int AGE_BITS = 2;
     private static final int MAX_AGE_VALUE = (1 << AGE_BITS) - 1;
     /** Microseconds after which the hashes change, so that no client stays last for long. */
     static final long HASH_ROTATION_US = 60_000_000;
-    /** Shedding starts when this part of what the modules were given is rejected. */
+    /** Shedding starts when the decision modules reject more than this part of the requests that reach them. */
     static final double OVERLOAD_REJECTED_FRACTION = 0.25;
-    /** The part that is still rejected while shedding: a little more than there is room for, so that all room is used. */
+    /**
+     * The part that is still rejected while shedding: slightly more requests pass than there is capacity for, so that
+     * all of it is used.
+     */
     static final double TARGET_REJECTED_FRACTION = 0.12;
-    /** Part of the range in use by which the threshold moves in a second for an error of 1. */
+    /** How far the threshold moves per second for an error of 1, as a part of the range in use. */
     private static final double ADJUST_SPEED_PER_SECOND = 0.25;
-    /** Part of the capacity estimate that decays in a second: a threshold that lowers what is accepted is too high. */
+    /**
+     * Part of the estimated capacity that decays per second: a threshold that reduces the accepted requests is too
+     * high.
+     */
     private static final double CAPACITY_DECAY_PER_SECOND = 0.08;
-    /** The threshold falls so many times faster than it rises: surplus is rejected by the modules, unused room is lost. */
+    /**
+     * How many times faster the threshold falls than it rises: excess requests are rejected by the modules, but unused
+     * capacity is lost.
+     */
     private static final double FALL_FACTOR = 3;
-    /** Added to the error while hardly anything is rejected. */
+    /** Added to the error while hardly any request is rejected. */
     private static final double EXTRA_FALL = 0.5;
-    /** A broker's figures count for at most so many times the median broker's, which bounds what forged ones can move. */
+    /**
+     * A broker's figures count for at most this many times the median broker's, which limits the effect of forged ones.
+     */
     private static final double MAX_WEIGHT = 3;
     /** Microseconds at the lowest threshold after which shedding ends. */
     private static final long CALM_TIME_US = 2_000_000;
-    /** Requests a second below which the rejected part means nothing. */
+    /** Requests per second below which the rejected part is not meaningful. */
     private static final double MIN_REQUESTS_PER_SECOND = 2;
 
+    /** Maximum time since the previous proposal that one adjustment accounts for, in microseconds. */
     private static final long MAX_ADJUST_INTERVAL_US = 1_000_000;
-    /** Keeps the hash for retry times apart from that for priorities. */
+    /** Makes the hash for retry times independent of the one for priorities. */
     private static final int RETRY_TIME_SALT = 0xa99;
 
     private double proposal;
@@ -67,7 +80,7 @@
         return step << HASH_BITS | hash;
     }
 
-    /** The fleet's load: the own figures and those of the others, each bounded by {@link #MAX_WEIGHT}. */
+    /** The fleet's load: the own figures and those of the others, each limited by {@link #MAX_WEIGHT}. */
     private record FleetLoad(double[] demand, double accepted, double rejected) {
         static FleetLoad sum(LoadFigures own, List<LoadFigures> others) {
             double[] demand = own.demand().clone();
@@ -86,7 +99,7 @@
             return new FleetLoad(demand, accepted, rejected);
         }
 
-        /** With the other scopes' loads, each bounded as a broker's is, by the median scope's load of a broker. */
+        /** Adds the other scopes' loads, each limited in the same way, by the load per broker of the median scope. */
         FleetLoad plus(int ownPresent, List<Estimate> scopes) {
             if (scopes.isEmpty()) {
                 return this;
@@ -147,12 +160,12 @@
     }
 
     /**
-     * This broker's proposal. It starts from the demand; from there it follows what the modules reject, since shed clients
-     * retry again and again and their requests do not tell how many would come if they were admitted.
+     * This broker's proposal. It starts from the demand; from there it follows what the modules reject, because shed
+     * clients retry repeatedly and their requests do not show how many would come if they were admitted.
      *
      * @param own    this broker's figures
-     * @param others the figures of the other brokers of the scope that are present
-     * @param scopes what is known of the other scopes
+     * @param others figures of the other present brokers of the scope
+     * @param scopes what is known about the other scopes
      */
     int propose(long now, LoadFigures own, List<LoadFigures> others, List<Estimate> scopes) {
         FleetLoad load = FleetLoad.sum(own, others).plus(1 + others.size(), scopes);
@@ -182,7 +195,7 @@
         double faster = load.rejectedPart() < TARGET_REJECTED_FRACTION / 2 ? EXTRA_FALL : 0;
         double move = Math.max(-1, Math.min(1, wanted + faster));
         proposal -= ADJUST_SPEED_PER_SECOND * range * (move > 0 ? FALL_FACTOR : 1) * move * elapsed / 1e6;
-        // The highest class in use is left to the modules: it is not shed in favour of lower ones.
+        // Requests of the highest class in use are left to the modules: they are not shed in favour of lower ones.
         int highestClass = end - 1 >> AGE_BITS << AGE_BITS;
         int lowest = low << HASH_BITS;
         int highest = (highestClass > low ? highestClass : end) << HASH_BITS;
@@ -203,12 +216,12 @@
 
     private static double medianDemand(LoadFigures own, List<LoadFigures> others) {
         List<Double> all = new ArrayList<>(List.of(own.totalDemand()));
-        others.forEach(l -> all.add(l.totalDemand()));
+        others.forEach(figures -> all.add(figures.totalDemand()));
         Collections.sort(all);
         return all.get(all.size() / 2);
     }
 
-    /** The priority above which the demand equals {@code room}. */
+    /** The priority above which the demand equals {@code room} requests per second. */
     static int priorityAt(double[] demand, double room) {
         double left = room;
         for (int step = PRIORITY_STEPS - 1; step >= 0; step--) {
@@ -220,7 +233,7 @@
         return 0;
     }
 
-    /** The load of a scope, with the median of its proposals; no broker counts for more than it may in a proposal. */
+    /** The load of a scope, with the median of its proposals; no broker counts for more than it does in a proposal. */
     static LoadFigures scopeLoad(LoadFigures own, List<LoadFigures> others) {
         FleetLoad load = FleetLoad.sum(own, others);
         List<Integer> proposals = new ArrayList<>(List.of(own.proposal()));
@@ -228,7 +241,10 @@
         return new LoadFigures(load.demand(), load.accepted(), load.rejected(), effectiveThreshold(proposals));
     }
 
-    /** The threshold in force in a fleet of several scopes: the median of their proposals, by their present brokers. */
+    /**
+     * The effective threshold in a fleet of several scopes: the median of their proposals, weighted by their present
+     * brokers.
+     */
     static int effectiveThreshold(int ownProposal, int ownPresent, List<Estimate> scopes) {
         List<Estimate> byProposal = new ArrayList<>(scopes);
         LoadFigures own = new LoadFigures(new double[PRIORITY_STEPS], 0, 0, ownProposal);
@@ -245,7 +261,7 @@
         return ownProposal;
     }
 
-    /** The threshold in force in one scope: the median of the proposals. */
+    /** The effective threshold in one scope: the median of the proposals. */
     static int effectiveThreshold(List<Integer> proposals) {
         if (proposals.isEmpty()) {
             return 0;
@@ -255,7 +271,10 @@
         return sorted.get((sorted.size() - 1) / 2);
     }
 
-    /** Microseconds until a shed client's retry time: its own place in each stretch of {@code longest}, alike at every broker. */
+    /**
+     * Microseconds until a shed client's retry time: its own offset in each period of {@code longest}, the same at
+     * every broker. At least {@code soonest}; 0 if {@code longest} is not positive.
+     */
     static long retryAfter(int clientHash, long unixMicros, long soonest, long longest) {
         if (longest <= 0) {
             return 0;
@@ -264,7 +283,10 @@
         return delay >= soonest ? delay : Math.min(longest, delay + longest);
     }
 
-    /** Whether a client that comes now comes at its retry time, up to {@code early} before or {@code late} after it. */
+    /**
+     * Whether a client that comes now comes at its retry time, up to {@code early} microseconds before or {@code late}
+     * after it.
+     */
     static boolean keepsRetryTime(int clientHash, long unixMicros, long longest, long early, long late) {
         if (longest <= 0) {
             return true;
@@ -273,6 +295,7 @@
         return after <= late || after >= longest - early;
     }
 
+    /** A client's offset within each period of {@code longest} microseconds. */
     private static long retryPhase(int clientHash, long longest) {
         return (long) (StableHash.unit(StableHash.mix(clientHash, RETRY_TIME_SALT)) * longest);
     }
--- a/src/main/java/dockshed/fleet/VersionedEntry.java
+++ b/src/main/java/dockshed/fleet/VersionedEntry.java
@@ -4,62 +4,68 @@
 import java.util.Arrays;
 
 /**
- * A replicated entry: one broker owns it and alone may change it, the others hold copies.
+ * A replicated entry: one broker owns it and is the only one that may change it; the others hold copies. A value longer
+ * than {@link #MAX_VALUE_BYTES} throws IllegalArgumentException.
  *
  * @param owner       the owner's number
- * @param kind        what it describes, see the constants
- * @param key         which of that kind, such as the hash of a server's id; 0 where there is one only
- * @param incarnation of its owner when it was written
- * @param counter     grows with each change within an incarnation, from 1
- * @param writtenAt   when it was written, in microseconds of the holder's own clock, reckoned from the age on the wire
+ * @param kind        what the entry describes: see the constants
+ * @param key         distinguishes entries of a kind, for example the hash of a server's id; 0 if there is only one
+ * @param incarnation of the owner when the entry was written
+ * @param counter     increases with each change within an incarnation, from 1
+ * @param writtenAt   when the entry was written, in microseconds of the holder's own clock, computed from the age on
+ *     the wire
  * @param value       up to {@link #MAX_VALUE_BYTES} bytes
  */
 record VersionedEntry(int owner, int kind, int key, long incarnation, int counter, long writtenAt, byte[] value) {
-    /** Load figures and a proposed shedding threshold: {@link LoadFigures}. */
+    /** Kind: load figures and a proposed shedding threshold, {@link LoadFigures}. */
     static final int LOAD = 1;
-    /** An edge server found up or down: {@link HealthProbeSchedule}. */
+    /** Kind: an edge server found up or down, {@link HealthProbeSchedule}. */
     static final int HEALTH_REPORT = 2;
-    /** A voter's vote for the lease coordinator: {@link LeasedShares}. */
+    /** Kind: a voter's vote for the lease coordinator, {@link LeasedShares}. */
     static final int LEASE_COORDINATOR = 3;
-    /** A message of the retry-storm part. */
+    /** Kind: a message of the storm part. */
     static final int STORM_MESSAGE = 4;
-    /** A digest of lesson plans; not written yet. */
+    /** Kind: a digest of lesson plans; not written yet. */
     static final int PLANS = 5;
-    /** The highest kind that this version keeps; higher ones are discarded. */
+    /** The highest kind that this version holds; entries of higher kinds are discarded. */
     static final int HIGHEST_KNOWN_KIND = PLANS;
 
-    /** Owner, kind, key, incarnation, counter, age. */
+    /** Length of an encoded entry without its value: owner, kind, key, incarnation, counter, age. */
     static final int HEADER_BYTES = 2 + 1 + 4 + 6 + 4 + 2;
-    /** An entry fits into a datagram of its own. */
+    /** Maximum length of a value: an entry fits into a datagram of its own. */
     static final int MAX_VALUE_BYTES = Envelope.MAX_BYTES - Envelope.HEADER_BYTES - 2 - HEADER_BYTES;
-    /** Ages are encoded in units of 50 ms, up to nearly an hour. */
+    /** Unit in which ages are encoded, in microseconds; the range is nearly an hour. */
     private static final long AGE_UNIT_US = 50_000;
 
     private static final int MAX_U16 = 0xFFFF;
 
     VersionedEntry {
         if (value.length > MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("entry of " + value.length + " bytes");
+            throw new IllegalArgumentException(
+                    "entry: expected a value of at most " + MAX_VALUE_BYTES + " bytes, got " + value.length);
         }
     }
 
-    /** Whether entries of a kind change so often that each owner pushes its own to each peer in turn; nobody relays them. */
+    /**
+     * Whether entries of a kind change so often that each owner pushes its own to each peer in turn, and nobody relays
+     * them.
+     */
     static boolean isPushed(int kind) {
         return kind == LOAD || kind == STORM_MESSAGE;
     }
 
-    /** Identifies the entry: the same for all its versions. */
+    /** Identifies the entry; the same for all its versions. */
     long id() {
         return id(owner, kind, key);
     }
 
-    /** The id of an entry by its parts. */
+    /** Combines owner, kind and key to an entry's id. */
     static long id(int owner, int kind, int key) {
         return (long) owner << 40 | (long) kind << 32 | key & 0xFFFFFFFFL;
     }
 
     /**
-     * Orders versions: by incarnation, then by counter. Versions of the same counter with other bytes, which no correct
+     * Orders versions by incarnation, then by counter. Versions with the same counter but other bytes, which no correct
      * owner writes, are ordered by their bytes, so that all holders keep the same one.
      */
     int compareVersion(VersionedEntry other) {
@@ -68,12 +74,16 @@
         return order != 0 ? order : Arrays.compareUnsigned(value, other.value);
     }
 
-    /** The later of two versions; of equal versions the older one by age, since relaying does not make it younger. */
-    static VersionedEntry merge(VersionedEntry a, VersionedEntry b) {
-        int order = a.compareVersion(b);
-        return order > 0 || order == 0 && a.writtenAt <= b.writtenAt ? a : b;
+    /**
+     * The later of two versions; of equal versions the one with the greater age, since relaying does not make an entry
+     * younger.
+     */
+    static VersionedEntry merge(VersionedEntry first, VersionedEntry second) {
+        int order = first.compareVersion(second);
+        return order > 0 || order == 0 && first.writtenAt <= second.writtenAt ? first : second;
     }
 
+    /** Encodes the entry with its age. */
     Envelope.Item write(long now) {
         long age = Math.max(0, now - writtenAt) / AGE_UNIT_US;
         return new Envelope.BodyWriter()
@@ -87,7 +97,7 @@
                 .item(Envelope.ENTRY);
     }
 
-    /** Returns null if the item cannot be decoded or is of an unknown kind. */
+    /** Decodes an item; returns null if it cannot be decoded or is of an unknown kind. */
     static VersionedEntry read(Envelope.Item item, long now) {
         if (item.body().length < HEADER_BYTES) {
             return null;
@@ -107,10 +117,10 @@
         return new VersionedEntry(owner, kind, key, incarnation, counter, writtenAt, value);
     }
 
-    /** A hash of version and value, not of the age. */
+    /** A hash of version and value, independent of the age. */
     int hash() {
-        int h = Long.hashCode(id()) * 31 + Long.hashCode(incarnation);
-        return StableHash.mix((h * 31 + counter) * 31 + Arrays.hashCode(value));
+        int hash = Long.hashCode(id()) * 31 + Long.hashCode(incarnation);
+        return StableHash.mix((hash * 31 + counter) * 31 + Arrays.hashCode(value));
     }
 
     @Override
