--- a/src/main/java/dockshed/topology/InvalidZonesException.java
+++ b/src/main/java/dockshed/topology/InvalidZonesException.java
@@ -1,6 +1,6 @@
 package dockshed.topology;
 
-/** Zones that do not put every broker into exactly one of them. */
+/** Zones that do not assign every broker to exactly one of them. */
 public final class InvalidZonesException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -15,15 +15,17 @@
         this.got = got;
     }
 
-    /** Which of the zones is at fault, by its place in the list that was given. */
+    /** Index of the invalid zone in the list that was given. */
     public int index() {
         return index;
     }
 
+    /** What was expected of that zone. */
     public String expected() {
         return expected;
     }
 
+    /** What the zone has instead. */
     public String got() {
         return got;
     }
--- a/src/main/java/dockshed/topology/ZoneMap.java
+++ b/src/main/java/dockshed/topology/ZoneMap.java
@@ -8,16 +8,17 @@
 import java.util.stream.IntStream;
 
 /**
- * Which zone and which scope each broker of a fleet is in. Invariants: every broker is in exactly one scope; a scope lies
- * within one zone; where zones are given no scope has more than {@link #MAX_BROKERS_PER_SCOPE} brokers. So what a broker keeps and
- * sends for its own scope is bounded, whatever the size of the fleet.
+ * The zone and the scope of each broker of a fleet. Invariants: every broker is in exactly one scope; a scope lies
+ * within one zone; if zones are given, no scope has more than {@link #MAX_BROKERS_PER_SCOPE} brokers. So what a broker
+ * stores and sends for its own scope is bounded, whatever the size of the fleet.
  */
 public final class ZoneMap {
-    /** Brokers of a scope at most: a larger zone is divided evenly into cells. */
+    /** Maximum number of brokers in a scope: a larger zone is divided evenly into cells. */
     public static final int MAX_BROKERS_PER_SCOPE = 96;
-    /** Scopes of a fleet at most: 24,000 brokers in full scopes. */
+    /** Maximum number of scopes in a fleet: 24,000 brokers in full scopes. */
     public static final int MAX_SCOPES = 255;
 
+    /** Name of the zone and the region of an undivided fleet. */
     private static final String UNDIVIDED_NAME = "all";
 
     private final int brokers;
@@ -43,7 +44,10 @@
         return new ZoneMap(brokers, false, List.of(all), List.of(new Scope(0, all, 0, brokers)));
     }
 
-    /** The zones of a fleet of that many brokers; without any zone the fleet is undivided. */
+    /**
+     * The zone map of a fleet of that many brokers; without any zone the fleet is undivided. Throws
+     * InvalidZonesException if the zones do not cover each broker exactly once, share a name or need too many scopes.
+     */
     public static ZoneMap of(List<Zone> zones, int brokers) throws InvalidZonesException {
         if (zones.isEmpty()) {
             return undivided(brokers);
@@ -116,39 +120,39 @@
         }
     }
 
-    /** Configured brokers of the whole fleet. */
+    /** Number of configured brokers in the whole fleet. */
     public int brokers() {
         return brokers;
     }
 
-    /** Whether the operator gave zones; a fleet without is one scope, of any size. */
+    /** Whether the operator gave zones; a fleet without zones is one scope of any size. */
     public boolean zoned() {
         return zoned;
     }
 
-    /** In the order of their broker numbers. */
+    /** The zones in the order of their broker numbers. */
     public List<Zone> zones() {
         return zones;
     }
 
-    /** By their numbers. */
+    /** The scopes by their numbers. */
     public List<Scope> scopes() {
         return scopes;
     }
 
-    /** The scope of a broker of this fleet. */
+    /** The scope of a broker; the number must be one of this fleet. */
     public Scope scopeOf(int broker) {
         return scopes.get(scopeOf[broker]);
     }
 
-    /** Whether that number is a broker's. */
+    /** Whether a broker of this fleet has that number. */
     public boolean contains(int broker) {
         return broker >= 0 && broker < brokers;
     }
 
     /**
-     * The same for two maps that divide the fleet alike, whatever the zones are called: brokers with other zones must not
-     * vote for one another.
+     * A hash that is the same for maps that divide the fleet in the same way, whatever the zones are called: brokers
+     * with other zones must not vote for one another.
      */
     public int layoutHash() {
         int hash = brokers;
--- a/src/main/java/dockshed/topology/package-info.java
+++ b/src/main/java/dockshed/topology/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where the brokers of a fleet stand: zones and regions as the operator names them, and the scopes within which brokers
- * gossip in full. Values only: no I/O, no clock, no state that changes.
+ * Location of the brokers of a fleet: zones and regions as the operator names them, and the scopes within which brokers
+ * gossip in full. Values only: no I/O, no clock, no mutable state.
  */
 package dockshed.topology;
