--- a/src/test/java/dockshed/rollout/MemoryStorage.java
+++ b/src/test/java/dockshed/rollout/MemoryStorage.java
@@ -2,17 +2,19 @@
 
 import java.util.Optional;
 
-/** A disk for tests: outlives its broker's lives, and can be full, torn, or replaced by an empty one. */
+/** Storage for tests that survives a broker's restarts, and can be full, damaged, or replaced by an empty one. */
 final class MemoryStorage implements VoteStorage {
     private VoterRecord voter;
     private Configuration inForce;
     boolean full;
     boolean torn;
-    /** Whether what was in force last could not be saved: the next life cannot know of it. */
+    /** Whether the configuration last in force could not be saved: the broker's next start cannot know it. */
     boolean lastSaveLost;
 
     int saves;
-    /** Runs after a voter's record is durable and before the vote is answered: a place to be killed at. */
+    /**
+     * Called when a voter's record is durable and the vote is not answered yet, for example to kill the broker there.
+     */
     Runnable afterSave = () -> {};
 
     @Override
--- a/src/test/java/dockshed/rollout/RolloutCodecTest.java
+++ b/src/test/java/dockshed/rollout/RolloutCodecTest.java
@@ -15,6 +15,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the codec against truncated, oversized and forged messages, and against rejecting those of a later program.
+ */
 class RolloutCodecTest {
     private static final ConfigurationId ID = new Configuration(ConfigurationId.MAX_VERSION, new byte[] {1}).id();
 
@@ -38,28 +41,28 @@
 
     @Test
     void whatIsWrittenIsReadBackAndNoBodyIsTooLong() throws Exception {
-        for (RolloutMessage m : messages()) {
-            byte[] body = RolloutCodec.write(m);
+        for (RolloutMessage message : messages()) {
+            byte[] body = RolloutCodec.write(message);
             assertTrue(body.length <= RolloutNode.MAX_BODY_BYTES);
-            assertEquals(m, RolloutCodec.read(body));
+            assertEquals(message, RolloutCodec.read(body));
         }
         byte[] bytes = new byte[RolloutCodec.CHUNK_BYTES];
         Arrays.fill(bytes, (byte) 3);
         byte[] body = RolloutCodec.write(new RolloutMessage.Chunk(6, 9, Configuration.MAX_BYTES, 1, bytes));
         assertTrue(body.length <= RolloutNode.MAX_BODY_BYTES);
         assertArrayEquals(bytes, ((RolloutMessage.Chunk) RolloutCodec.read(body)).bytes());
-        Announcement a = new Announcement(ConfigurationId.MAX_VERSION, -1, 7, true);
-        assertTrue(RolloutCodec.write(a).length <= RolloutNode.MAX_ANNOUNCEMENT_BYTES);
-        assertEquals(a, RolloutCodec.readAnnouncement(RolloutCodec.write(a)));
+        Announcement announcement = new Announcement(ConfigurationId.MAX_VERSION, -1, 7, true);
+        assertTrue(RolloutCodec.write(announcement).length <= RolloutNode.MAX_ANNOUNCEMENT_BYTES);
+        assertEquals(announcement, RolloutCodec.readAnnouncement(RolloutCodec.write(announcement)));
     }
 
     @Test
-    void whatIsCutOffOrTooLongIsMalformedAndWhatIsOfALaterProgramPassedOver() throws Exception {
-        for (RolloutMessage m : messages()) {
-            byte[] body = RolloutCodec.write(m);
+    void truncatedAndTooLongMessagesAreMalformedAndThoseOfALaterProgramPassedOver() throws Exception {
+        for (RolloutMessage message : messages()) {
+            byte[] body = RolloutCodec.write(message);
             for (int length = 0; length < body.length; length++) {
                 byte[] cut = Arrays.copyOf(body, length);
-                assertThrows(MalformedException.class, () -> RolloutCodec.read(cut), m + " at " + length);
+                assertThrows(MalformedException.class, () -> RolloutCodec.read(cut), message + " at " + length);
             }
             assertThrows(MalformedException.class, () -> RolloutCodec.read(Arrays.copyOf(body, body.length + 1)));
             byte[] later = body.clone();
@@ -74,7 +77,7 @@
     }
 
     @Test
-    void aNodeTakesAnyBytesWithoutHarmAndCountsThem() {
+    void aNodeToleratesAnyBytesAndCountsThem() {
         SplittableRandom random = new SplittableRandom(29);
         RolloutNode node = new RolloutNode(
                 new RolloutSettings(0, 5, List.of(0, 1, 2)),
@@ -90,20 +93,20 @@
 
                     @Override
                     public void apply(Configuration c) {
-                        throw new AssertionError("nonsense came in force: " + c);
+                        throw new AssertionError("a forged configuration was applied: " + c);
                     }
                 },
                 (at, event) -> {});
-        List<byte[]> sound = messages().stream().map(RolloutCodec::write).toList();
+        List<byte[]> valid = messages().stream().map(RolloutCodec::write).toList();
         long now = 0;
         for (int i = 0; i < 50_000; i++) {
-            byte[] body = sound.get(random.nextInt(sound.size())).clone();
-            for (int k = random.nextInt(4); k >= 0; k--) {
+            byte[] body = valid.get(random.nextInt(valid.size())).clone();
+            for (int change = random.nextInt(4); change >= 0; change--) {
                 body[random.nextInt(body.length)] = (byte) random.nextInt(256);
             }
             int from = random.nextInt(-1, 7);
             node.receive(now, from, Arrays.copyOf(body, random.nextInt(260)));
-            node.receive(now, from, sound.get(random.nextInt(sound.size()))); // at a rate that is not answered
+            node.receive(now, from, valid.get(random.nextInt(valid.size()))); // at a rate beyond the allowance
             node.receiveAnnouncement(now, from, Arrays.copyOf(body, random.nextInt(26)));
             now += 500;
             node.tick(now);
--- a/src/test/java/dockshed/rollout/RolloutMutantsTest.java
+++ b/src/test/java/dockshed/rollout/RolloutMutantsTest.java
@@ -22,15 +22,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Programs in which one rule is spoilt: the scenarios have to find each. A mutant is the package's sources with one text
- * replaced, compiled together with the simulation and loaded by a class loader of its own.
+ * Guards against scenarios that miss a broken rule: each mutant breaks one rule of the rollout, and the scenarios have
+ * to detect it. A mutant is the package's sources with one or more texts replaced, compiled together with the
+ * simulation and loaded by its own class loader.
  */
 class RolloutMutantsTest {
     private static final Path MAIN = Path.of("src/main/java/dockshed/rollout");
     private static final Path TEST = Path.of("src/test/java/dockshed/rollout");
     private static final List<String> SIMULATION =
             List.of("MemoryStorage.java", "RolloutSimulation.java", "RolloutScenarios.java");
-    /** Seeds that are tried until one shows the fault. */
+    /** Number of seeds tried until one shows the fault. */
     private static final int SEEDS = 60;
 
     @TempDir
@@ -45,8 +46,8 @@
         }
     }
 
-    private static Mutant mutant(String name, String file, String sound, String spoilt) {
-        return new Mutant(name, List.of(new Change(file, sound, spoilt)));
+    private static Mutant mutant(String name, String file, String original, String replacement) {
+        return new Mutant(name, List.of(new Change(file, original, replacement)));
     }
 
     static Stream<Mutant> mutants() {
@@ -82,7 +83,7 @@
                         "(VoterRound.DURATION_US * (1 + 2 * VoterRound.MAX_CLOCK_DRIFT))",
                         "0"),
                 mutant(
-                        "a recovered voter votes as if it had heard nothing",
+                        "a recovered voter ignores the versions that others reported",
                         "Voter",
                         "Math.max(highest(), recovery.highest())",
                         "highest()"));
@@ -112,12 +113,13 @@
         return (Optional<?>) all.invoke(null, seed);
     }
 
-    /** The scenarios, over a program with some texts replaced. */
+    /** Compiles the package with the changes and returns the method that runs all scenarios. */
     private Method compileMutant(List<Change> changes) throws IOException, ReflectiveOperationException {
         List<String> sources = new ArrayList<>();
         try (Stream<Path> files = Files.list(MAIN)) {
-            for (Path file :
-                    files.filter(f -> f.toString().endsWith(".java")).sorted().toList()) {
+            for (Path file : files.filter(path -> path.toString().endsWith(".java"))
+                    .sorted()
+                    .toList()) {
                 sources.add(copySource(file, changes));
             }
         }
--- a/src/test/java/dockshed/rollout/RolloutScenariosTest.java
+++ b/src/test/java/dockshed/rollout/RolloutScenariosTest.java
@@ -8,7 +8,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-/** What is promised holds under every schedule of faults that is tried: one content a version, never back, and it goes on. */
+/**
+ * Guards the rollout's guarantees under random faults: one content per version, never an older version after a newer
+ * one, and progress once the faults end.
+ */
 class RolloutScenariosTest {
     @Property(tries = 60, seed = "29", generation = GenerationMode.RANDOMIZED)
     void oneContentAVersionAndNeverBack(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
--- a/src/test/java/dockshed/rollout/RolloutSimulation.java
+++ b/src/test/java/dockshed/rollout/RolloutSimulation.java
@@ -13,21 +13,25 @@
 import java.util.function.BiPredicate;
 
 /**
- * Many brokers' parts in the spread of configuration on a simulated network and clock: zones, loss, delay, cuts, kills,
- * pauses, and brokers that lie. The gossip is reduced to what it does here: it carries announcements, to a random broker of
- * the own zone every so often and to one of another zone every second. Merged histories of what was in force are checked.
+ * The rollout of many brokers on a simulated network and clock, with zones, loss, delay, partitions, kills, pauses and
+ * byzantine brokers. The gossip is reduced to its part in the rollout: it carries announcements, to a random broker of
+ * the own zone at short intervals and to one of another zone every second. The merged history of configurations in
+ * force is checked.
  */
 final class RolloutSimulation {
     static final long MILLISECOND_US = 1000;
     static final long SECOND_US = 1_000_000;
-    /** Bytes of the envelope round a body: the gossip's head and the item's. */
+    /** Bytes of the envelope around a body: the headers of the gossip's datagram and of the item. */
     static final int ENVELOPE_BYTES = 16;
-    /** Bodies that wait for the gossip's budget at most, as {@code ExtensionQueue} has it. */
+    /** Maximum number of bodies that wait for the gossip's byte budget, as in {@code ExtensionQueue}. */
     static final int MAX_QUEUED_BODIES = 64;
-    /** Seconds of that part that may be used at once after a rest. */
+    /** Seconds' worth of that budget that may be used at once after an idle time. */
     static final int BURST_SECONDS = 10;
 
-    /** What was put in force, by whom, when; {@code life} counts its starts, {@code disk} the disks it had. */
+    /**
+     * A configuration applied at a broker; {@code start} counts the broker's starts, {@code disk} the disks that it has
+     * had.
+     */
     record Applied(int broker, int start, int disk, long at, ConfigurationId id) {}
 
     record EndedProposal(int broker, long at, ConfigurationId id, ProposalOutcome outcome) {}
@@ -47,7 +51,7 @@
         int disks;
         long pausedUntil = -1;
         final List<Runnable> pausedDeliveries = new ArrayList<>();
-        boolean oldProgram; // refuses documents with the word "new"
+        boolean oldProgram; // refuses documents that contain the word "new"
         final List<RolloutEvent> events = new ArrayList<>();
         long sentBytes;
         long receivedBytes;
@@ -65,7 +69,7 @@
             starts++;
             disks += storage.lastSaveLost ? 1 : 0;
             storage.lastSaveLost = false;
-            int of = starts;
+            int ownStart = starts;
             pausedUntil = -1;
             pausedDeliveries.clear();
             node = new RolloutNode(
@@ -76,14 +80,14 @@
                     storage,
                     new ConfigurationApplier() {
                         @Override
-                        public Optional<String> validate(Configuration c) {
-                            boolean unknown = oldProgram && text(c).contains("new");
+                        public Optional<String> validate(Configuration configuration) {
+                            boolean unknown = oldProgram && text(configuration).contains("new");
                             return unknown ? Optional.of("2: new: an unknown directive") : Optional.empty();
                         }
 
                         @Override
-                        public void apply(Configuration c) {
-                            history.add(new Applied(number, of, disks, now, c.id()));
+                        public void apply(Configuration configuration) {
+                            history.add(new Applied(number, ownStart, disks, now, configuration.id()));
                         }
                     },
                     (at, event) -> {
@@ -92,9 +96,9 @@
                             endedProposals.add(new EndedProposal(number, at, e.id(), e.outcome()));
                         }
                     });
-            tick(of);
-            gossip(of, ownZonePeriodUs, true);
-            gossip(of, otherZonePeriodUs, false);
+            tick(ownStart);
+            gossip(ownStart, ownZonePeriodUs, true);
+            gossip(ownStart, otherZonePeriodUs, false);
         }
 
         void kill() {
@@ -104,39 +108,39 @@
 
         void pause(long micros) {
             pausedUntil = now + micros;
-            int of = starts;
+            int ownStart = starts;
             at(pausedUntil, () -> {
-                if (of == starts) {
+                if (ownStart == starts) {
                     pausedUntil = -1;
                     List.copyOf(pausedDeliveries).forEach(Runnable::run);
                     pausedDeliveries.clear();
-                    tick(of);
+                    tick(ownStart);
                 }
             });
         }
 
-        /** Its disk is replaced by an empty one. */
+        /** Replaces the disk by an empty one. */
         void loseDisk() {
             storage.loseAll();
             disks++;
         }
 
-        private void tick(int of) {
-            if (of != starts || node == null || pausedUntil >= 0) {
+        private void tick(int ownStart) {
+            if (ownStart != starts || node == null || pausedUntil >= 0) {
                 return;
             }
             node.tick(now);
             if (node != null) {
-                at(Math.max(now + MILLISECOND_US, node.nextTickAt(now)), () -> tick(of));
+                at(Math.max(now + MILLISECOND_US, node.nextTickAt(now)), () -> tick(ownStart));
             }
         }
 
-        private void gossip(int of, long every, boolean ownZone) {
+        private void gossip(int ownStart, long every, boolean ownZone) {
             if (every <= 0) {
                 return;
             }
             at(now + every / 2 + random.nextLong(every), () -> {
-                if (of != starts || node == null) {
+                if (ownStart != starts || node == null) {
                     return;
                 }
                 if (pausedUntil < 0) {
@@ -145,7 +149,7 @@
                         announce(number, to, node.announcement());
                     }
                 }
-                gossip(of, every, ownZone);
+                gossip(ownStart, every, ownZone);
             });
         }
 
@@ -160,7 +164,7 @@
         }
 
         private void deliver(Runnable what) {
-            if (number == liar) {
+            if (number == byzantineBroker) {
                 return;
             }
             if (node != null) {
@@ -192,17 +196,17 @@
     long now = 1_000 * SECOND_US;
     double loss;
     double duplication;
-    /** What the gossip leaves to bodies: half of what a broker with zones may send. */
+    /** Bytes per second that the gossip leaves to bodies: half of what a broker with zones may send. */
     int bytesPerSecond = 6000;
 
-    long minDelayUs = MILLISECOND_US / 2; // delays
+    long minDelayUs = MILLISECOND_US / 2;
     long maxDelayUs = 5 * MILLISECOND_US;
     long ownZonePeriodUs = 100 * MILLISECOND_US;
     long otherZonePeriodUs = SECOND_US;
-    /** A broker that answers requests for chunks with made-up ones, and runs nothing else; -1: none. */
-    int liar = -1;
-    /** Whether nothing comes through from one broker to another now. */
-    BiPredicate<Integer, Integer> blocked = (a, b) -> false;
+    /** A broker that answers requests for chunks with forged ones and runs nothing else; -1: none. */
+    int byzantineBroker = -1;
+    /** Whether datagrams from one broker to another are lost now. */
+    BiPredicate<Integer, Integer> blocked = (from, to) -> false;
 
     RolloutSimulation(int count, int zones, List<Integer> voters, long seed) {
         this.zones = zones;
@@ -218,11 +222,11 @@
         return broker % zones;
     }
 
-    static String text(Configuration c) {
-        return new String(c.content(), StandardCharsets.UTF_8);
+    static String text(Configuration configuration) {
+        return new String(configuration.content(), StandardCharsets.UTF_8);
     }
 
-    /** A document of that version; with more than its text, so many bytes in all. */
+    /** A document of that version, padded to the given number of bytes if its text is shorter. */
     static Configuration document(long version, String text, int bytes) {
         byte[] content = new byte[Math.max(bytes, text.length() + 20)];
         Arrays.fill(content, (byte) '#');
@@ -232,8 +236,8 @@
     }
 
     RolloutSimulation startAll() {
-        for (Broker b : brokers) {
-            at(now + random.nextLong(300 * MILLISECOND_US), b::start);
+        for (Broker broker : brokers) {
+            at(now + random.nextLong(300 * MILLISECOND_US), broker::start);
         }
         run(10 * SECOND_US);
         return this;
@@ -243,33 +247,34 @@
         events.add(new Event(when, order++, what));
     }
 
-    void propose(int broker, Configuration c) {
-        brokers[broker].node.propose(now, c);
+    void propose(int broker, Configuration configuration) {
+        brokers[broker].node.propose(now, configuration);
     }
 
-    /** What a broker sends passes the gossip's queue and its part of the gossip's budget. */
+    /** Sends a body through the gossip's queue and the extension's part of its budget. */
     private void enqueue(int from, int to, byte[] body) {
-        Broker b = brokers[from];
-        if (b.queued.size() < MAX_QUEUED_BODIES) {
-            b.queued.add(() -> transmit(from, to, body));
-            b.queuedBytes.add(body.length + ENVELOPE_BYTES);
-            sendQueued(b);
+        Broker broker = brokers[from];
+        if (broker.queued.size() < MAX_QUEUED_BODIES) {
+            broker.queued.add(() -> transmit(from, to, body));
+            broker.queuedBytes.add(body.length + ENVELOPE_BYTES);
+            sendQueued(broker);
         }
     }
 
-    private void sendQueued(Broker b) {
-        b.tokens =
-                Math.min((double) BURST_SECONDS * bytesPerSecond, b.tokens + (now - b.tokensAt) * bytesPerSecond / 1e6);
-        b.tokensAt = now;
-        while (!b.queued.isEmpty() && b.tokens >= b.queuedBytes.peek()) {
-            b.tokens -= b.queuedBytes.poll();
-            b.queued.poll().run();
+    private void sendQueued(Broker broker) {
+        broker.tokens = Math.min(
+                (double) BURST_SECONDS * bytesPerSecond,
+                broker.tokens + (now - broker.tokensAt) * bytesPerSecond / 1e6);
+        broker.tokensAt = now;
+        while (!broker.queued.isEmpty() && broker.tokens >= broker.queuedBytes.peek()) {
+            broker.tokens -= broker.queuedBytes.poll();
+            broker.queued.poll().run();
         }
-        if (!b.queued.isEmpty() && !b.sendScheduled) {
-            b.sendScheduled = true;
+        if (!broker.queued.isEmpty() && !broker.sendScheduled) {
+            broker.sendScheduled = true;
             at(now + 10 * MILLISECOND_US, () -> {
-                b.sendScheduled = false;
-                sendQueued(b);
+                broker.sendScheduled = false;
+                sendQueued(broker);
             });
         }
     }
@@ -279,42 +284,46 @@
             throw new AssertionError("body of " + body.length + " bytes");
         }
         if (brokers[from].node == null) {
-            return; // killed at this very point
+            return; // killed while its record was saved
         }
         brokers[from].sentBytes += body.length + ENVELOPE_BYTES;
-        if (to == liar) {
+        if (to == byzantineBroker) {
             serveForgedChunk(from, body);
             return;
         }
-        deliver(from, to, b -> {
-            b.receivedBytes += body.length + ENVELOPE_BYTES;
-            b.node.receive(now, from, body);
+        deliver(from, to, broker -> {
+            broker.receivedBytes += body.length + ENVELOPE_BYTES;
+            broker.node.receive(now, from, body);
         });
     }
 
     private void serveForgedChunk(int to, byte[] body) {
         try {
-            if (RolloutCodec.read(body) instanceof RolloutMessage.ChunkRequest r) {
-                byte[] made = ("version " + r.version() + "\nmade up\n").getBytes(StandardCharsets.UTF_8);
+            if (RolloutCodec.read(body) instanceof RolloutMessage.ChunkRequest request) {
+                byte[] content = ("version " + request.version() + "\nmade up\n").getBytes(StandardCharsets.UTF_8);
                 send(
-                        liar,
+                        byzantineBroker,
                         to,
-                        RolloutCodec.write(new RolloutMessage.Chunk(r.request(), r.version(), made.length, 0, made)));
+                        RolloutCodec.write(new RolloutMessage.Chunk(
+                                request.request(), request.version(), content.length, 0, content)));
             }
         } catch (RolloutCodec.MalformedException | RolloutCodec.PassedOverException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** The liar announces to each broker, every so often, what is in force as if it had it, or a version of its own. */
-    void announceLies(long micros) {
+    /**
+     * At each interval the byzantine broker announces to each broker the configuration last applied anywhere, as if it
+     * had it, or a forged version.
+     */
+    void startForgedAnnouncements(long micros) {
         at(now + micros, () -> {
-            if (liar >= 0) {
-                for (Broker b : brokers) {
+            if (byzantineBroker >= 0) {
+                for (Broker broker : brokers) {
                     Announcement made = forgedAnnouncement();
-                    announce(liar, b.number, RolloutCodec.write(made));
+                    announce(byzantineBroker, broker.number, RolloutCodec.write(made));
                 }
-                announceLies(micros);
+                startForgedAnnouncements(micros);
             }
         });
     }
@@ -330,12 +339,12 @@
 
     /** An announcement goes from one to another, as if it were its sender's. */
     void announce(int from, int to, byte[] announcement) {
-        deliver(from, to, b -> b.node.receiveAnnouncement(now, from, announcement));
+        deliver(from, to, broker -> broker.node.receiveAnnouncement(now, from, announcement));
     }
 
-    /** A body goes from one to another, as if it were its sender's. */
+    /** Sends a body from one broker to another. */
     void send(int from, int to, byte[] body) {
-        deliver(from, to, b -> b.node.receive(now, from, body));
+        deliver(from, to, broker -> broker.node.receive(now, from, body));
     }
 
     private interface Delivery {
@@ -348,56 +357,61 @@
         }
         int times = random.nextDouble() < duplication ? 2 : 1;
         for (int i = 0; i < times; i++) {
-            Broker b = brokers[to];
-            at(now + minDelayUs + random.nextLong(maxDelayUs - minDelayUs + 1), () -> b.deliver(() -> delivery.to(b)));
+            Broker broker = brokers[to];
+            at(
+                    now + minDelayUs + random.nextLong(maxDelayUs - minDelayUs + 1),
+                    () -> broker.deliver(() -> delivery.to(broker)));
         }
     }
 
     void run(long micros) {
         long end = now + micros;
         while (!events.isEmpty() && events.peek().at() <= end) {
-            Event e = events.poll();
-            now = Math.max(now, e.at());
-            e.action().run();
+            Event event = events.poll();
+            now = Math.max(now, event.at());
+            event.action().run();
         }
         now = end;
     }
 
-    /** Runs until every broker that runs has that version or a higher one in force; returns the time taken, or fails. */
-    long runUntilInForce(long version, long most) {
-        long began = now;
-        while (now - began < most) {
+    /**
+     * Runs until every running broker has that version or a higher one in force; returns the time taken, or fails after
+     * {@code timeout}.
+     */
+    long runUntilInForce(long version, long timeout) {
+        long startedAt = now;
+        while (now - startedAt < timeout) {
             if (isInForceEverywhere(version)) {
-                return now - began;
+                return now - startedAt;
             }
             run(50 * MILLISECOND_US);
         }
         if (!isInForceEverywhere(version)) {
             List<Integer> without = Arrays.stream(brokers)
-                    .filter(b -> b.node != null && b.version() < version)
-                    .map(b -> b.number)
+                    .filter(broker -> broker.node != null && broker.version() < version)
+                    .map(broker -> broker.number)
                     .limit(20)
                     .toList();
-            throw new AssertionError("version " + version + " not in force within " + most + " us at " + without);
+            throw new AssertionError("version " + version + " not in force within " + timeout + " us at " + without);
         }
-        return now - began;
+        return now - startedAt;
     }
 
     boolean isInForceEverywhere(long version) {
-        return Arrays.stream(brokers).allMatch(b -> b.node == null || b.version() >= version);
+        return Arrays.stream(brokers).allMatch(broker -> broker.node == null || broker.version() >= version);
     }
 
-    /** Times from a moment until a version, or a later one, came in force at each broker that runs; sorted. */
+    /** Times from {@code since} until that version, or a later one, was in force at each running broker; sorted. */
     long[] delays(long version, long since) {
         Map<Integer, Long> first = new HashMap<>();
-        for (Applied a : history) {
-            if (a.id().version() >= version) {
-                first.merge(a.broker(), a.at() - since, Math::min);
+        for (Applied applied : history) {
+            if (applied.id().version() >= version) {
+                first.merge(applied.broker(), applied.at() - since, Math::min);
             }
         }
         return Arrays.stream(brokers)
-                .filter(b -> b.node != null)
-                .mapToLong(b -> first.getOrDefault(b.number, Long.MAX_VALUE))
+                .filter(broker -> broker.node != null)
+                .mapToLong(broker -> first.getOrDefault(broker.number, Long.MAX_VALUE))
                 .sorted()
                 .toArray();
     }
@@ -406,35 +420,39 @@
         return sorted[(int) Math.ceil(0.99 * sorted.length) - 1];
     }
 
-    /** Two contents in force under one version, or an older one after a newer one at a broker with its disk. */
+    /** Two contents applied under one version, or an older version after a newer one at a broker that kept its disk. */
     Optional<String> violation() {
         Map<Long, ConfigurationId> content = new HashMap<>();
         Map<List<Integer>, Applied> latest = new HashMap<>();
-        for (Applied a : history) {
-            ConfigurationId other = content.putIfAbsent(a.id().version(), a.id());
-            if (other != null && !other.equals(a.id())) {
-                return Optional.of("two contents of version " + a.id().version() + ": " + a + " and " + other);
+        for (Applied applied : history) {
+            ConfigurationId other = content.putIfAbsent(applied.id().version(), applied.id());
+            if (other != null && !other.equals(applied.id())) {
+                return Optional.of(
+                        "two contents of version " + applied.id().version() + ": " + applied + " and " + other);
             }
-            Applied before = latest.put(List.of(a.broker(), a.disk()), a);
-            boolean again =
-                    before != null && before.start() != a.start() && before.id().equals(a.id());
-            if (before != null && !again && before.id().version() >= a.id().version()) {
-                return Optional.of("an older version over a newer one: " + a + " after " + before);
+            Applied before = latest.put(List.of(applied.broker(), applied.disk()), applied);
+            boolean again = before != null
+                    && before.start() != applied.start()
+                    && before.id().equals(applied.id());
+            if (before != null
+                    && !again
+                    && before.id().version() >= applied.id().version()) {
+                return Optional.of("an older version over a newer one: " + applied + " after " + before);
             }
         }
         return Optional.empty();
     }
 
     void check() {
-        violation().ifPresent(v -> {
-            throw new AssertionError(v);
+        violation().ifPresent(violation -> {
+            throw new AssertionError(violation);
         });
     }
 
     ProposalOutcome outcome(ConfigurationId id) {
         return endedProposals.stream()
-                .filter(e -> e.id().equals(id))
-                .reduce((a, b) -> b)
+                .filter(proposal -> proposal.id().equals(id))
+                .reduce((first, second) -> second)
                 .map(EndedProposal::outcome)
                 .orElse(null);
     }
--- a/src/test/java/dockshed/rollout/host/FileVoteStorageTest.java
+++ b/src/test/java/dockshed/rollout/host/FileVoteStorageTest.java
@@ -16,6 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Guards the voter's record against crashes and damaged disks: a record is read back complete or reported as unusable,
+ * never used in part.
+ */
 class FileVoteStorageTest {
     private static final Configuration ONE = configuration(1, "version 1\n");
     private static final Configuration TWO = configuration(2, "version 2\n");
@@ -29,7 +33,7 @@
     }
 
     @Test
-    void whatIsSavedIsReadBackInALaterLife() throws Exception {
+    void savedRecordsAreReadAfterARestart() throws Exception {
         FileVoteStorage first = new FileVoteStorage(dir.resolve("state"), 3);
         assertEquals(Optional.empty(), first.loadVoter());
         assertEquals(Optional.empty(), first.loadInForce());
@@ -42,19 +46,19 @@
     }
 
     @Test
-    void aFileThatIsCutOffAtAnyByteOrHasAByteChangedIsToldToBeUnusable() throws Exception {
+    void aFileTruncatedAtAnyByteOrWithAChangedByteIsReportedAsUnusable() throws Exception {
         FileVoteStorage storage = new FileVoteStorage(dir, 3);
         storage.saveVoter(VOTED);
         Path file = dir.resolve(FileVoteStorage.VOTER_FILE);
-        byte[] sound = Files.readAllBytes(file);
-        for (int length = 0; length < sound.length; length++) {
-            Files.write(file, Arrays.copyOf(sound, length));
+        byte[] valid = Files.readAllBytes(file);
+        for (int length = 0; length < valid.length; length++) {
+            Files.write(file, Arrays.copyOf(valid, length));
             assertThrows(StorageException.class, storage::loadVoter, "cut off at " + length);
         }
-        for (int i = 0; i < sound.length; i++) {
-            byte[] spoilt = sound.clone();
-            spoilt[i] ^= 0x10;
-            Files.write(file, spoilt);
+        for (int i = 0; i < valid.length; i++) {
+            byte[] damaged = valid.clone();
+            damaged[i] ^= 0x10;
+            Files.write(file, damaged);
             assertThrows(StorageException.class, storage::loadVoter, "byte " + i + " changed");
         }
         Files.write(file, new byte[FileVoteStorage.MAX_RECORD_BYTES + 1]);
@@ -64,14 +68,14 @@
     }
 
     @Test
-    void anotherBrokersRecordIsNotTakenForItsOwn() throws Exception {
+    void anotherBrokersRecordIsNotUsed() throws Exception {
         new FileVoteStorage(dir, 3).saveVoter(VOTED);
         StorageException e = assertThrows(StorageException.class, () -> new FileVoteStorage(dir, 4).loadVoter());
         assertTrue(e.getMessage().endsWith("it belongs to broker 3, and this one is 4"), e.getMessage());
     }
 
     @Test
-    void aDirectoryThatCannotBeWrittenIsSaidSoAndTheOldRecordStands() throws Exception {
+    void aDirectoryThatCannotBeWrittenIsReportedAndTheOldRecordRemains() throws Exception {
         FileVoteStorage storage = new FileVoteStorage(dir, 3);
         storage.saveVoter(VOTED);
         Files.createDirectory(dir.resolve(FileVoteStorage.VOTER_FILE + ".new")); // no file can be written there
