--- a/src/test/java/dockshed/fleet/ByzantinePeer.java
+++ b/src/test/java/dockshed/fleet/ByzantinePeer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A byzantine peer at full rate: well-formed datagrams with forged items of every kind, about everybody. */
+/** A byzantine peer: produces well-formed datagrams with forged items of every kind, about any broker. */
 public final class ByzantinePeer {
     private final int me;
     private final int brokers;
@@ -12,7 +12,7 @@
     private final SplittableRandom random;
     private int serial;
 
-    /** {@code me}: the broker that it stands in for. */
+    /** Creates the peer in place of broker {@code me}. */
     public ByzantinePeer(int me, int brokers, long now, long seed) {
         this.me = me;
         this.brokers = brokers;
--- a/src/test/java/dockshed/fleet/ControlFigures.java
+++ b/src/test/java/dockshed/fleet/ControlFigures.java
@@ -3,28 +3,29 @@
 import java.util.OptionalDouble;
 
 /**
- * What one measurement of control traffic gave. Seconds are of virtual time; a delay is empty where its limit passed first.
+ * Results of one measurement of control traffic. Seconds are of virtual time; a delay is empty if its limit passed
+ * first.
  *
- * @param sentBytes         a second and broker
- * @param sentBytesMost     a second, of the broker that sends most
- * @param receivedBytes     a second and broker
- * @param receivedBytesMost a second, of the broker that receives most
- * @param datagrams         sent a second and broker
- * @param coreShare         of a core and broker, the simulated network included
- * @param networkShare      of that, what the simulated network takes alone
- * @param allocatedBytes    a second and broker, the simulated network included
- * @param heapBytes         a broker, in use once garbage is collected, the simulated network included
- * @param entriesHeld       a broker, mean
+ * @param sentBytes         per second and broker
+ * @param sentBytesMost     per second, of the broker that sends the most
+ * @param receivedBytes     per second and broker
+ * @param receivedBytesMost per second, of the broker that receives the most
+ * @param datagrams         sent per second and broker
+ * @param coreShare         of a core per broker, the simulated network included
+ * @param networkShare      part of {@code coreShare} that the simulated network alone takes, of a core per broker
+ * @param allocatedBytes    per second and broker, the simulated network included
+ * @param heapBytes         per broker, in use after garbage collection, the simulated network included
+ * @param entriesHeld       per broker, mean
  * @param figureAgeMean     seconds since the load figures held of a peer were written
- * @param figureAgeP99      the same, that 99 in 100 are within
+ * @param figureAgeP99      99th percentile of the same
  * @param figuresMissing    part of the peers of which no load figures are held
- * @param otherAgeMean      seconds since the figures held of another zone were written; empty where there are no zones
- * @param otherAgeP99       the same, that 99 in 100 are within
- * @param reportMedian      seconds until 99 in 100 peers know of a health report, median of several
- * @param reportMost        the same, of the slowest
- * @param reportsReached    part of the reports that reached 99 in 100 within the limit
- * @param failureKnown      seconds until no survivor counts a killed broker as present, a seventh killed at once
- * @param falseDeaths       times that a broker that ran was called dead by another
+ * @param otherAgeMean      seconds since the figures held of another zone were written; empty without zones
+ * @param otherAgeP99       99th percentile of the same
+ * @param reportMedian      seconds until 99 % of the peers know a health report, median of several reports
+ * @param reportMost        the same, of the slowest report
+ * @param reportsReached    part of the reports that reached 99 % of the peers within the limit
+ * @param failureKnown      seconds until no survivor counts a killed broker as present, with a seventh killed at once
+ * @param falseDeaths       number of times that a running broker was called dead by another
  */
 public record ControlFigures(
         double sentBytes,
--- a/src/test/java/dockshed/fleet/ControlLoad.java
+++ b/src/test/java/dockshed/fleet/ControlLoad.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What goes on in a measured fleet: load samples, health reports at a steady rate, and entries that last. */
+/** The load of a measured fleet: load samples, health reports at a steady rate, and lasting entries. */
 final class ControlLoad {
     static final long SAMPLE_PERIOD_US = 250 * FleetSimulation.MILLISECOND_US;
     private static final long MINUTE_US = 60 * FleetSimulation.SECOND_US;
     private static final int REPORTED_SERVERS = 1_000;
     private static final int LASTING_KIND = VersionedEntry.PLANS;
     private static final long LASTING_TIME_TO_LIVE_US = 3_600 * FleetSimulation.SECOND_US;
-    /** A shard's owner, audience and version, say. */
+    /** Length of a lasting entry's value: enough for a shard's owner, audience and version, for example. */
     private static final int LASTING_VALUE_BYTES = 8;
 
     private static final int ACCEPTED = 4;
@@ -31,7 +31,7 @@
         fleet.onStart = node -> node.node.entries().setTimeToLive(LASTING_KIND, LASTING_TIME_TO_LIVE_US);
     }
 
-    /** Runs the fleet under load, and looks at it after each step. */
+    /** Runs the fleet under load and calls {@code look} after each step. */
     void run(long micros, long step, Runnable look) {
         fleet.run(micros, step, () -> {
             if (fleet.now >= nextSampleAt) {
@@ -44,17 +44,17 @@
         });
     }
 
-    /** The same, in steps as long as a sample. */
+    /** Runs the fleet under load in steps of a sample period. */
     void run(long micros, Runnable look) {
         run(micros, SAMPLE_PERIOD_US, look);
     }
 
-    /** Load samples that every broker took. */
+    /** Number of load samples that every broker was given. */
     int samples() {
         return samples;
     }
 
-    /** Health reports of the steady rate. */
+    /** Number of health reports made at the steady rate. */
     int reports() {
         return reports;
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Gives all peers all lasting entries, as they are held long after the last change: nothing of them is left to relay. */
+    /** Gives all peers all lasting entries in the state long after the last change, with nothing left to relay. */
     void placeLastingEntries() {
         for (FleetSimulation.Node owner : fleet.nodes) {
             List<Integer> peers = scenario.mechanism().peersOf(owner.number, fleet.nodes.length);
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Each peer holds bytes of its own, as after a datagram. */
+    /** A copy with bytes of its own, as a peer has it after a datagram. */
     private static VersionedEntry copy(VersionedEntry entry) {
         return new VersionedEntry(
                 entry.owner(),
--- a/src/test/java/dockshed/fleet/ControlLoadTest.java
+++ b/src/test/java/dockshed/fleet/ControlLoadTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The load of a measured fleet: its rates are those of the scenario, however often somebody looks. */
+/** Guards the load of a measured fleet: its rates must be those of the scenario, however often the run is observed. */
 class ControlLoadTest {
-    private static final long MINUTE = 60 * FleetSimulation.SECOND_US;
+    private static final long MINUTE_US = 60 * FleetSimulation.SECOND_US;
 
     @Test
     void ratesDoNotDependOnHowOftenTheFleetIsLookedAt() {
@@ -15,8 +15,9 @@
             FleetSimulation fleet = ControlMechanism.FULL_MESH.fleet(scenario.brokers(), scenario.seed());
             ControlLoad load = new ControlLoad(fleet, scenario);
             fleet.startAll();
-            load.run(MINUTE, step, () -> {});
-            assertEquals(MINUTE / ControlLoad.SAMPLE_PERIOD_US, load.samples(), 1, "samples, looked at each " + step);
+            load.run(MINUTE_US, step, () -> {});
+            assertEquals(
+                    MINUTE_US / ControlLoad.SAMPLE_PERIOD_US, load.samples(), 1, "samples, looked at each " + step);
             assertEquals(120, load.reports(), 1, "reports, looked at each " + step);
         }
     }
--- a/src/test/java/dockshed/fleet/ControlMeasurement.java
+++ b/src/test/java/dockshed/fleet/ControlMeasurement.java
@@ -10,22 +10,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the control traffic of one simulated fleet: the real gossip nodes, codec and stores in virtual time, which
- * publish a snapshot after every tick of the measured window as their hosts do. All figures but processor time, allocation and heap follow from
- * the scenario and its seed alone.
+ * Measures the control traffic of one simulated fleet: the real gossip nodes, codec and stores in virtual time. They
+ * publish a snapshot after every tick of the measured window, as their hosts do. All figures except processor time,
+ * allocation and heap are determined by the scenario and its seed.
  */
 public final class ControlMeasurement {
-    private static final long SECOND = FleetSimulation.SECOND_US;
-    private static final long REPORT_STEP = 50 * FleetSimulation.MILLISECOND_US;
+    private static final long SECOND_US = FleetSimulation.SECOND_US;
+    private static final long REPORT_STEP_US = 50 * FleetSimulation.MILLISECOND_US;
     private static final double REPORT_REACH = 0.99;
     private static final int KILLED_ONE_IN = 7;
     private static final int FIRST_TRACED_SERVER = 1_000_000;
-    private static final double P99 = 99;
-    private static final double NANOS = 1e9;
-    /** A peer is told the load figures each so often at most: see the gossip node's push. */
-    private static final long PUSH_INTERVAL = 100 * FleetSimulation.MILLISECOND_US;
+    private static final double PERCENTILE_99 = 99;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Minimum time between two pushes of a gossip node, in microseconds: see {@link GossipNode}. */
+    private static final long PUSH_INTERVAL_US = 100 * FleetSimulation.MILLISECOND_US;
 
-    private static final long AGES_SAMPLED = 5 * SECOND;
+    private static final long AGE_SAMPLING_US = 5 * SECOND_US;
 
     private final ControlScenario scenario;
     private final ControlDurations durations;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Plays a scenario. */
+    /** Runs a scenario. */
     public static ControlFigures of(ControlScenario scenario, ControlDurations durations) {
         long before = ThreadCost.usedHeap();
         return new ControlMeasurement(scenario, durations).play(before);
@@ -72,10 +72,10 @@
         fleet.onTick = node -> {};
         double heap = (ThreadCost.usedHeap() - heapBefore) / (double) scenario.brokers();
         double held = entriesHeld();
-        load.run(AGES_SAMPLED, this::sampleAges);
+        load.run(AGE_SAMPLING_US, this::sampleAges);
         List<OptionalDouble> reports = reportDelays();
         OptionalDouble failureKnown = failureDelay();
-        double seconds = window / (double) SECOND;
+        double seconds = window / (double) SECOND_US;
         double perBroker = 1 / (seconds * scenario.brokers());
         return new ControlFigures(
                 traffic.sent() * perBroker,
@@ -83,16 +83,16 @@
                 traffic.received() * perBroker,
                 traffic.receivedMost() / seconds,
                 traffic.datagrams() * perBroker,
-                nanos * perBroker / NANOS,
-                networkNanos * perBroker / NANOS,
+                nanos * perBroker / NANOS_PER_SECOND,
+                networkNanos * perBroker / NANOS_PER_SECOND,
                 allocated * perBroker,
                 heap,
                 held,
-                ages.getMean() / SECOND,
-                ages.getValueAtPercentile(P99) / (double) SECOND,
+                ages.getMean() / SECOND_US,
+                ages.getValueAtPercentile(PERCENTILE_99) / (double) SECOND_US,
                 agesWanted == 0 ? 0 : agesMissing / (double) agesWanted,
                 otherAge(otherAges.getMean()),
-                otherAge(otherAges.getValueAtPercentile(P99)),
+                otherAge(otherAges.getValueAtPercentile(PERCENTILE_99)),
                 within(reports, (reports.size() - 1) / 2),
                 within(reports, reports.size() - 1),
                 reports.stream().filter(OptionalDouble::isPresent).count() / (double) reports.size(),
@@ -104,10 +104,10 @@
         fleet.startAll();
         load.run(durations.warmUp(), this::countFalseDeaths);
         load.placeLastingEntries();
-        load.run(peers.get(0).size() * PUSH_INTERVAL, this::countFalseDeaths);
+        load.run(peers.get(0).size() * PUSH_INTERVAL_US, this::countFalseDeaths);
         network.startRecording(fleet);
         fleet.onTick = this::ticked;
-        load.run(SECOND, this::countFalseDeaths);
+        load.run(SECOND_US, this::countFalseDeaths);
         network.stopRecording(fleet);
     }
 
@@ -165,7 +165,7 @@
     }
 
     private OptionalDouble otherAge(double micros) {
-        return otherAges.getTotalCount() == 0 ? OptionalDouble.empty() : OptionalDouble.of(micros / SECOND);
+        return otherAges.getTotalCount() == 0 ? OptionalDouble.empty() : OptionalDouble.of(micros / SECOND_US);
     }
 
     private List<OptionalDouble> reportDelays() {
@@ -177,19 +177,19 @@
         return delays;
     }
 
-    /** Seconds until 99 in 100 of a broker's peers hold its report on a server. */
+    /** Seconds until 99 % of a broker's peers hold its report on a server. */
     private OptionalDouble reportDelay(FleetSimulation.Node reporter, int server) {
         long began = fleet.now;
         List<Integer> readers = peers.get(reporter.number);
         long wanted = (long) Math.ceil(REPORT_REACH * readers.size());
         reporter.handle(new LocalEvent.HealthReport(server, true));
         while (fleet.now - began < durations.reportLimit()) {
-            load.run(REPORT_STEP, REPORT_STEP, () -> {});
+            load.run(REPORT_STEP_US, REPORT_STEP_US, () -> {});
             long know = readers.stream()
                     .filter(reader -> holds(fleet.nodes[reader], reporter, server))
                     .count();
             if (know >= wanted) {
-                return OptionalDouble.of((fleet.now - began) / (double) SECOND);
+                return OptionalDouble.of((fleet.now - began) / (double) SECOND_US);
             }
         }
         return OptionalDouble.empty();
@@ -199,7 +199,7 @@
         return reader.node.entries().get(reporter.number, VersionedEntry.HEALTH_REPORT, server) != null;
     }
 
-    /** Kills a seventh of the brokers at once; seconds until no survivor counts one of them as present. */
+    /** Kills a seventh of the brokers at once; seconds until no survivor counts any of them as present. */
     private OptionalDouble failureDelay() {
         Set<Integer> killed = new HashSet<>();
         for (int broker = KILLED_ONE_IN / 2; broker < scenario.brokers(); broker += KILLED_ONE_IN) {
@@ -210,7 +210,7 @@
         while (fleet.now - began < durations.failureLimit()) {
             load.run(ControlLoad.SAMPLE_PERIOD_US, this::countFalseDeaths);
             if (Arrays.stream(fleet.nodes).noneMatch(node -> node.isUp() && countsOneOf(node, killed))) {
-                return OptionalDouble.of((fleet.now - began) / (double) SECOND);
+                return OptionalDouble.of((fleet.now - began) / (double) SECOND_US);
             }
         }
         return OptionalDouble.empty();
@@ -222,7 +222,7 @@
                         && node.node.membership().member(peer).isPresent());
     }
 
-    /** The delay at a place in the order of all; those that passed their limit are last. */
+    /** The delay at an index in ascending order; those that passed their limit are last. */
     private static OptionalDouble within(List<OptionalDouble> delays, int place) {
         double[] sorted = delays.stream()
                 .mapToDouble(delay -> delay.orElse(Double.POSITIVE_INFINITY))
@@ -231,7 +231,7 @@
         return Double.isInfinite(sorted[place]) ? OptionalDouble.empty() : OptionalDouble.of(sorted[place]);
     }
 
-    /** Bytes and datagrams so far. */
+    /** Bytes and datagrams since the start. */
     private record Traffic(
             long sent,
             long sentMost,
--- a/src/test/java/dockshed/fleet/ControlMeasurementTest.java
+++ b/src/test/java/dockshed/fleet/ControlMeasurementTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The harness of the control figures on a small fleet: what virtual time decides is the same for the same seed. */
+/**
+ * Guards the measurement of control figures on a small fleet: what virtual time determines is the same for the same
+ * seed.
+ */
 class ControlMeasurementTest {
     private static final int BROKERS = 7;
 
@@ -23,7 +26,7 @@
         return ControlMeasurement.of(scenario, durations);
     }
 
-    /** All but what the machine adds: processor time, allocation and heap. */
+    /** The figures without those that depend on the machine: processor time, allocation and heap. */
     private static ControlFigures withoutMachine(ControlFigures figures) {
         return new ControlFigures(
                 figures.sentBytes(),
@@ -57,7 +60,7 @@
     @Test
     void aLosslessNetworkDeliversAllThatIsSent() {
         ControlFigures figures = measure(0, 0, 0, 5);
-        double inFlight = 5; // of a second's bytes: what is under way where the window begins or ends
+        double inFlight = 5; // bytes per second: datagrams in flight when the window starts or ends
         assertEquals(figures.sentBytes(), figures.receivedBytes(), inFlight);
         assertEquals(0, figures.figuresMissing());
         assertEquals(0, figures.falseDeaths());
--- a/src/test/java/dockshed/fleet/ControlMechanism.java
+++ b/src/test/java/dockshed/fleet/ControlMechanism.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A way in which brokers share control state, as the measurements of control traffic see it. */
+/** A way in which brokers share control state, as seen by the measurements of control traffic. */
 public interface ControlMechanism {
     /** The mechanism's name in files of figures. */
     String label();
@@ -11,10 +11,10 @@
     /** A simulated fleet, not started yet. */
     FleetSimulation fleet(int brokers, long seed);
 
-    /** The brokers of which this one keeps the full state, itself not included. */
+    /** The brokers of which this one holds the full state, itself excluded. */
     List<Integer> peersOf(int broker, int brokers);
 
-    /** The gossip of package fleet at its default settings: every broker keeps the state of every other. */
+    /** The gossip of package fleet with its default settings: every broker holds the state of every other. */
     ControlMechanism FULL_MESH = new ControlMechanism() {
         @Override
         public String label() {
@@ -38,7 +38,7 @@
         }
     };
 
-    /** Gossip within zones, and summaries of the other zones between them. */
+    /** Gossip within zones, and summaries of the other zones. */
     ControlMechanism ZONED = new ControlMechanism() {
         private static final int ZONES = 7;
 
--- a/src/test/java/dockshed/fleet/EntryStoreTest.java
+++ b/src/test/java/dockshed/fleet/EntryStoreTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Entries and datagrams: the laws of merging, and what comes of garbage. */
+/** Guards the laws of merging entries, on which replication relies, and the node against malformed datagrams. */
 class EntryStoreTest {
     private static final long NOW = 1_000_000_000L;
 
@@ -40,40 +40,48 @@
 
     @Property(seed = "20261202", tries = 400)
     void mergingTwoVersionsIsCommutativeAssociativeAndIdempotent(
-            @ForAll("entries") VersionedEntry a,
-            @ForAll("entries") VersionedEntry b,
-            @ForAll("entries") VersionedEntry c) {
-        VersionedEntry x = as(a, b);
-        VersionedEntry y = as(a, c);
-        assertEquals(VersionedEntry.merge(a, x), VersionedEntry.merge(x, a));
+            @ForAll("entries") VersionedEntry first,
+            @ForAll("entries") VersionedEntry secondVersion,
+            @ForAll("entries") VersionedEntry thirdVersion) {
+        VersionedEntry second = as(first, secondVersion);
+        VersionedEntry third = as(first, thirdVersion);
+        assertEquals(VersionedEntry.merge(first, second), VersionedEntry.merge(second, first));
         assertEquals(
-                VersionedEntry.merge(VersionedEntry.merge(a, x), y),
-                VersionedEntry.merge(a, VersionedEntry.merge(x, y)));
-        assertEquals(a, VersionedEntry.merge(a, a));
+                VersionedEntry.merge(VersionedEntry.merge(first, second), third),
+                VersionedEntry.merge(first, VersionedEntry.merge(second, third)));
+        assertEquals(first, VersionedEntry.merge(first, first));
     }
 
-    /** The version of the second as one of the first entry. */
-    private static VersionedEntry as(VersionedEntry id, VersionedEntry v) {
+    /** The given version as a version of {@code entry}. */
+    private static VersionedEntry as(VersionedEntry entry, VersionedEntry version) {
         return new VersionedEntry(
-                id.owner(), id.kind(), id.key(), v.incarnation(), v.counter(), v.writtenAt(), v.value());
+                entry.owner(),
+                entry.kind(),
+                entry.key(),
+                version.incarnation(),
+                version.counter(),
+                version.writtenAt(),
+                version.value());
     }
 
     @Property(seed = "20261202", tries = 300)
-    void holdersThatHearTheSameInAnyOrderHoldTheSame(
-            @ForAll("entries") VersionedEntry r1,
-            @ForAll("entries") VersionedEntry r2,
-            @ForAll("entries") VersionedEntry r3,
-            @ForAll("entries") VersionedEntry r4,
+    void holdersThatReceiveTheSameInAnyOrderHoldTheSame(
+            @ForAll("entries") VersionedEntry first,
+            @ForAll("entries") VersionedEntry second,
+            @ForAll("entries") VersionedEntry third,
+            @ForAll("entries") VersionedEntry fourth,
             @ForAll long salt) {
-        List<VersionedEntry> received = new ArrayList<>(List.of(r1, r2, r3, r4, r2, r1));
+        List<VersionedEntry> received = new ArrayList<>(List.of(first, second, third, fourth, second, first));
         EntryStore one = new EntryStore(0, ZoneMap.undivided(9).scopeOf(0), 1);
-        received.forEach(r -> one.merge(NOW, r, 8, forger -> {}));
+        received.forEach(entry -> one.merge(NOW, entry, 8, forger -> {}));
         Collections.shuffle(received, new Random(salt));
         EntryStore other = new EntryStore(0, ZoneMap.undivided(9).scopeOf(0), 1);
-        received.forEach(r -> other.merge(NOW, r, 8, forger -> {}));
+        received.forEach(entry -> other.merge(NOW, entry, 8, forger -> {}));
         assertArrayEquals(one.digest(), other.digest());
-        for (VersionedEntry r : one.all()) {
-            assertEquals(r.writtenAt(), other.get(r.owner(), r.kind(), r.key()).writtenAt());
+        for (VersionedEntry entry : one.all()) {
+            assertEquals(
+                    entry.writtenAt(),
+                    other.get(entry.owner(), entry.kind(), entry.key()).writtenAt());
         }
     }
 
@@ -82,22 +90,28 @@
         EntryStore store = new EntryStore(0, ZoneMap.undivided(9).scopeOf(0), 1);
         store.setTimeToLive(VersionedEntry.HEALTH_REPORT, 1_000_000);
         store.merge(
-                NOW, new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, 5, 20, 1, NOW, new byte[] {1}), 1, l -> {});
+                NOW,
+                new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, 5, 20, 1, NOW, new byte[] {1}),
+                1,
+                forger -> {});
         store.merge(
-                NOW, new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, 6, 10, 99, NOW, new byte[] {2}), 1, l -> {});
+                NOW,
+                new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, 6, 10, 99, NOW, new byte[] {2}),
+                1,
+                forger -> {});
         assertNull(store.get(1, VersionedEntry.HEALTH_REPORT, 6), "of an earlier incarnation");
-        for (int i = 1; i <= 30; i++) { // received again and again, each time with the age that it has by then
+        for (int i = 1; i <= 30; i++) { // received repeatedly, each time with its current age
             long now = NOW + i * 100_000;
             VersionedEntry again = VersionedEntry.read(
                     new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, 5, 20, 1, NOW, new byte[] {1}).write(now), now);
-            store.merge(now, again, 2, l -> {});
+            store.merge(now, again, 2, forger -> {});
             store.expire(now);
         }
         assertNull(store.get(1, VersionedEntry.HEALTH_REPORT, 5));
     }
 
     @Example
-    void whatARelayForgedGoesWithTheOwnersNextVersionAndTheRelayIsNamed() {
+    void aForgedCopyIsReplacedByTheOwnersNextVersionAndTheRelayIsReported() {
         EntryStore store = new EntryStore(0, ZoneMap.undivided(9).scopeOf(0), 1);
         List<Integer> forgers = new ArrayList<>();
         for (int i = 0; i < EntryStore.MAX_STRIKES; i++) {
@@ -125,7 +139,7 @@
                     NOW,
                     new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, key, 1, 1, NOW, new byte[] {1}),
                     1,
-                    l -> {});
+                    forger -> {});
             store.put(NOW + key, VersionedEntry.HEALTH_REPORT, key, new byte[] {1});
         }
         assertEquals(2 * EntryStore.MAX_ENTRIES_PER_OWNER, store.size());
@@ -152,7 +166,7 @@
         VersionedEntry entry = new VersionedEntry(1, VersionedEntry.HEALTH_REPORT, 5, 20, 3, NOW, new byte[] {1, 2, 3});
         byte[] whole =
                 new Envelope(1, 20, 7, List.of(new Envelope.Item(200, new byte[] {1, 2}), entry.write(NOW))).write();
-        whole[1] = 9; // a later version, with an item of a kind that is not known here
+        whole[1] = 9; // a later protocol version, with an item of an unknown kind
         for (int i = 0; i < whole.length; i++) {
             Envelope part = Envelope.read(java.util.Arrays.copyOf(whole, i));
             assertTrue(part == null || part.items().size() < 2, "truncated at " + i);
--- a/src/test/java/dockshed/fleet/EnvelopeTest.java
+++ b/src/test/java/dockshed/fleet/EnvelopeTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of datagrams, as versions before the renaming of the package wrote them: old and new brokers run side by side. */
+/** Guards the bytes of datagrams against changes: brokers of earlier and later program versions run side by side. */
 class EnvelopeTest {
     private static String hex(byte[] bytes) {
         return HexFormat.of().formatHex(bytes);
--- a/src/test/java/dockshed/fleet/FleetCosts.java
+++ b/src/test/java/dockshed/fleet/FleetCosts.java
@@ -5,33 +5,33 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What a gossip node costs by the size of a fleet, on the simulated network; for the bench. */
+/** The cost of a gossip node by the size of the fleet, on the simulated network; for the bench. */
 public final class FleetCosts {
     private static final long SEED = 11;
     private static final double LOSS = 0.01;
     private static final long WARM_UP_US = 40 * FleetSimulation.SECOND_US;
     private static final long SAMPLE_PERIOD_US = 250 * FleetSimulation.MILLISECOND_US;
-    /** How long a probe of a dead server takes. */
+    /** Duration of a probe of a dead server, in microseconds. */
     private static final long PROBE_TIME_US = 250 * FleetSimulation.MILLISECOND_US;
-    /** Own failed probes after which a broker knows by itself. */
+    /** Own failed probes after which a broker knows by itself that a server is dead. */
     private static final int PROBES_TO_KNOW = 2;
-    /** Probes a second are reckoned over this many seconds at least. */
+    /** Minimum number of seconds over which the probe rate is computed. */
     private static final double MIN_RATE_SECONDS = 5;
 
     /**
-     * Bytes sent a second.
+     * Bytes sent per second.
      *
      * @param mean    of all brokers
-     * @param highest of the broker that sends most
+     * @param highest of the broker that sends the most
      */
     public record ByteRates(double mean, double highest) {}
 
     /**
-     * What it takes until a fleet knows that a server is dead.
+     * The cost until a fleet knows that a server is dead.
      *
-     * @param probesPerSecond by the whole fleet until the last broker knows, over five seconds at least
+     * @param probesPerSecond by the whole fleet until the last broker knows, over at least five seconds
      * @param seconds         until the last broker knows
-     * @param uninformed      brokers that do not know after half a minute
+     * @param uninformed      brokers that do not know after 30 s
      */
     public record ProbeCost(double probesPerSecond, double seconds, int uninformed) {}
 
@@ -60,12 +60,13 @@
         FleetSimulation fleet = fleet(brokers);
         fleet.sentBy.clear();
         fleet.run(seconds * FleetSimulation.SECOND_US, SAMPLE_PERIOD_US, () -> sampleLoad(fleet));
-        long sum = fleet.sentBy.values().stream().mapToLong(x -> x).sum();
-        long most = fleet.sentBy.values().stream().mapToLong(x -> x).max().orElse(0);
-        return new ByteRates(sum / (double) brokers / seconds, most / (double) seconds);
+        long sum = fleet.sentBy.values().stream().mapToLong(bytes -> bytes).sum();
+        long highest =
+                fleet.sentBy.values().stream().mapToLong(bytes -> bytes).max().orElse(0);
+        return new ByteRates(sum / (double) brokers / seconds, highest / (double) seconds);
     }
 
-    /** All brokers suspect a dead server within a tenth of a second and probe it as the schedule says. */
+    /** All brokers suspect a dead server within 100 ms and probe it as the schedule determines. */
     public static ProbeCost probeCost(int brokers) {
         return probeCost(fleet(brokers));
     }
@@ -102,7 +103,8 @@
             began = fleet.now;
             lastKnownAt = began;
             probers = Arrays.stream(fleet.nodes)
-                    .map(n -> new Prober(n, n.clock() + fleet.random.nextLong(100 * FleetSimulation.MILLISECOND_US)))
+                    .map(node -> new Prober(
+                            node, node.clock() + fleet.random.nextLong(100 * FleetSimulation.MILLISECOND_US)))
                     .toList();
         }
 
@@ -112,7 +114,8 @@
                     50 * FleetSimulation.MILLISECOND_US,
                     () -> probers.forEach(this::step));
             double seconds = (lastKnownAt - began) / (double) FleetSimulation.SECOND_US;
-            int uninformed = (int) probers.stream().filter(p -> !p.knows).count();
+            int uninformed =
+                    (int) probers.stream().filter(prober -> !prober.knows).count();
             return new ProbeCost(probes / Math.max(MIN_RATE_SECONDS, seconds), seconds, uninformed);
         }
 
--- a/src/test/java/dockshed/fleet/FleetInspection.java
+++ b/src/test/java/dockshed/fleet/FleetInspection.java
@@ -8,14 +8,14 @@
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
 
-/** What measurements read of the control part beyond its public face. */
+/** Reads internal state of nodes and hosts for measurements. */
 public final class FleetInspection {
     private static final long READ_TIMEOUT_SECONDS = 10;
     private static final long UNKNOWN_THREAD = -1;
 
     private FleetInspection() {}
 
-    /** The id of the thread that a host's loop runs on; -1 where it stands still. */
+    /** The id of the thread that runs a host's loop; -1 if the loop does not answer in time. */
     public static long loopThreadId(FleetHost host) {
         return read(host, node -> Thread.currentThread().getId(), UNKNOWN_THREAD);
     }
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Ages of the figures that brokers hold of one another, in milliseconds. What a broker should hold and does not counts
-     * with the time since it began, and as missing.
+     * Ages of the figures that brokers hold of one another, in milliseconds. A figure that a broker should hold but
+     * does not is counted as missing, with the time since the broker's start as its age.
      */
     public static final class Ages {
         private static final int DIGITS = 2;
@@ -41,12 +41,12 @@
         private final Histogram otherScopes = new Histogram(DIGITS);
         private long missing;
 
-        /** Of the figures of each broker that the holder lists. */
+        /** Ages of the figures of each broker that the holder lists. */
         public Histogram ownScope() {
             return ownScope;
         }
 
-        /** Of the summaries of other scopes. */
+        /** Ages of the summaries of other scopes. */
         public Histogram otherScopes() {
             return otherScopes;
         }
@@ -71,7 +71,7 @@
                 false);
     }
 
-    /** The same of a node; times are of the node's clock, in microseconds. */
+    /** Adds the ages of the figures that a node holds; times are of the node's clock, in microseconds. */
     static void recordFigureAges(GossipNode node, long now, long started, Ages ages) {
         for (int broker : node.membership().presentMembers()) {
             if (broker == node.membership().me) {
--- a/src/test/java/dockshed/fleet/FleetSimulation.java
+++ b/src/test/java/dockshed/fleet/FleetSimulation.java
@@ -12,9 +12,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Gossip nodes on a simulated network and clock; one seed replays all. Each broker has a clock of its own, with an offset
- * and a rate; it can be killed, started again with nothing, and paused while its datagrams wait. A mutant is a
- * switch here that tampers with one thing that the node relies on, and that some test has to notice.
+ * Gossip nodes on a simulated network and clock; a run is determined by its seed. Each broker has its own clock, with
+ * an offset and a rate; it can be killed, restarted without state, and paused while its datagrams wait. A mutant is a
+ * switch here that tampers with something that the node relies on, and that some test has to detect.
  */
 final class FleetSimulation {
     static final long MILLISECOND_US = 1000;
@@ -31,9 +31,9 @@
         final int number;
         GossipNode node;
         double rate = 1;
-        long offset; // of its clock to the world's, at the world's start
+        long offset; // of its clock to the simulation's, at time 0
         long pausedUntil = -1;
-        int starts; // what is scheduled for an earlier start is void
+        int starts; // events scheduled for an earlier start are ignored
         final List<byte[]> waiting = new ArrayList<>();
 
         Node(int number) {
@@ -82,8 +82,8 @@
             at(pausedUntil, () -> {
                 if (start == starts) {
                     pausedUntil = -1;
-                    for (byte[] m : List.copyOf(waiting)) {
-                        node.receive(clock(), m, sink());
+                    for (byte[] datagram : List.copyOf(waiting)) {
+                        node.receive(clock(), datagram, sink());
                     }
                     waiting.clear();
                     tick(start);
@@ -129,24 +129,26 @@
     long now = 1_000 * SECOND_US;
     double loss;
     double duplication;
-    long minDelayUs = MILLISECOND_US / 2; // of the delays
+    long minDelayUs = MILLISECOND_US / 2;
     long maxDelayUs = 3 * MILLISECOND_US;
     long datagramsSent;
     final Map<Integer, Long> sentBy = new HashMap<>();
     private boolean[][] blocked;
-    /** Mutants: what happens to a datagram on its way, and what a start takes for its time. */
+    /** For mutants: changes a datagram on its way. */
     UnaryOperator<Envelope> tamper = UNTOUCHED;
 
     private static final UnaryOperator<Envelope> UNTOUCHED = e -> e;
-    /** Settings by broker, where some run with others. */
+    /** Settings by broker, for fleets with different settings. */
     IntFunction<FleetSettings> settingsOf;
 
-    /** Bytes that arrived, by broker. */
+    /** Bytes received, by broker. */
     final long[] receivedBy;
 
+    /** For mutants: changes the start time of a broker, in milliseconds. */
     java.util.function.Function<Long, Long> startTimeMs = ms -> ms;
+
     Consumer<Node> onStart = n -> {};
-    /** After each tick, where a host would publish its snapshot. */
+    /** Called after each tick, when a host would publish its snapshot. */
     Consumer<Node> onTick = n -> {};
 
     FleetSimulation(int brokers, FleetSettings settings, long seed) {
@@ -162,8 +164,8 @@
     }
 
     FleetSimulation startAll() {
-        for (Node n : nodes) {
-            at(now + random.nextLong(300 * MILLISECOND_US), n::start);
+        for (Node node : nodes) {
+            at(now + random.nextLong(300 * MILLISECOND_US), node::start);
         }
         run(400 * MILLISECOND_US);
         return this;
@@ -173,21 +175,21 @@
         events.add(new Event(when, order++, what));
     }
 
-    /** Blocks or opens the way from a to b. */
-    void block(int a, int b, boolean is) {
-        blocked[a][b] = is;
+    /** Blocks or unblocks the direction from one broker to another. */
+    void block(int sender, int receiver, boolean blocks) {
+        blocked[sender][receiver] = blocks;
     }
 
-    /** Blocks, or joins again, what goes from the brokers of one scope to those of another. */
-    void block(Scope from, Scope to, boolean is) {
-        from.brokers().forEach(a -> to.brokers().forEach(b -> block(a, b, is)));
+    /** Blocks or unblocks the direction from the brokers of one scope to those of another. */
+    void block(Scope from, Scope to, boolean blocks) {
+        from.brokers().forEach(sender -> to.brokers().forEach(receiver -> block(sender, receiver, blocks)));
     }
 
-    /** Partitions the first brokers from the others, both ways, or heals the partition. */
-    void partition(int first, boolean is) {
-        for (int a = 0; a < nodes.length; a++) {
-            for (int b = 0; b < nodes.length; b++) {
-                blocked[a][b] = is && a < first != b < first;
+    /** Partitions the brokers below {@code firstOfOthers} from the others in both directions, or ends the partition. */
+    void partition(int firstOfOthers, boolean blocks) {
+        for (int sender = 0; sender < nodes.length; sender++) {
+            for (int receiver = 0; receiver < nodes.length; receiver++) {
+                blocked[sender][receiver] = blocks && sender < firstOfOthers != receiver < firstOfOthers;
             }
         }
     }
@@ -201,8 +203,8 @@
         if (blocked[from][to] || random.nextDouble() < loss) {
             return;
         }
-        Envelope e = tamper == UNTOUCHED ? null : Envelope.read(datagram);
-        byte[] goes = e == null ? datagram : tamper.apply(e).write();
+        Envelope envelope = tamper == UNTOUCHED ? null : Envelope.read(datagram);
+        byte[] goes = envelope == null ? datagram : tamper.apply(envelope).write();
         int times = random.nextDouble() < duplication ? 2 : 1;
         for (int i = 0; i < times; i++) {
             at(now + minDelayUs + random.nextLong(maxDelayUs - minDelayUs + 1), () -> nodes[to].deliver(goes));
@@ -212,14 +214,14 @@
     void run(long micros) {
         long end = now + micros;
         while (!events.isEmpty() && events.peek().at() <= end) {
-            Event e = events.poll();
-            now = Math.max(now, e.at());
-            e.action().run();
+            Event event = events.poll();
+            now = Math.max(now, event.at());
+            event.action().run();
         }
         now = end;
     }
 
-    /** Runs step by step, looking each time; what a look finds it throws. */
+    /** Runs step by step and calls {@code look} after each, which throws if it finds a fault. */
     void run(long micros, long step, Runnable look) {
         for (long end = now + micros; now < end; ) {
             run(Math.min(step, end - now));
@@ -229,20 +231,20 @@
 
     double sum(SharedResource resource) {
         double sum = 0;
-        for (Node n : nodes) {
-            sum += n.share(resource);
+        for (Node node : nodes) {
+            sum += node.share(resource);
         }
         return sum;
     }
 
-    /** Rewrites items of a kind on their way, for mutants. */
+    /** For mutants: rewrites items of a kind on their way. */
     static UnaryOperator<Envelope> items(int kind, UnaryOperator<Envelope.Item> change) {
-        return e -> new Envelope(
-                e.sender(),
-                e.incarnation(),
-                e.serial(),
-                e.items().stream()
-                        .map(i -> i.kind() == kind ? change.apply(i) : i)
+        return envelope -> new Envelope(
+                envelope.sender(),
+                envelope.incarnation(),
+                envelope.serial(),
+                envelope.items().stream()
+                        .map(item -> item.kind() == kind ? change.apply(item) : item)
                         .toList());
     }
 }
--- a/src/test/java/dockshed/fleet/FleetSimulationDriver.java
+++ b/src/test/java/dockshed/fleet/FleetSimulationDriver.java
@@ -4,9 +4,9 @@
 import dockshed.topology.ZoneMap;
 import java.util.BitSet;
 
-/** A fleet on the simulated network and clock as the scale run drives it: the public face of {@link FleetSimulation}. */
+/** Public interface of {@link FleetSimulation} for the scale run: a fleet on the simulated network and clock. */
 public final class FleetSimulationDriver {
-    /** Requests of a quarter of a second, by step of rank: as {@link FleetCosts} has them. */
+    /** Requests per 250 ms, by priority step; the same as in {@link FleetCosts}. */
     private static final int[] REQUESTS = requests();
 
     private static final long MILLISECOND_US = FleetSimulation.MILLISECOND_US;
@@ -75,12 +75,12 @@
         simulation.loss = share;
     }
 
-    /** A report on a server's health, which all others are to know. */
+    /** Makes a broker report a server as down, which all others have to learn. */
     public void reportServerDown(int broker, int server) {
         simulation.nodes[broker].handle(new LocalEvent.HealthReport(server, false));
     }
 
-    /** Each broker is told what was asked of it in so many milliseconds. */
+    /** Gives each running broker a load sample of {@code millis} milliseconds. */
     public void offerLoadSamples(long millis) {
         for (FleetSimulation.Node node : simulation.nodes) {
             if (node.isUp() && node.pausedUntil < 0) {
@@ -107,7 +107,7 @@
         return simulation.receivedBy[broker];
     }
 
-    /** Numbers of the other scopes of which a broker knows something. */
+    /** Numbers of the other scopes about which a broker has information. */
     public BitSet knownScopes(int broker) {
         FleetSimulation.Node node = simulation.nodes[broker];
         BitSet known = new BitSet();
@@ -118,7 +118,7 @@
         return known;
     }
 
-    /** Of the figures that all hold of others. */
+    /** Ages of the figures that all running brokers hold of others. */
     public FleetInspection.Ages figureAges() {
         FleetInspection.Ages ages = new FleetInspection.Ages();
         for (FleetSimulation.Node node : simulation.nodes) {
--- a/src/test/java/dockshed/fleet/GossipExtensionTest.java
+++ b/src/test/java/dockshed/fleet/GossipExtensionTest.java
@@ -13,11 +13,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the extension's way through the gossip: bodies must reach brokers of all scopes, and must not exceed the byte
+ * budget.
+ */
 class GossipExtensionTest {
-    /** Records what it hears. */
+    /** Records what it receives. */
     private static final class Recorder implements GossipExtension {
         final List<byte[]> bodies = new ArrayList<>();
-        final Set<Integer> heardOf = new HashSet<>();
+        final Set<Integer> announcers = new HashSet<>();
         private final byte[] announcement;
 
         Recorder(int number) {
@@ -31,9 +35,9 @@
         }
 
         @Override
-        public void receiveAnnouncement(long now, int from, byte[] heard) {
-            assertEquals(from, heard[0]);
-            heardOf.add(from);
+        public void receiveAnnouncement(long now, int from, byte[] received) {
+            assertEquals(from, received[0]);
+            announcers.add(from);
         }
 
         @Override
@@ -53,45 +57,46 @@
     private final Recorder[] recorders = new Recorder[12];
 
     private FleetSimulation start() {
-        FleetSimulation w = new ZonedFleet(12, 3, 31).simulation;
-        w.onStart = node -> {
+        FleetSimulation simulation = new ZonedFleet(12, 3, 31).simulation;
+        simulation.onStart = node -> {
             recorders[node.number] = new Recorder(node.number);
             node.node.setExtension(recorders[node.number]);
         };
-        w.startAll();
-        w.run(6 * SECOND_US);
-        return w;
+        simulation.startAll();
+        simulation.run(6 * SECOND_US);
+        return simulation;
     }
 
     @Test
     void bodiesReachBrokersOfAllScopesAndAnnouncementsGoWithEveryDatagram() {
-        FleetSimulation w = start();
+        FleetSimulation simulation = start();
         byte[] longest = new byte[GossipExtension.MAX_BODY_BYTES];
         longest[239] = 9;
         assertEquals(240, longest.length);
-        assertTrue(w.nodes[0].node.sendExtension(2, longest));
-        assertTrue(w.nodes[0].node.sendExtension(11, longest));
-        w.run(200 * MILLISECOND_US);
+        assertTrue(simulation.nodes[0].node.sendExtension(2, longest));
+        assertTrue(simulation.nodes[0].node.sendExtension(11, longest));
+        simulation.run(200 * MILLISECOND_US);
         assertArrayEquals(longest, recorders[2].bodies.get(0));
         assertArrayEquals(longest, recorders[11].bodies.get(0));
-        w.run(20 * SECOND_US);
-        assertTrue(recorders[0].heardOf.containsAll(Set.of(1, 2, 3)), "of its scope");
-        assertTrue(recorders[0].heardOf.stream().anyMatch(from -> from > 3), "of others");
+        simulation.run(20 * SECOND_US);
+        assertTrue(recorders[0].announcers.containsAll(Set.of(1, 2, 3)), "of its scope");
+        assertTrue(recorders[0].announcers.stream().anyMatch(from -> from > 3), "of others");
     }
 
     @Test
-    void whatIsTooLongTooMuchOrForNobodyIsRefusedAndTheBudgetIsKept() {
-        FleetSimulation w = start();
-        GossipNode node = w.nodes[0].node;
+    void bodiesTooLongTooManyOrForNobodyAreRefusedAndTheBudgetIsKept() {
+        FleetSimulation simulation = start();
+        GossipNode node = simulation.nodes[0].node;
         assertFalse(node.sendExtension(1, new byte[GossipExtension.MAX_BODY_BYTES + 1]));
         assertFalse(node.sendExtension(12, new byte[1]));
         assertFalse(node.sendExtension(0, new byte[1]));
-        w.sentBy.clear();
+        simulation.sentBy.clear();
         int[] taken = new int[1];
-        w.run(20 * SECOND_US, 10 * MILLISECOND_US, () -> taken[0] += node.sendExtension(11, new byte[200]) ? 1 : 0);
-        double sent = w.sentBy.get(0) / 20.0;
+        simulation.run(
+                20 * SECOND_US, 10 * MILLISECOND_US, () -> taken[0] += node.sendExtension(11, new byte[200]) ? 1 : 0);
+        double sent = simulation.sentBy.get(0) / 20.0;
         assertTrue(sent < 1.2 * FleetSettings.ZONED_BYTES_PER_SECOND, "bytes a second: " + sent);
         assertTrue(taken[0] > 500 && node.counts().extensionDropped > 0, "taken: " + taken[0]);
-        assertEquals(4, w.nodes[1].snapshot().presentBrokers().size());
+        assertEquals(4, simulation.nodes[1].snapshot().presentBrokers().size());
     }
 }
--- a/src/test/java/dockshed/fleet/NetworkBaseline.java
+++ b/src/test/java/dockshed/fleet/NetworkBaseline.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** What the simulated network costs by itself: as many datagrams and ticks as were seen, with nobody to read them. */
+/**
+ * Measures the cost of the simulated network itself: the same number of datagrams and ticks as in a measured run,
+ * without nodes that read them.
+ */
 final class NetworkBaseline {
     private static final int MAX_SAMPLES = 64;
     private static final int SAMPLE_INTERVAL = 101;
@@ -15,7 +18,7 @@
     private long envelopes;
     private long ticks;
 
-    /** Notes what a fleet sends from now on. */
+    /** Records samples of what a fleet sends from now on. */
     void startRecording(FleetSimulation fleet) {
         previousTamper = fleet.tamper;
         fleet.tamper = envelope -> {
@@ -26,7 +29,7 @@
         };
     }
 
-    /** Lets datagrams pass as before, and counts ticks from now on. */
+    /** Stops recording, and counts ticks from now on. */
     void stopRecording(FleetSimulation fleet) {
         fleet.tamper = previousTamper;
         ticks = 0;
@@ -36,7 +39,7 @@
         ticks++;
     }
 
-    /** Nanoseconds of processor time for that many datagrams, and for the ticks that were counted. */
+    /** Nanoseconds of processor time for that many datagrams and the ticks counted. */
     long nanos(ControlScenario scenario, long datagrams, long micros, ThreadCost cost) {
         FleetSimulation idle = scenario.mechanism().fleet(scenario.brokers(), scenario.seed());
         idle.loss = scenario.loss();
--- a/src/test/java/dockshed/fleet/ScopeSummaryStoreTest.java
+++ b/src/test/java/dockshed/fleet/ScopeSummaryStoreTest.java
@@ -14,10 +14,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Brokers 0 to 9 are scope 0, the store's own; 10 to 19 scope 1; 20 to 29 scope 2. */
+/**
+ * Guards against lying makers and relays that move what a broker believes about another scope, and against summaries
+ * that never expire. Brokers 0 to 9 are scope 0, the store's own; 10 to 19 are scope 1; 20 to 29 are scope 2.
+ */
 class ScopeSummaryStoreTest {
-    private static final long S = 1_000_000;
-    private static final long NOW = 1000 * S;
+    private static final long SECOND_US = 1_000_000;
+    private static final long NOW = 1000 * SECOND_US;
     private static final long LATEST = Long.MAX_VALUE;
 
     private ZoneMap zones;
@@ -79,17 +82,19 @@
 
     @Test
     void aRelayThatForgesAtFullRateDoesNotMoveTheMedian() {
-        // It forges the makers that are held, others, and versions of the far future, ten for each sound summary.
+        // It forges summaries of the makers held and of others, with versions far in the future, ten for each correct
+        // one.
         SplittableRandom random = new SplittableRandom(4);
         long now = NOW;
         for (int i = 0; i < 5000; i++) {
             now += 10_000;
             int maker = 10 + random.nextInt(10);
-            store.offer(now, made(maker, now + random.nextInt(1000) * S, now, 5000), 3, LATEST);
+            store.offer(now, made(maker, now + random.nextInt(1000) * SECOND_US, now, 5000), 3, LATEST);
             if (i % 10 == 0) {
-                int sound = 10 + random.nextInt(10);
+                int correctMaker = 10 + random.nextInt(10);
                 int relay = 4 + random.nextInt(6);
-                store.offer(now, made(sound, now, now - random.nextInt(800_000), 100 + sound), relay, LATEST);
+                store.offer(
+                        now, made(correctMaker, now, now - random.nextInt(800_000), 100 + correctMaker), relay, LATEST);
             }
             store.expire(now);
             if (i > 100) {
@@ -105,11 +110,15 @@
         long now = NOW;
         for (int i = 0; i < 5000; i++) {
             now += 10_000;
-            int relay = random.nextInt(10); // its own datagrams and those of brokers that had it from there
+            int relay = random.nextInt(10); // its own datagrams, and those of brokers that relay its summary
             store.offer(now, made(19, now, now, 5000), relay == 0 ? 19 : relay, LATEST);
             if (i % 10 == 0) {
-                int sound = 10 + random.nextInt(9);
-                store.offer(now, made(sound, now, now - random.nextInt(800_000), 100 + sound), 1 + relay % 9, LATEST);
+                int correctMaker = 10 + random.nextInt(9);
+                store.offer(
+                        now,
+                        made(correctMaker, now, now - random.nextInt(800_000), 100 + correctMaker),
+                        1 + relay % 9,
+                        LATEST);
             }
             store.expire(now);
             if (i > 300) {
@@ -119,12 +128,12 @@
     }
 
     @Test
-    void whatIsNotThatBrokersToSendIsRefused() {
-        store.offer(NOW, made(11, 1, NOW, 1), 10, LATEST); // of its own scope, and not its own word
-        store.offer(NOW, made(1, 1, NOW, 1), 1, LATEST); // of this scope
-        store.offer(NOW, made(30, 1, NOW, 1), 10, LATEST); // of nobody
+    void summariesThatABrokerMustNotSendAreRefused() {
+        store.offer(NOW, made(11, 1, NOW, 1), 10, LATEST); // about its own scope, but made by another broker
+        store.offer(NOW, made(1, 1, NOW, 1), 1, LATEST); // about this scope
+        store.offer(NOW, made(30, 1, NOW, 1), 10, LATEST); // made by an unknown broker
         store.offer(NOW, made(10, 1, NOW, 1), 30, LATEST);
-        store.offer(NOW, made(10, 8, NOW, 1), 10, 7); // of a time that cannot be
+        store.offer(NOW, made(10, 8, NOW, 1), 10, 7); // of an implausible version
         store.offer(NOW, null, 10, LATEST);
         double[] none = new double[SheddingThreshold.PRIORITY_STEPS];
         store.offer(NOW, new ScopeSummary(10, 1, NOW, 11, new LoadFigures(none, 0, 0, 0)), 10, LATEST);
@@ -134,10 +143,10 @@
     }
 
     @Test
-    void onlyWhatCameFromItsMakerIsRelayedAndNotToItsOwnScope() {
+    void onlySummariesReceivedFromTheirMakersAreRelayedAndNotToTheirOwnScope() {
         store.offer(NOW, made(10, 1, NOW, 1), 1, LATEST);
         store.offer(NOW, made(20, 1, NOW, 1), 10, LATEST);
-        assertNull(store.nextToRelay(NOW, own), "had it from a relay");
+        assertNull(store.nextToRelay(NOW, own), "received from a relay");
         store.offer(NOW, made(12, 1, NOW, 1), 12, LATEST);
         assertEquals(12, store.nextToRelay(NOW, own).maker());
         assertNull(store.nextToRelay(NOW, other));
@@ -152,7 +161,7 @@
         long last = NOW + ScopeSummaryStore.MAX_AGE_US;
         store.offer(NOW, made(10, 1, NOW, 1), 1, LATEST);
         assertNotNull(store.estimate(last, other));
-        for (long now = last + 1; now < last + 3 * S; now += S / 10) {
+        for (long now = last + 1; now < last + 3 * SECOND_US; now += SECOND_US / 10) {
             store.offer(now, made(10, 1, NOW, 1), 2, LATEST);
             store.expire(now);
             assertNull(store.estimate(now, other));
--- a/src/test/java/dockshed/fleet/ScopeSummaryTest.java
+++ b/src/test/java/dockshed/fleet/ScopeSummaryTest.java
@@ -15,6 +15,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Guards the encoding of scope summaries: precision, age, truncated items and implausible loads. */
 class ScopeSummaryTest {
     private static final long NOW = 100_000_000;
 
@@ -31,7 +32,7 @@
             @ForAll @DoubleRange(min = 0, max = 300_000) double highest) {
         double[] demand = new double[SheddingThreshold.PRIORITY_STEPS];
         for (int step = 0; step < demand.length; step++) {
-            demand[step] = highest * Math.abs(Math.sin(unit[step])); // any double to a share of the highest
+            demand[step] = highest * Math.abs(Math.sin(unit[step])); // maps any double to a part of the highest
             demand[step] = Double.isNaN(demand[step]) ? 0 : demand[step];
         }
         ScopeSummary written = new ScopeSummary(
@@ -51,7 +52,7 @@
     }
 
     @Test
-    void itsAgeTravelsAndDoesNotGrowLess() {
+    void theAgeIsTransmittedAndNeverDecreases() {
         ScopeSummary once = ScopeSummary.read(summary(3, 1, 0).write(NOW), NOW + 40_000_000);
         assertEquals(NOW + 40_000_000 - 150_000, once.madeAt());
         ScopeSummary twice = ScopeSummary.read(once.write(NOW + 41_000_000), NOW);
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void whatIsCutOffOrCannotBeIsNotReadAndWhatIsLongerIs() {
+    void truncatedAndImpossibleItemsAreNotReadAndLongerOnesAre() {
         Envelope.Item item = summary(3, 2, 160).write(NOW);
         for (int length = 0; length < item.body().length; length++) {
             assertNull(ScopeSummary.read(new Envelope.Item(item.kind(), Arrays.copyOf(item.body(), length)), NOW));
@@ -76,7 +77,7 @@
     }
 
     @Test
-    void whatNoScopeOfThatSizeCanHaveIsImpossible() {
+    void loadsThatNoScopeOfThatSizeCanHaveAreImplausible() {
         assertTrue(summary(73, 73 * LoadFigures.MAX_RATE, 0).isPlausible(73));
         assertFalse(summary(73, 74 * LoadFigures.MAX_RATE, 0).isPlausible(73), "demand");
         assertFalse(summary(74, 1, 0).isPlausible(73), "brokers");
--- a/src/test/java/dockshed/fleet/ZonedFleet.java
+++ b/src/test/java/dockshed/fleet/ZonedFleet.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** A simulated fleet with zones, and what is measured of it; also the bench of sharing by size. */
+/** A simulated fleet with zones, and measurements of it; also the bench of the gossip by fleet size. */
 public final class ZonedFleet {
     private static final long SAMPLE_PERIOD_US = 250 * MILLISECOND_US;
     private static final int REGIONS = 2;
@@ -30,7 +30,7 @@
                 new FleetSimulation(brokers, settings.withBytesPerSecond(FleetSettings.ZONED_BYTES_PER_SECOND), seed);
     }
 
-    /** That many zones of as equal sizes as can be, the first half of them in one region. */
+    /** Zones of sizes as equal as possible, the first half of them in one region. */
     static List<Zone> evenZones(int brokers, int zones) {
         List<Zone> out = new ArrayList<>();
         for (int zone = 0; zone < zones; zone++) {
@@ -42,7 +42,7 @@
         return out;
     }
 
-    /** Starts all and lets them find one another. */
+    /** Starts all brokers and runs until they have found one another. */
     ZonedFleet start() {
         return start(6 * SECOND_US);
     }
@@ -61,7 +61,7 @@
         offerLoad(4, 1);
     }
 
-    /** Every broker is asked for that much in the quarter of a second since the last call. */
+    /** Gives every running broker the load of one sample period. */
     void offerLoad(int accepted, int rejected) {
         int[] requests = new int[SheddingThreshold.PRIORITY_STEPS];
         for (int step : new int[] {0, 1, 2, 4, 5, 6}) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** How often a broker that is up calls one dead that is up. */
+    /** Number of pairs of running brokers of which one calls the other dead. */
     int falseDeaths() {
         int count = 0;
         for (FleetSimulation.Node node : simulation.nodes) {
@@ -91,7 +91,7 @@
         return count;
     }
 
-    /** What a run showed: ages in microseconds, bytes sent and received a second and broker. */
+    /** Results of a run: ages in microseconds, bytes sent and received per second and broker. */
     record Figures(
             Histogram ownAges, Histogram otherAges, int unknown, double bytes, double mostBytes, int falseDeaths) {
         @Override
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Runs and measures; every broker's figures are looked at four times a second. */
+    /** Runs and measures; every broker's figures are read four times a second. */
     Figures measure(long micros) {
         Histogram own = new Histogram(3);
         Histogram other = new Histogram(3);
@@ -140,7 +140,7 @@
         return new Figures(own, other, unknown[0], sum / simulation.nodes.length, most, unknown[1]);
     }
 
-    /** Records the ages of what a broker knows; returns how many brokers and scopes it knows no figures of. */
+    /** Records the ages of a broker's information; returns the number of brokers and scopes of which it has none. */
     private int ages(FleetSimulation.Node node, Histogram own, Histogram other) {
         int unknown = 0;
         long now = node.clock();
@@ -168,7 +168,7 @@
         return unknown;
     }
 
-    /** Arguments: brokers, zones, share of datagrams lost, seconds. */
+    /** Arguments: brokers, zones, part of the datagrams that is lost, seconds. */
     public static void main(String[] args) {
         int brokers = Integer.parseInt(args[0]);
         int zones = Integer.parseInt(args[1]);
--- a/src/test/java/dockshed/fleet/ZonedFleetTest.java
+++ b/src/test/java/dockshed/fleet/ZonedFleetTest.java
@@ -14,11 +14,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Fleets with zones on the simulated network, with faults. */
+/**
+ * Guards fleets with zones on the simulated network, with faults: against old figures, exceeded byte budgets, false
+ * deaths, and zones or regions that stay unknown.
+ */
 class ZonedFleetTest {
-    private static final long OWN_AGE = 2 * SECOND_US;
-    private static final long OTHER_AGE = 5 * SECOND_US;
-    private static final int BYTES = 28_000;
+    private static final long MAX_OWN_AGE_US = 2 * SECOND_US;
+    private static final long MAX_OTHER_AGE_US = 5 * SECOND_US;
+    private static final int MAX_BYTES_PER_SECOND = 28_000;
 
     private static ScopeStatus status(FleetSimulation.Node node, Scope of) {
         return node.snapshot().otherScopes().stream()
@@ -31,7 +34,7 @@
         return status(fleet.simulation.nodes[by], fleet.scope(scope)).isKnown();
     }
 
-    /** Runs with load and looks four times a second; nobody that is up may be called dead. */
+    /** Runs under load and calls {@code look} four times a second; no running broker may be called dead. */
     private static void run(ZonedFleet fleet, long micros, Runnable look) {
         fleet.simulation.run(micros, 250 * MILLISECOND_US, () -> {
             fleet.offerLoad();
@@ -52,9 +55,9 @@
         ZonedFleet.Figures figures = fleet.measure(1500 * MILLISECOND_US);
         assertEquals(0, figures.falseDeaths(), figures.toString());
         assertEquals(0, figures.unknown(), figures.toString());
-        assertTrue(figures.ownAges().getValueAtPercentile(99.9) <= OWN_AGE, figures.toString());
-        assertTrue(figures.otherAges().getMaxValue() <= OTHER_AGE, figures.toString());
-        assertTrue(figures.mostBytes() <= BYTES, figures.toString());
+        assertTrue(figures.ownAges().getValueAtPercentile(99.9) <= MAX_OWN_AGE_US, figures.toString());
+        assertTrue(figures.otherAges().getMaxValue() <= MAX_OTHER_AGE_US, figures.toString());
+        assertTrue(figures.mostBytes() <= MAX_BYTES_PER_SECOND, figures.toString());
     }
 
     @Test
@@ -64,9 +67,9 @@
         fleet.start();
         ZonedFleet.Figures figures = fleet.measure(20 * SECOND_US);
         assertEquals(0, figures.falseDeaths(), figures.toString());
-        assertTrue(figures.ownAges().getValueAtPercentile(99) <= OWN_AGE, figures.toString());
-        assertTrue(figures.otherAges().getValueAtPercentile(99) <= OTHER_AGE, figures.toString());
-        assertTrue(figures.mostBytes() <= BYTES, figures.toString());
+        assertTrue(figures.ownAges().getValueAtPercentile(99) <= MAX_OWN_AGE_US, figures.toString());
+        assertTrue(figures.otherAges().getValueAtPercentile(99) <= MAX_OTHER_AGE_US, figures.toString());
+        assertTrue(figures.mostBytes() <= MAX_BYTES_PER_SECOND, figures.toString());
     }
 
     @Test
@@ -115,7 +118,7 @@
     }
 
     @Test
-    void aZoneThatIsCutOneWayIsHeardOfByAThird() {
+    void aZoneCutOffInOneDirectionIsKnownThroughAThird() {
         ZonedFleet fleet = new ZonedFleet(24, 3, 16).start();
         fleet.simulation.block(fleet.scope(0), fleet.scope(1), true);
         run(fleet, ScopeSummaryStore.MAX_AGE_US);
@@ -130,7 +133,7 @@
     }
 
     @Test
-    void aBrokerThatStandsStillCallsNobodyDeadAndIsTakenBack() {
+    void aBrokerThatStalledCallsNobodyDeadAndIsAcceptedBack() {
         ZonedFleet fleet = new ZonedFleet(24, 3, 17).start();
         FleetSimulation.Node node = fleet.simulation.nodes[3];
         node.pause(5 * SECOND_US);
@@ -153,36 +156,36 @@
     @Test
     void aByzantinePeerAtFullRateCostsNobodyItsPlaceAndMovesNoZonesFigures() {
         ZonedFleet fleet = new ZonedFleet(30, 3, 18).start();
-        FleetSimulation w = fleet.simulation;
-        int liar = 12;
-        w.nodes[liar].kill();
-        ByzantinePeer peer = new ByzantinePeer(liar, 30, w.nodes[liar].clock() + 5 * SECOND_US, 3);
-        double sound = w.nodes[0].snapshot().requestsPerSecond();
+        FleetSimulation simulation = fleet.simulation;
+        int byzantine = 12;
+        simulation.nodes[byzantine].kill();
+        ByzantinePeer peer = new ByzantinePeer(byzantine, 30, simulation.nodes[byzantine].clock() + 5 * SECOND_US, 3);
+        double before = simulation.nodes[0].snapshot().requestsPerSecond();
         long[] step = {0};
-        w.sentBy.clear();
-        w.run(20 * SECOND_US, 10 * MILLISECOND_US, () -> {
+        simulation.sentBy.clear();
+        simulation.run(20 * SECOND_US, 10 * MILLISECOND_US, () -> {
             for (int to = 0; to < 30; to++) {
-                if (to != liar) {
-                    w.transmit(liar, to, peer.nextDatagram(w.nodes[liar].clock()));
+                if (to != byzantine) {
+                    simulation.transmit(byzantine, to, peer.nextDatagram(simulation.nodes[byzantine].clock()));
                 }
             }
             if (step[0]++ % 25 == 0) {
                 fleet.offerLoad();
                 assertEquals(0, fleet.falseDeaths());
-                for (int by : new int[] {0, 9, 20, 29}) { // of the other zones
-                    FleetSnapshot snapshot = w.nodes[by].snapshot();
+                for (int by : new int[] {0, 9, 20, 29}) { // in the other zones
+                    FleetSnapshot snapshot = simulation.nodes[by].snapshot();
                     assertTrue(
-                            Math.abs(snapshot.requestsPerSecond() - sound) < 0.3 * sound,
-                            by + ": " + snapshot.requestsPerSecond() + " of " + sound);
+                            Math.abs(snapshot.requestsPerSecond() - before) < 0.3 * before,
+                            by + ": " + snapshot.requestsPerSecond() + " of " + before);
                     assertEquals(0, snapshot.sheddingThreshold());
                     assertEquals(10, snapshot.presentBrokers().size());
                 }
             }
         });
-        assertTrue(w.sum(SharedResource.NEW_SESSIONS) <= 1 + 1e-9);
-        for (FleetSimulation.Node node : w.nodes) {
-            if (node.number != liar) {
-                double sent = w.sentBy.get(node.number) / 20.0;
+        assertTrue(simulation.sum(SharedResource.NEW_SESSIONS) <= 1 + 1e-9);
+        for (FleetSimulation.Node node : simulation.nodes) {
+            if (node.number != byzantine) {
+                double sent = simulation.sentBy.get(node.number) / 20.0;
                 assertTrue(sent < 1.2 * FleetSettings.ZONED_BYTES_PER_SECOND, node.number + " sends a second: " + sent);
             }
         }
@@ -191,34 +194,34 @@
     @Test
     void mangledDatagramsFromWithinAndWithoutNeverCrash() {
         ZonedFleet fleet = new ZonedFleet(12, 3, 19).start();
-        FleetSimulation w = fleet.simulation;
-        w.nodes[1].kill();
-        w.nodes[7].kill();
-        ByzantinePeer inside = new ByzantinePeer(1, 12, w.nodes[1].clock(), 4);
-        ByzantinePeer outside = new ByzantinePeer(7, 12, w.nodes[1].clock(), 5);
-        ByzantinePeer nobody = new ByzantinePeer(700, 12, w.nodes[1].clock(), 6);
+        FleetSimulation simulation = fleet.simulation;
+        simulation.nodes[1].kill();
+        simulation.nodes[7].kill();
+        ByzantinePeer inside = new ByzantinePeer(1, 12, simulation.nodes[1].clock(), 4);
+        ByzantinePeer outside = new ByzantinePeer(7, 12, simulation.nodes[1].clock(), 5);
+        ByzantinePeer nobody = new ByzantinePeer(700, 12, simulation.nodes[1].clock(), 6);
         SplittableRandom random = new SplittableRandom(7);
-        GossipNode node = w.nodes[0].node;
+        GossipNode node = simulation.nodes[0].node;
         for (int i = 0; i < 1500; i++) {
-            w.run(20 * MILLISECOND_US);
-            long now = w.nodes[0].clock();
+            simulation.run(20 * MILLISECOND_US);
+            long now = simulation.nodes[0].clock();
             byte[] datagram = (i % 3 == 0 ? inside : i % 3 == 1 ? outside : nobody).nextDatagram(now);
             byte[] mangled = mangle(datagram, random);
-            node.receive(now, mangled, (to, answer) -> w.transmit(0, to, answer)); // which checks its length
+            node.receive(now, mangled, (to, answer) -> simulation.transmit(0, to, answer)); // which checks the length
         }
         assertEquals(0, fleet.falseDeaths());
-        assertTrue(w.nodes[2].snapshot().presentBrokers().containsAll(List.of(0, 2, 3)));
+        assertTrue(simulation.nodes[2].snapshot().presentBrokers().containsAll(List.of(0, 2, 3)));
         assertTrue(node.counts().discarded > 0);
     }
 
-    /** Cut off, too long, with bytes of other values, or with items of kinds that nobody knows. */
+    /** Truncates or lengthens a datagram, changes some of its bytes, or gives an item an unknown kind. */
     private static byte[] mangle(byte[] datagram, SplittableRandom random) {
         return switch (random.nextInt(4)) {
             case 0 -> Arrays.copyOf(datagram, random.nextInt(datagram.length));
             case 1 -> Arrays.copyOf(datagram, datagram.length + random.nextInt(600));
             case 2 -> {
                 byte[] out = datagram.clone();
-                for (int n = random.nextInt(8); n >= 0; n--) {
+                for (int count = random.nextInt(8); count >= 0; count--) {
                     out[Envelope.HEADER_BYTES + random.nextInt(out.length - Envelope.HEADER_BYTES)] =
                             (byte) random.nextInt(256);
                 }
@@ -249,21 +252,21 @@
 
     @Test
     void allZonesShedAlike() {
-        FleetSimulation w = new ZonedFleet(24, 3, 21).simulation;
-        w.startAll();
-        w.run(6 * SECOND_US);
+        FleetSimulation simulation = new ZonedFleet(24, 3, 21).simulation;
+        simulation.startAll();
+        simulation.run(6 * SECOND_US);
         int[] requests = new int[SheddingThreshold.PRIORITY_STEPS];
         requests[0] = 28;
-        w.run(30 * SECOND_US, 500 * MILLISECOND_US, () -> {
-            for (FleetSimulation.Node n : w.nodes) {
-                double over = 1 - n.snapshot().sheddingThreshold() / (double) (1 << SheddingThreshold.HASH_BITS);
+        simulation.run(30 * SECOND_US, 500 * MILLISECOND_US, () -> {
+            for (FleetSimulation.Node node : simulation.nodes) {
+                double over = 1 - node.snapshot().sheddingThreshold() / (double) (1 << SheddingThreshold.HASH_BITS);
                 int given = (int) Math.round(28 * Math.max(0, Math.min(1, over)));
-                int room = Math.min(given, 8 + 3 * (n.number / 8)); // each zone has room for another number
-                n.handle(new LocalEvent.LoadSample(requests, room, given - room, 0, 500_000));
+                int capacity = Math.min(given, 8 + 3 * (node.number / 8)); // a different capacity in each zone
+                node.handle(new LocalEvent.LoadSample(requests, capacity, given - capacity, 0, 500_000));
             }
         });
-        List<Integer> thresholds = Arrays.stream(w.nodes)
-                .map(n -> n.snapshot().sheddingThreshold())
+        List<Integer> thresholds = Arrays.stream(simulation.nodes)
+                .map(node -> node.snapshot().sheddingThreshold())
                 .toList();
         for (int threshold : thresholds) {
             double apart = Math.abs(threshold - thresholds.get(0)) / (double) (1 << SheddingThreshold.HASH_BITS);
--- a/src/test/java/dockshed/topology/ZoneMapTest.java
+++ b/src/test/java/dockshed/topology/ZoneMapTest.java
@@ -16,6 +16,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the division of a fleet: each broker in exactly one scope of bounded size, and zones that do not fit are
+ * rejected with the fault named.
+ */
 class ZoneMapTest {
     private static Zone zone(String name, int first, int last) {
         return new Zone(name, "north", first, last);
@@ -96,7 +100,7 @@
     }
 
     @Test
-    void faultsNameTheZoneWhatWasExpectedAndWhatCame() {
+    void faultsNameTheZoneWhatWasExpectedAndWhatWasFound() {
         InvalidZonesException twice = refused(10, zone("a", 0, 5), zone("b", 5, 9));
         assertEquals(1, twice.index());
         assertEquals("broker 5 again", twice.got());
