--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -259,10 +259,10 @@
     }
 
     private void forwardStormMessages() {
-        snapshot().stormMessages().forEach((from, note) -> {
-            Integer previous = forwardedMessages.put(from, note.counter());
-            if (previous == null || previous != note.counter()) {
-                nextDirector.peerMessageReceived(now, from, note.value());
+        snapshot().stormMessages().forEach((from, message) -> {
+            Integer previous = forwardedMessages.put(from, message.counter());
+            if (previous == null || previous != message.counter()) {
+                nextDirector.peerMessageReceived(now, from, message.value());
             }
         });
     }
--- a/src/main/java/dockshed/fleet/EntryStore.java
+++ b/src/main/java/dockshed/fleet/EntryStore.java
@@ -228,10 +228,12 @@
         return held == null ? null : held.entry;
     }
 
+    /** Number of entries held, own ones included. */
     int size() {
         return stored.size();
     }
 
+    /** All entries held, own ones included. */
     Collection<VersionedEntry> all() {
         return stored.values().stream().map(held -> held.entry).toList();
     }
--- a/src/main/java/dockshed/fleet/ExtensionQueue.java
+++ b/src/main/java/dockshed/fleet/ExtensionQueue.java
@@ -32,6 +32,7 @@
         return queued.peek();
     }
 
+    /** Removes the message that {@link #peek} returned. */
     void remove() {
         queued.remove();
     }
--- a/src/main/java/dockshed/fleet/GossipNode.java
+++ b/src/main/java/dockshed/fleet/GossipNode.java
@@ -639,9 +639,9 @@
         } else if (event instanceof LocalEvent.HealthReport report) {
             int health = report.up() ? HealthProbeSchedule.UP : HealthProbeSchedule.DOWN;
             entries.put(now, VersionedEntry.HEALTH_REPORT, report.server(), new byte[] {(byte) health});
-        } else if (event instanceof LocalEvent.StormMessage note) {
-            if (note.bytes().length <= VersionedEntry.MAX_VALUE_BYTES) {
-                entries.put(now, VersionedEntry.STORM_MESSAGE, 0, note.bytes());
+        } else if (event instanceof LocalEvent.StormMessage message) {
+            if (message.bytes().length <= VersionedEntry.MAX_VALUE_BYTES) {
+                entries.put(now, VersionedEntry.STORM_MESSAGE, 0, message.bytes());
             }
         } else if (event instanceof LocalEvent.Leaving) {
             membership.leave(now, (to, items) -> send(now, to, items, sink));
@@ -769,13 +769,13 @@
     }
 
     private Map<Integer, VersionedEntry> stormMessages() {
-        Map<Integer, VersionedEntry> notes = new HashMap<>();
-        for (VersionedEntry note : entries.ofKind(VersionedEntry.STORM_MESSAGE)) {
-            if (note.owner() != me) {
-                notes.put(note.owner(), note);
+        Map<Integer, VersionedEntry> messages = new HashMap<>();
+        for (VersionedEntry message : entries.ofKind(VersionedEntry.STORM_MESSAGE)) {
+            if (message.owner() != me) {
+                messages.put(message.owner(), message);
             }
         }
-        return Map.copyOf(notes);
+        return Map.copyOf(messages);
     }
 
     private double orUnshared(double share) {
--- a/src/main/java/dockshed/fleet/LeaseHolder.java
+++ b/src/main/java/dockshed/fleet/LeaseHolder.java
@@ -35,6 +35,7 @@
         demand = wanted;
     }
 
+    /** This broker's demand for each resource, per second. */
     ResourceAmounts demand() {
         return demand;
     }
@@ -48,6 +49,7 @@
         return now < heldUntil;
     }
 
+    /** When the latest lease ends or ended, in microseconds. */
     long leasedUntil() {
         return heldUntil;
     }
--- a/src/main/java/dockshed/fleet/LeaseVoter.java
+++ b/src/main/java/dockshed/fleet/LeaseVoter.java
@@ -25,6 +25,7 @@
 
     private long votedUntil;
 
+    /** Creates a voter that does not vote before a term has passed. */
     LeaseVoter(int me, long now) {
         this.me = me;
         votedUntil = now + OWN_VOTE_TERM_US;
--- a/src/main/java/dockshed/fleet/Member.java
+++ b/src/main/java/dockshed/fleet/Member.java
@@ -40,6 +40,7 @@
     /** Datagrams that it may send before further ones are discarded. */
     double tokens = Membership.MAX_DATAGRAM_BURST;
 
+    /** When {@link #tokens} was last refilled. */
     long tokensAt;
     /** Until then its reports about other members are ignored. */
     long distrustedUntil = Long.MIN_VALUE;
--- a/src/main/java/dockshed/fleet/Membership.java
+++ b/src/main/java/dockshed/fleet/Membership.java
@@ -79,7 +79,9 @@
         void send(int to, List<Item> items);
     }
 
+    /** This broker's number. */
     final int me;
+
     private final Scope scope;
     /** The brokers of the scope, in the order of their numbers. */
     private final Member[] members;
@@ -136,6 +138,7 @@
         return members[number - scope.first()];
     }
 
+    /** The current incarnation of this broker, which refutations increase. */
     long incarnation() {
         return incarnation;
     }
--- a/src/main/java/dockshed/fleet/ResourceAmounts.java
+++ b/src/main/java/dockshed/fleet/ResourceAmounts.java
@@ -6,6 +6,7 @@
 
 /** An amount of each {@link SharedResource}: a demand per second, or shares of 1. */
 record ResourceAmounts(double newSessions, double retries) {
+    /** Nothing of any resource. */
     static final ResourceAmounts NONE = new ResourceAmounts(0, 0);
     /** Encoded length in bytes. */
     static final int BYTES = 4;
@@ -22,6 +23,7 @@
                 amount.applyAsDouble(SharedResource.NEW_SESSIONS), amount.applyAsDouble(SharedResource.RETRIES));
     }
 
+    /** The amount of one resource. */
     double get(SharedResource resource) {
         return resource == SharedResource.NEW_SESSIONS ? newSessions : retries;
     }
--- a/src/main/java/dockshed/fleet/SheddingThreshold.java
+++ b/src/main/java/dockshed/fleet/SheddingThreshold.java
@@ -221,9 +221,9 @@
         return all.get(all.size() / 2);
     }
 
-    /** The priority above which the demand equals {@code room} requests per second. */
-    static int priorityAt(double[] demand, double room) {
-        double left = room;
+    /** The priority above which the demand equals {@code capacity} requests per second. */
+    static int priorityAt(double[] demand, double capacity) {
+        double left = capacity;
         for (int step = PRIORITY_STEPS - 1; step >= 0; step--) {
             if (demand[step] > left) {
                 return (step + 1 << HASH_BITS) - (int) (left / demand[step] * (1 << HASH_BITS));
--- a/src/main/java/dockshed/rollout/ChunkServer.java
+++ b/src/main/java/dockshed/rollout/ChunkServer.java
@@ -34,7 +34,7 @@
     static final long MAX_SLOT_IDLE_US = 700_000;
     /** Microseconds after which a broker loses its slot in any case. */
     static final long MAX_SLOT_TIME_US = 4_000_000;
-    /** Brokers whose rates are tracked, those that asked last. */
+    /** Maximum number of brokers whose rates are tracked; the one tracked for the longest time is evicted first. */
     static final int MAX_TRACKED_BROKERS = 256;
 
     private record Slot(long since, long usedAt) {}
--- a/src/main/java/dockshed/rollout/Download.java
+++ b/src/main/java/dockshed/rollout/Download.java
@@ -27,12 +27,12 @@
      */
     static final long MAX_SOURCE_TIME_US = 4_000_000;
     /**
-     * Maximum pause before another source is asked after one was busy or did not have the content, in microseconds;
-     * doubled each time.
+     * Initial pause before another source is asked after one was busy or did not have the content, in microseconds;
+     * each pause is between half and all of it, and it is doubled each time.
      */
-    static final long MIN_PAUSE_US = 120_000;
+    static final long INITIAL_PAUSE_US = 120_000;
 
-    /** Upper limit of that pause, in microseconds. */
+    /** Upper limit of the pause, in microseconds. */
     static final long MAX_PAUSE_US = 500_000;
     /** After this many microseconds without a chunk the download may be replaced by another one. */
     static final long STALL_THRESHOLD_US = 500_000;
@@ -66,13 +66,19 @@
     private long sourceSince;
     private long nextActionAt;
     private long progressAt;
-    private long pause = MIN_PAUSE_US;
-
-    Download(NodeContext context, long now, ConfigurationId id, Sources sources, DigestMismatchListener blame) {
+    private long pause = INITIAL_PAUSE_US;
+
+    /** Starts the download and sends the first request. */
+    Download(
+            NodeContext context,
+            long now,
+            ConfigurationId id,
+            Sources sources,
+            DigestMismatchListener mismatchListener) {
         this.context = context;
         this.id = id;
         this.sources = sources;
-        this.mismatchListener = blame;
+        this.mismatchListener = mismatchListener;
         startedAt = now;
         progressAt = now;
         nextActionAt = now;
@@ -172,7 +178,7 @@
         contributors.add(from);
         receivedChunks++;
         progressAt = now;
-        pause = MIN_PAUSE_US;
+        pause = INITIAL_PAUSE_US;
         if (missing().isEmpty()) {
             return assemble(now);
         }
--- a/src/main/java/dockshed/rollout/Learner.java
+++ b/src/main/java/dockshed/rollout/Learner.java
@@ -25,8 +25,11 @@
      * Maximum delay of the first request, in microseconds; all brokers are notified of a change at about the same time.
      */
     static final long MAX_FIRST_REQUEST_DELAY_US = 1_000_000;
-    /** First pause after a round without a result, in microseconds; doubled each time. */
-    static final long MIN_RETRY_PAUSE_US = 300_000;
+    /**
+     * Initial pause after a round without a result, in microseconds; each pause is between half and all of it, and it
+     * is doubled each time.
+     */
+    static final long INITIAL_RETRY_PAUSE_US = 300_000;
 
     /** Longest pause while another broker announces a higher version, in microseconds. */
     static final long MAX_RETRY_PAUSE_US = 2_000_000;
@@ -47,15 +50,15 @@
     private Configuration unsaved; // in force, but not saved yet
     private long saveRetryAt;
     private long nextRoundAt;
-    private long pause = MIN_RETRY_PAUSE_US;
+    private long pause = INITIAL_RETRY_PAUSE_US;
     private long newerKnownSince = Long.MIN_VALUE;
 
     Learner(NodeContext context, SourceTable sources, long now) {
         this.context = context;
         this.sources = sources;
         loadInForce(now);
-        nextRoundAt = now
-                + context.jitter(MAX_FIRST_REQUEST_DELAY_US); // there may be a change from while this broker was down
+        // There may have been a change while this broker was down.
+        nextRoundAt = now + context.jitter(MAX_FIRST_REQUEST_DELAY_US);
     }
 
     private void loadInForce(long now) {
@@ -70,10 +73,12 @@
         }
     }
 
+    /** The configuration in force; null: none. */
     ConfigurationId inForceId() {
         return inForce == null ? null : inForce.id();
     }
 
+    /** The highest configuration that this program could not use; null: none. */
     ConfigurationId refusedId() {
         return refused;
     }
@@ -208,7 +213,7 @@
         }
         ConfigurationId chosen = round.chosenAbove(highestHandled());
         if (chosen != null) {
-            pause = MIN_RETRY_PAUSE_US;
+            pause = INITIAL_RETRY_PAUSE_US;
             fetch(now, chosen);
         } else if (round.votingVoters() >= context.settings().majority()) {
             noNewerVersionChosen(now);
@@ -228,7 +233,7 @@
             round = null;
             newerKnownSince = Long.MIN_VALUE;
             nextRoundAt = Long.MAX_VALUE;
-            pause = MIN_RETRY_PAUSE_US;
+            pause = INITIAL_RETRY_PAUSE_US;
         }
         // Otherwise wait for the other voters' answers until the round is over.
     }
@@ -277,12 +282,13 @@
 
     /** Handles a chunk; ignored unless it belongs to the download in progress. */
     void chunkReceived(long now, int from, Chunk chunk) {
-        Configuration whole = download == null ? null : download.chunkReceived(now, from, chunk);
-        if (whole != null) {
-            adopt(now, whole);
+        Configuration complete = download == null ? null : download.chunkReceived(now, from, chunk);
+        if (complete != null) {
+            adopt(now, complete);
         }
     }
 
+    /** Handles a refusal of a request for chunks; ignored unless it belongs to the download in progress. */
     void unavailableReceived(long now, int from, Unavailable message) {
         if (download != null) {
             download.unavailableReceived(now, from, message);
--- a/src/main/java/dockshed/rollout/Proposer.java
+++ b/src/main/java/dockshed/rollout/Proposer.java
@@ -50,10 +50,10 @@
     private long highestReported; // highest version that any voter ever reported to this broker
     private long deadline;
 
-    Proposer(NodeContext context, Voter voter, ChosenListener whenChosen) {
+    Proposer(NodeContext context, Voter voter, ChosenListener chosenListener) {
         this.context = context;
         this.voter = voter;
-        this.chosenListener = whenChosen;
+        this.chosenListener = chosenListener;
     }
 
     /** Starts a proposal; a {@link RolloutEvent.ProposalEnded} reports how it ended. */
@@ -94,10 +94,10 @@
 
     private void askVoter(long now, int to, int number) {
         long above = configuration.version() - 1;
-        RolloutMessage question = stage == Stage.CHECKING
+        RolloutMessage request = stage == Stage.CHECKING
                 ? new ReportRequest(number, above)
                 : new Proposal(number, above, configuration.id());
-        context.sender().send(now, to, question);
+        context.sender().send(now, to, request);
     }
 
     /** When {@link #tick} is due; Long.MAX_VALUE while nothing is proposed. */
@@ -190,6 +190,7 @@
         }
     }
 
+    /** A condition on a voter's report. */
     private interface ReportCondition {
         boolean test(Report report);
     }
@@ -206,8 +207,8 @@
     }
 
     /** Whether the voters whose reports meet the condition leave too few for a majority. */
-    private boolean majorityImpossible(ReportCondition obstacle) {
-        long against = round.reports().values().stream().filter(obstacle::test).count();
+    private boolean majorityImpossible(ReportCondition condition) {
+        long against = round.reports().values().stream().filter(condition::test).count();
         return context.settings().voters().size() - against < context.settings().majority();
     }
 
--- a/src/main/java/dockshed/rollout/RolloutNode.java
+++ b/src/main/java/dockshed/rollout/RolloutNode.java
@@ -38,7 +38,9 @@
 
     /** Requests from all brokers together that are answered at once. */
     static final double REQUEST_BURST = 600;
-    /** Brokers whose request rates are tracked, those that asked last. */
+    /**
+     * Maximum number of brokers whose request rates are tracked; the one tracked for the longest time is evicted first.
+     */
     static final int MAX_TRACKED_BROKERS = 256;
 
     private final RolloutSettings settings;
--- a/src/main/java/dockshed/rollout/SourceTable.java
+++ b/src/main/java/dockshed/rollout/SourceTable.java
@@ -31,6 +31,7 @@
         received.remove(broker);
     }
 
+    /** Whether a broker is ignored for now. */
     boolean isAvoided(long now, int broker) {
         return avoidedUntil.getOrDefault(broker, Long.MIN_VALUE) > now;
     }
--- a/src/main/java/dockshed/rollout/TokenBucket.java
+++ b/src/main/java/dockshed/rollout/TokenBucket.java
@@ -7,6 +7,7 @@
     private double tokens;
     private long refilledAt;
 
+    /** Creates a full bucket of {@code burst} tokens, refilled with {@code perSecond} tokens per second. */
     TokenBucket(long now, double perSecond, double burst) {
         this.perSecond = perSecond;
         this.burst = burst;
--- a/src/main/java/dockshed/rollout/Voter.java
+++ b/src/main/java/dockshed/rollout/Voter.java
@@ -17,7 +17,7 @@
  * <p>Why two contents of one version are never both counted as chosen:
  * <ol>
  * <li>A voter answers with a vote only once its record of the vote is durable, and its record allows one vote per
- * version: {@link #vote} is not reached for any version up to the highest one it voted for.
+ * version: {@link #proposalReceived} refuses every version up to the highest one it voted for.
  * <li>The voters are the same at every broker, so any two majorities have a voter in common. As long as no voter
  * forgets its votes, that voter would have voted for both contents, which 1 excludes.
  * <li>A voter whose record is missing or unusable does not know its votes. It abstains ({@link VoterPhase#RECOVERING})
@@ -81,9 +81,10 @@
     private long nextFailureEventAt = Long.MIN_VALUE;
     private final BoundedMap<Integer, Long> pausedUntil = new BoundedMap<>(RolloutSettings.MAX_VOTERS);
 
-    Voter(NodeContext context, long now, InForceSource inForce) {
+    /** Starts with the stored record, or recovers if there is none that can be used. */
+    Voter(NodeContext context, long now, InForceSource inForceSource) {
         this.context = context;
-        this.inForceSource = inForce;
+        this.inForceSource = inForceSource;
         startedAt = now;
         String reason = load();
         if (reason != null) {
@@ -280,13 +281,14 @@
 
     /** Handles a chunk; ignored unless it belongs to the download in progress. */
     void chunkReceived(long now, int from, Chunk chunk) {
-        Configuration whole = download == null ? null : download.chunkReceived(now, from, chunk);
-        if (whole != null) {
+        Configuration complete = download == null ? null : download.chunkReceived(now, from, chunk);
+        if (complete != null) {
             download = null;
-            contentFetched(now, whole);
+            contentFetched(now, complete);
         }
     }
 
+    /** Handles a refusal of a request for chunks; ignored unless it belongs to the download in progress. */
     void unavailableReceived(long now, int from, Unavailable message) {
         if (download != null) {
             download.unavailableReceived(now, from, message);
@@ -306,13 +308,13 @@
         return fetched != null && fetched.id().equals(id) ? fetched : null;
     }
 
-    private void contentFetched(long now, Configuration whole) {
-        if (context.applier().validate(whole).isPresent()) {
-            invalid = whole.id();
+    private void contentFetched(long now, Configuration complete) {
+        if (context.applier().validate(complete).isPresent()) {
+            invalid = complete.id();
             sendReport(now, proposer, fetchingProposal.round(), fetchingProposal.above(), true);
             return;
         }
-        fetched = whole;
+        fetched = complete;
         proposalReceived(now, proposer, fetchingProposal);
     }
 
--- a/src/main/java/dockshed/rollout/VoterRound.java
+++ b/src/main/java/dockshed/rollout/VoterRound.java
@@ -34,15 +34,15 @@
      * Starts a round and sends the request to {@code first} voters, chosen at random; the others are asked if those do
      * not answer.
      */
-    VoterRound(RolloutSettings settings, SplittableRandom random, long now, int first, VoterRequest question) {
+    VoterRound(RolloutSettings settings, SplittableRandom random, long now, int first, VoterRequest request) {
         this.settings = settings;
-        this.request = question;
+        this.request = request;
         number = random.nextInt();
         startedAt = now;
         retryAt = now + retryDelay;
         int offset = random.nextInt(settings.voters().size());
         for (int i = 0; i < Math.min(first, settings.voters().size()); i++) {
-            question.ask(
+            request.ask(
                     now, settings.voters().get((offset + i) % settings.voters().size()), number);
         }
     }
--- a/src/main/java/dockshed/topology/InvalidZonesException.java
+++ b/src/main/java/dockshed/topology/InvalidZonesException.java
@@ -8,6 +8,7 @@
     private final String expected;
     private final String got;
 
+    /** Names the zone by its index, and what was expected and found. */
     InvalidZonesException(int index, String expected, String got) {
         super("zone " + index + ": expected " + expected + ", got " + got);
         this.index = index;
