--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -238,8 +238,8 @@
             reloadNameServer();
         } else if (rolloutConfig.file() == null) {
             LOG.error(
-                    "configuration not taken, the old one stands: why=section rollout: file: expected the path of a file,"
-                            + " got nothing");
+                    "configuration rejected, the previous one stays active: why=section rollout: file: expected the path"
+                            + " of a file, got nothing");
         } else {
             rolloutHost.propose(rolloutConfig.file());
         }
@@ -254,7 +254,7 @@
             }
             net.loop().execute(() -> changeNameServer(address));
         } catch (RuntimeException e) { // a faulty file must not affect the configuration in use
-            LOG.error("configuration not taken, the old one stands: why={}", e.getMessage());
+            LOG.error("configuration rejected, the previous one stays active: why={}", e.getMessage());
         }
     }
 
--- a/src/test/java/dockshed/ProgramTest.java
+++ b/src/test/java/dockshed/ProgramTest.java
@@ -164,7 +164,7 @@
             int port = port(awaitLine("serving:"));
             Files.writeString(file, "{\"names\": 7");
             sendHangUp();
-            assertTrue(awaitLine("configuration not taken").contains("old one stands"));
+            assertTrue(awaitLine("configuration rejected").contains("previous one stays active"));
             awaitQuery(first);
             Files.writeString(file, named.replace("PORT", "" + second.getLocalPort()));
             sendHangUp();
--- a/src/test/java/dockshed/rig/RolloutProcessTest.java
+++ b/src/test/java/dockshed/rig/RolloutProcessTest.java
@@ -84,8 +84,8 @@
                     .awaitLine(
                             position,
                             loggedLine -> loggedLine.matches(
-                                    ".*configuration (chosen: version=|unchanged: version=|not taken).*"));
-            if (!line.contains("configuration not taken")) {
+                                    ".*configuration (chosen: version=|unchanged: version=|rejected).*"));
+            if (!line.contains("configuration rejected")) {
                 return version;
             }
             Matcher expected = EXPECTED_VERSION.matcher(line);
@@ -154,7 +154,7 @@
             int positionOf1 = broker(1).logPosition();
             propose(0, text(version + 1, 2001));
             propose(1, text(version + 1, 2002));
-            String outcome = "configuration (chosen: version=|not taken, the old one stands: why=).*";
+            String outcome = "configuration (chosen: version=|rejected, the previous one stays active: why=).*";
             broker(0).awaitLine(positionOf0, line -> line.matches(".*" + outcome));
             broker(1).awaitLine(positionOf1, line -> line.matches(".*" + outcome));
             version = proposeUntilChosen(2, version + 2, 2003);
