--- a/src/test/java/dockshed/capacity/CapacityCells.java
+++ b/src/test/java/dockshed/capacity/CapacityCells.java
@@ -43,14 +43,14 @@
 
     private static void addMeasured(Map<String, Cell> cells, Resolved resolved) {
         cells.put(CapacityRows.VALUE, value(resolved));
-        cells.put(CapacityRows.MARGIN, brief(resolved.margin()));
+        cells.put(CapacityRows.MARGIN, twoDigits(resolved.margin()));
         cells.put(CapacityRows.R_SQUARED, figure(resolved.rSquared(), CapacityRows.EMPTY));
     }
 
     private void addDerived(Map<String, Cell> cells, CapacityRow.Derived row) {
         Resolved resolved = model.resolve(row);
         cells.put(CapacityRows.VALUE, value(resolved));
-        cells.put(CapacityRows.MARGIN, brief(resolved.margin()));
+        cells.put(CapacityRows.MARGIN, twoDigits(resolved.margin()));
         cells.put(CapacityRows.REMAINS, remains(row, resolved));
         cells.put(CapacityRows.BASIS, basis(resolved.onGuess() || budgetIsOnGuess(row)));
     }
@@ -65,26 +65,26 @@
             cells.put(CapacityRows.VALUE, value(resolved));
             cells.put(CapacityRows.BASIS, basis(resolved.onGuess()));
         } else {
-            cells.put(CapacityRows.VALUE, words("no mechanism"));
-            cells.put(CapacityRows.BASIS, words(CapacityRows.EMPTY));
+            cells.put(CapacityRows.VALUE, text("no mechanism"));
+            cells.put(CapacityRows.BASIS, text(CapacityRows.EMPTY));
         }
     }
 
     /** The budget divided by the value: above 1 there is room, below 1 it is missed. */
     private Cell remains(CapacityRow.Derived row, Resolved resolved) {
         if (row.budget().isEmpty()) {
-            return words(CapacityRows.EMPTY);
+            return text(CapacityRows.EMPTY);
         }
         Resolved budget = model.evaluate(row, row.budget().orElseThrow());
         if (!budget.isMeasured() || !resolved.isMeasured()) {
-            return words(Figure.NOT_MEASURED);
+            return text(Figure.NOT_MEASURED);
         }
-        return brief(OptionalDouble.of(
+        return twoDigits(OptionalDouble.of(
                 budget.value().getAsDouble() / resolved.value().getAsDouble()));
     }
 
     private static Cell basis(boolean onGuess) {
-        return words(onGuess ? ON_A_GUESS : WORKED_OUT);
+        return text(onGuess ? ON_A_GUESS : WORKED_OUT);
     }
 
     private static Cell value(Resolved resolved) {
@@ -92,16 +92,16 @@
     }
 
     private static Cell figure(OptionalDouble number, String otherwise) {
-        return number.isPresent() ? new Cell(Figure.format(number.getAsDouble()), number) : words(otherwise);
+        return number.isPresent() ? new Cell(Figure.format(number.getAsDouble()), number) : text(otherwise);
     }
 
-    private static Cell brief(OptionalDouble number) {
+    private static Cell twoDigits(OptionalDouble number) {
         return number.isPresent()
                 ? new Cell(Figure.formatBriefly(number.getAsDouble()), number)
-                : words(CapacityRows.EMPTY);
+                : text(CapacityRows.EMPTY);
     }
 
-    private static Cell words(String text) {
+    private static Cell text(String text) {
         return new Cell(text, OptionalDouble.empty());
     }
 }
--- a/src/test/java/dockshed/capacity/CapacityCsv.java
+++ b/src/test/java/dockshed/capacity/CapacityCsv.java
@@ -32,7 +32,7 @@
     }
 
     /** More rows than this are no table of measurements. */
-    public static final int MOST_ROWS = 10_000;
+    public static final int MAX_ROWS = 10_000;
 
     private static final String COMMENT = "# ";
     private static final String SEPARATOR = ",";
@@ -42,8 +42,8 @@
     public CapacityCsv {
         requireCommand(name, command);
         requireColumns(name, columns);
-        if (rows.size() > MOST_ROWS) {
-            throw new IllegalArgumentException(name + ": " + rows.size() + " rows, at most " + MOST_ROWS);
+        if (rows.size() > MAX_ROWS) {
+            throw new IllegalArgumentException(name + ": " + rows.size() + " rows, at most " + MAX_ROWS);
         }
         for (Row row : rows) {
             requireRow(name, columns, row);
--- a/src/test/java/dockshed/capacity/CapacityModel.java
+++ b/src/test/java/dockshed/capacity/CapacityModel.java
@@ -20,8 +20,8 @@
 final class CapacityModel {
     private final Map<String, CapacityRow> rows;
     private final Path measurements;
-    private final Map<String, Resolved> known = new HashMap<>();
-    private final Deque<String> underWay = new ArrayDeque<>();
+    private final Map<String, Resolved> resolved = new HashMap<>();
+    private final Deque<String> resolving = new ArrayDeque<>();
 
     /**
      * @param page the page whose rows are computed
@@ -34,16 +34,16 @@
 
     /** The row's value. */
     Resolved resolve(CapacityRow row) {
-        Resolved found = known.get(row.id());
+        Resolved found = resolved.get(row.id());
         if (found == null) {
             found = compute(row);
-            known.put(row.id(), found);
+            resolved.put(row.id(), found);
         }
         return found;
     }
 
     /** What the ranking is sorted by: infinity where nothing serves the need, nothing where it is not measured. */
-    double missOf(CapacityRow.Ranked row) {
+    double shortfallOf(CapacityRow.Ranked row) {
         return row.hasMechanism() ? resolve(row).value().orElse(0) : Double.POSITIVE_INFINITY;
     }
 
@@ -81,10 +81,10 @@
     }
 
     private Resolved compute(CapacityRow row) {
-        if (underWay.contains(row.id())) {
-            throw PageFaultException.of(row, "the formula needs its own result, through " + underWay);
+        if (resolving.contains(row.id())) {
+            throw PageFaultException.of(row, "the formula needs its own result, through " + resolving);
         }
-        underWay.push(row.id());
+        resolving.push(row.id());
         try {
             if (row instanceof CapacityRow.Target target) {
                 return Resolved.exact(Figure.exact(row, target.value()), false);
@@ -103,7 +103,7 @@
             }
             return rank((CapacityRow.Ranked) row);
         } finally {
-            underWay.pop();
+            resolving.pop();
         }
     }
 
--- a/src/test/java/dockshed/capacity/CapacityPage.java
+++ b/src/test/java/dockshed/capacity/CapacityPage.java
@@ -41,7 +41,7 @@
                     PageTable table = PageTable.parse(
                             first + 1,
                             lines.subList(first, first + block.getSourceSpans().size()));
-                    if (CapacityRows.isOfRows(table)) {
+                    if (CapacityRows.hasIds(table)) {
                         tables.add(table);
                         blank(prose, block);
                     }
--- a/src/test/java/dockshed/capacity/CapacityPageCheck.java
+++ b/src/test/java/dockshed/capacity/CapacityPageCheck.java
@@ -52,7 +52,7 @@
         for (ProseFigure figure : ProseFigure.in(page.prose())) {
             collect(() -> checkProse(figure));
         }
-        faults.addAll(ProseFigure.bareIn(page.prose()));
+        faults.addAll(ProseFigure.faultsOfBareFigures(page.prose()));
         return faults;
     }
 
@@ -116,7 +116,7 @@
             if (row.rank() != rank) {
                 throw PageFaultException.of(row, "rank " + row.rank() + " stands at place " + rank);
             }
-            double miss = model.missOf(row);
+            double miss = model.shortfallOf(row);
             if (miss > last) {
                 throw PageFaultException.of(row, "misses by " + Figure.format(miss) + ", more than the row before");
             }
--- a/src/test/java/dockshed/capacity/CapacityPageWriter.java
+++ b/src/test/java/dockshed/capacity/CapacityPageWriter.java
@@ -67,7 +67,7 @@
         List<PageRow> rows = new ArrayList<>(table.rows());
         boolean ranking = table.has(CapacityRows.RANK);
         if (ranking) {
-            rows.sort(Comparator.comparingDouble((PageRow row) -> -miss(row, page, model)));
+            rows.sort(Comparator.comparingDouble((PageRow row) -> -shortfall(row, page, model)));
         }
         int first = table.rows().isEmpty() ? 0 : table.rows().get(0).line() - 1;
         for (int i = 0; i < rows.size(); i++) {
@@ -76,8 +76,8 @@
         }
     }
 
-    private static double miss(PageRow row, CapacityPage page, CapacityModel model) {
-        return model.missOf((CapacityRow.Ranked) page.rows().get(row.code(CapacityRows.ID)));
+    private static double shortfall(PageRow row, CapacityPage page, CapacityModel model) {
+        return model.shortfallOf((CapacityRow.Ranked) page.rows().get(row.code(CapacityRows.ID)));
     }
 
     private static String figure(CapacityPage page, CapacityModel model, MatchResult found) {
--- a/src/test/java/dockshed/capacity/CapacityRows.java
+++ b/src/test/java/dockshed/capacity/CapacityRows.java
@@ -25,7 +25,7 @@
     private CapacityRows() {}
 
     /** Whether the rows of the table have ids. */
-    static boolean isOfRows(PageTable table) {
+    static boolean hasIds(PageTable table) {
         return table.has(ID);
     }
 
--- a/src/test/java/dockshed/capacity/ClientConnection.java
+++ b/src/test/java/dockshed/capacity/ClientConnection.java
@@ -13,7 +13,7 @@
 
     /** What the client hears, on its loop's thread. */
     interface Listener {
-        void up(ClientConnection connection);
+        void connected(ClientConnection connection);
 
         void message(ClientConnection connection, HttpStyleMessage message);
 
@@ -21,11 +21,11 @@
         void closed(ClientConnection connection);
     }
 
-    private static final int MESSAGE_LIMIT = 1 << 16;
-    private static final int CONNECT_MILLIS = 10_000;
+    private static final int MAX_MESSAGE_BYTES = 1 << 16;
+    private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
 
     private final Listener listener;
-    private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MESSAGE_LIMIT);
+    private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_MESSAGE_BYTES);
     private Channel channel;
 
     private ClientConnection(Listener listener) {
@@ -35,7 +35,7 @@
     /** Begins to connect. */
     static ClientConnection open(Net net, InetSocketAddress to, Listener listener) {
         ClientConnection connection = new ClientConnection(listener);
-        net.whenDone(net.connect(to, CONNECT_MILLIS, () -> connection), done -> {
+        net.whenDone(net.connect(to, CONNECT_TIMEOUT_MILLIS, () -> connection), done -> {
             if (!done.isSuccess()) {
                 listener.closed(connection);
             }
@@ -56,7 +56,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        listener.up(this);
+        listener.connected(this);
     }
 
     @Override
--- a/src/test/java/dockshed/capacity/ConnectionBench.java
+++ b/src/test/java/dockshed/capacity/ConnectionBench.java
@@ -14,20 +14,20 @@
 public final class ConnectionBench {
 
     private static final String COMMAND = "sh bench/connection.sh";
-    private static final int[] SIZES = {500, 1000, 2000, 3500, 5000, 7000};
-    private static final int[] QUICK_SIZES = {200, 400, 600, 800};
-    private static final int[] RECONNECT_SIZES = {500, 1000, 2000, 3000, 4000};
+    private static final int[] CONNECTION_COUNTS = {500, 1000, 2000, 3500, 5000, 7000};
+    private static final int[] QUICK_CONNECTION_COUNTS = {200, 400, 600, 800};
+    private static final int[] RECONNECT_CONNECTION_COUNTS = {500, 1000, 2000, 3000, 4000};
     /** Descriptors that the broker may open; three eighths of them are viewers'. */
-    private static final int DESCRIPTORS = 20_000;
+    private static final int MAX_DESCRIPTORS = 20_000;
 
     private static final int EDGE_SERVERS = 36;
-    private static final int AT_ONCE = 200;
-    private static final long OPEN_SECONDS = 30;
+    private static final int MAX_CONCURRENT_OPENS = 200;
+    private static final long OPEN_TIMEOUT_SECONDS = 30;
     /** A reconnect that takes longer is ended, and its row says how many were not served. */
-    private static final long RECONNECT_SECONDS = 20;
+    private static final long RECONNECT_TIMEOUT_SECONDS = 20;
 
     /** The broker's own work after the last answer, such as the edge servers' news, is over by then. */
-    private static final long SETTLE_MILLIS = 300;
+    private static final long SETTLING_TIME_MILLIS = 300;
 
     private final Arguments arguments;
     private final Results connections;
@@ -82,29 +82,29 @@
     private void run() throws Exception {
         connections.header();
         for (Kind kind : Kind.values()) {
-            grow(kind, arguments.quick() ? QUICK_SIZES : SIZES);
+            measureGrowth(kind, arguments.quick() ? QUICK_CONNECTION_COUNTS : CONNECTION_COUNTS);
         }
         connections.write();
         reconnects.header();
-        for (int size : arguments.quick() ? QUICK_SIZES : RECONNECT_SIZES) {
-            reconnect(size);
+        for (int size : arguments.quick() ? QUICK_CONNECTION_COUNTS : RECONNECT_CONNECTION_COUNTS) {
+            measureReconnect(size);
         }
         reconnects.write();
-        fits();
+        printFits();
     }
 
     /** One program, measured at each size on the way up. */
-    private void grow(Kind kind, int[] sizes) throws Exception {
+    private void measureGrowth(Kind kind, int[] sizes) throws Exception {
         try (StandInEdgeServers servers = new StandInEdgeServers(EDGE_SERVERS);
-                TargetBroker broker = TargetBroker.withRoom(config(servers));
+                MeasuredBroker broker = MeasuredBroker.withLargeHeap(config(servers));
                 JvmProbe jvm = new JvmProbe(broker.pid());
                 RtspViewers viewers = new RtspViewers(broker.rtsp(), kind)) {
             ProcessFigures process = new ProcessFigures(broker.pid());
             int open = 0;
             for (int size : sizes) {
-                open(viewers, size - open, AT_ONCE, broker);
+                open(viewers, size - open, MAX_CONCURRENT_OPENS, broker);
                 open = size;
-                TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
                 require(viewers.opened() == size, viewers.opened() + " of " + size + " connections are open", broker);
                 require(
                         servers.playing() == (kind == Kind.SESSION ? size : 0),
@@ -124,14 +124,14 @@
     }
 
     /** A program of its own for each size: all its viewers leave at once and as many come at once. */
-    private void reconnect(int size) throws Exception {
+    private void measureReconnect(int size) throws Exception {
         try (StandInEdgeServers servers = new StandInEdgeServers(EDGE_SERVERS);
-                TargetBroker broker = TargetBroker.withRoom(config(servers));
+                MeasuredBroker broker = MeasuredBroker.withLargeHeap(config(servers));
                 JvmProbe jvm = new JvmProbe(broker.pid());
                 RtspViewers viewers = new RtspViewers(broker.rtsp(), Kind.SESSION)) {
             ProcessFigures process = new ProcessFigures(broker.pid());
-            open(viewers, size, AT_ONCE, broker);
-            TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+            open(viewers, size, MAX_CONCURRENT_OPENS, broker);
+            TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
             long heapBefore = jvm.heapAfterCollection();
             long residentBefore = process.residentKb();
             long collections = jvm.collections();
@@ -144,7 +144,7 @@
             jvm.resetPeaks();
             long begin = System.nanoTime();
             viewers.drop();
-            viewers.open(size, size, RECONNECT_SECONDS);
+            viewers.open(size, size, RECONNECT_TIMEOUT_SECONDS);
             double seconds = (System.nanoTime() - begin) / 1e9;
             double processorAfter = process.processorSeconds();
             long allocatedAfter = jvm.loopAllocatedBytes();
@@ -153,7 +153,7 @@
             long collectionsAfter = jvm.collections();
             long collectionMillisAfter = jvm.collectionMillis();
             long committed = jvm.heapCommitted();
-            TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
             reconnects.add(
                     size,
                     heapBefore,
@@ -175,7 +175,7 @@
         }
     }
 
-    private void fits() {
+    private void printFits() {
         for (Kind kind : Kind.values()) {
             String name = kind.name().toLowerCase(Locale.ROOT);
             CapacityCsv rows = connections.table().where("kind", name);
@@ -185,7 +185,7 @@
             }
         }
         CapacityCsv whole = reconnects.table().where("unserved", "0");
-        if (whole.rows().size() < LinearFit.LEAST_POINTS) {
+        if (whole.rows().size() < LinearFit.MIN_POINTS) {
             System.out.println(
                     "fit reconnect: none, all were served at " + whole.rows().size() + " sizes only");
             return;
@@ -210,16 +210,16 @@
         return LinearFit.of(connections, each);
     }
 
-    private static void open(RtspViewers viewers, int count, int atOnce, TargetBroker broker) throws Exception {
-        boolean all = viewers.open(count, atOnce, OPEN_SECONDS);
+    private static void open(RtspViewers viewers, int count, int atOnce, MeasuredBroker broker) throws Exception {
+        boolean all = viewers.open(count, atOnce, OPEN_TIMEOUT_SECONDS);
         require(
                 all,
-                "not all of " + count + " were served within " + OPEN_SECONDS + " s: refused=" + viewers.refused()
-                        + " turned away=" + viewers.turnedAway(),
+                "not all of " + count + " were served within " + OPEN_TIMEOUT_SECONDS + " s: refused="
+                        + viewers.refused() + " turned away=" + viewers.turnedAway(),
                 broker);
     }
 
-    private static void require(boolean holds, String what, TargetBroker broker) {
+    private static void require(boolean holds, String what, MeasuredBroker broker) {
         if (!holds) {
             throw new IllegalStateException(what + "; the broker's last lines: " + broker.lastLines());
         }
@@ -228,7 +228,7 @@
     private static Path config(StandInEdgeServers servers) throws Exception {
         Path file = Files.createTempFile("capacity", ".json");
         file.toFile().deleteOnExit();
-        return Files.writeString(file, TestbedFiles.config(DESCRIPTORS, servers.addresses()));
+        return Files.writeString(file, TestbedFiles.config(MAX_DESCRIPTORS, servers.addresses()));
     }
 
     private static String decimals(double value) {
--- a/src/test/java/dockshed/capacity/ControlCapacity.java
+++ b/src/test/java/dockshed/capacity/ControlCapacity.java
@@ -51,9 +51,9 @@
     /** In place of a delay that was not reached within its limit, or of a figure that was not taken. */
     static final String NONE = "none";
 
-    private static final double USUAL_LOSS = 0.01;
+    private static final double USUAL_LOSS_SHARE = 0.01;
     /** The wanted 460 changes a day. */
-    private static final double USUAL_CHANGES = 460.0 / (24 * 60);
+    private static final double USUAL_CHANGES_PER_MINUTE = 460.0 / (24 * 60);
 
     /** Of a fleet that is run first, for the compiler. */
     private static final int WARM_UP_BROKERS = 25;
@@ -63,7 +63,7 @@
     private ControlCapacity() {}
 
     /** One series of scenarios by name, smallest first. */
-    record Series(String name, String x, List<ControlScenario> scenarios) {}
+    record Series(String name, String xColumn, List<ControlScenario> scenarios) {}
 
     /** Arguments: {@code [--quick] [--append] [SERIES[:SIZE]]...}. */
     public static void main(String[] args) throws IOException {
@@ -77,7 +77,7 @@
         long seed = FIRST_SEED + results.run() - 1;
         List<Series> all = arguments.quick() ? quickSeries(seed) : series(seed);
         ControlDurations durations = arguments.quick() ? ControlDurations.QUICK : ControlDurations.FULL;
-        ControlMeasurement.of(scenario(WARM_UP_BROKERS, USUAL_LOSS, 1, 0, seed), durations);
+        ControlMeasurement.of(scenario(WARM_UP_BROKERS, USUAL_LOSS_SHARE, 1, 0, seed), durations);
         for (Series series : all) {
             for (ControlScenario scenario : series.scenarios()) {
                 if (isWanted(series.name(), scenario.brokers(), wanted)) {
@@ -121,7 +121,7 @@
                 "brokers",
                 "brokers",
                 Arrays.stream(sizes)
-                        .mapToObj(brokers -> scenario(brokers, USUAL_LOSS, 1, 0, seed))
+                        .mapToObj(brokers -> scenario(brokers, USUAL_LOSS_SHARE, 1, 0, seed))
                         .toList());
     }
 
@@ -131,7 +131,7 @@
                 "brokers",
                 Arrays.stream(sizes)
                         .mapToObj(brokers -> new ControlScenario(
-                                ControlMechanism.ZONED, brokers, USUAL_LOSS, USUAL_CHANGES, 0, seed))
+                                ControlMechanism.ZONED, brokers, USUAL_LOSS_SHARE, USUAL_CHANGES_PER_MINUTE, 0, seed))
                         .toList());
     }
 
@@ -149,7 +149,7 @@
                 "changes_at_" + brokers,
                 "changes_per_minute",
                 Arrays.stream(timesUsual)
-                        .mapToObj(times -> scenario(brokers, USUAL_LOSS, times, 0, seed))
+                        .mapToObj(times -> scenario(brokers, USUAL_LOSS_SHARE, times, 0, seed))
                         .toList());
     }
 
@@ -158,13 +158,13 @@
                 "entries_at_" + brokers,
                 "entries_held",
                 Arrays.stream(entries)
-                        .mapToObj(count -> scenario(brokers, USUAL_LOSS, 1, count, seed))
+                        .mapToObj(count -> scenario(brokers, USUAL_LOSS_SHARE, 1, count, seed))
                         .toList());
     }
 
     private static ControlScenario scenario(int brokers, double loss, double timesUsual, int entries, long seed) {
         return new ControlScenario(
-                ControlMechanism.FULL_MESH, brokers, loss, timesUsual * USUAL_CHANGES, entries, seed);
+                ControlMechanism.FULL_MESH, brokers, loss, timesUsual * USUAL_CHANGES_PER_MINUTE, entries, seed);
     }
 
     static Object[] cells(String series, ControlScenario scenario, ControlFigures figures) {
@@ -221,9 +221,9 @@
                 "report_99_median_s",
                 "failure_known_s")) {
             CapacityCsv reached = rows.whereNot(column, NONE);
-            if (reached.rows().size() >= LinearFit.LEAST_POINTS) {
-                System.out.println("fit " + column + " by " + series.x() + " in " + series.name() + ": "
-                        + reached.fit(series.x(), column));
+            if (reached.rows().size() >= LinearFit.MIN_POINTS) {
+                System.out.println("fit " + column + " by " + series.xColumn() + " in " + series.name() + ": "
+                        + reached.fit(series.xColumn(), column));
             }
         }
     }
--- a/src/test/java/dockshed/capacity/ControlCapacityTest.java
+++ b/src/test/java/dockshed/capacity/ControlCapacityTest.java
@@ -10,7 +10,7 @@
 
 /** The control figures: rows have the known columns, and series cover four sizes or more. */
 class ControlCapacityTest {
-    private static final int LEAST_SIZES = 4;
+    private static final int MIN_SIZES = 4;
 
     @Test
     void aRowHasACellForEachColumnAndSaysWhichDelayWasNotReached() {
@@ -46,10 +46,10 @@
     @Test
     void eachSeriesHasFourSizesOrMore() {
         for (ControlCapacity.Series series : ControlCapacity.series(11)) {
-            assertTrue(series.scenarios().size() >= LEAST_SIZES, series.name());
+            assertTrue(series.scenarios().size() >= MIN_SIZES, series.name());
         }
         for (ControlCapacity.Series series : ControlCapacity.quickSeries(11)) {
-            assertTrue(series.scenarios().size() >= LEAST_SIZES, series.name());
+            assertTrue(series.scenarios().size() >= MIN_SIZES, series.name());
         }
     }
 }
--- a/src/test/java/dockshed/capacity/DeliveryBench.java
+++ b/src/test/java/dockshed/capacity/DeliveryBench.java
@@ -15,24 +15,24 @@
 public final class DeliveryBench {
 
     private static final String COMMAND = "sh bench/delivery.sh";
-    private static final int[] PLAYLIST_RATES = {250, 500, 1000, 1500, 2000, 2500, 3000, 4000};
-    private static final int[] NOTE_RATES = {500, 1000, 2000, 4000, 8000, 12000, 16000};
-    private static final int[] QUICK_RATES = {200, 400, 600, 800};
+    private static final int[] PLAYLIST_RATES_PER_SECOND = {250, 500, 1000, 1500, 2000, 2500, 3000, 4000};
+    private static final int[] NOTE_RATES_PER_SECOND = {500, 1000, 2000, 4000, 8000, 12000, 16000};
+    private static final int[] QUICK_RATES_PER_SECOND = {200, 400, 600, 800};
     private static final double PLAYLIST_SECONDS = 3;
     private static final double NOTE_SECONDS = 1;
-    private static final int WARM_UP_RATE = 500;
+    private static final int WARM_UP_RATE_PER_SECOND = 500;
     private static final double WARM_UP_SECONDS = 3;
-    private static final int DESCRIPTORS = 20_000;
+    private static final int MAX_DESCRIPTORS = 20_000;
     private static final int EDGE_SERVERS = 36;
     private static final int PLAYERS = 500;
     private static final int NOTE_CONNECTIONS = 200;
-    private static final long READY_SECONDS = 30;
+    private static final long READY_TIMEOUT_SECONDS = 30;
     /** After the last was due: what has not come by then is lost. */
-    private static final long REST_SECONDS = 3;
+    private static final long LATE_DELIVERY_TIMEOUT_SECONDS = 3;
     /** Between steps: the time that is left of what was begun before. */
-    private static final long SETTLE_MILLIS = 300;
+    private static final long SETTLING_TIME_MILLIS = 300;
 
-    private static final double LIMIT_MS = 200;
+    private static final double P99_LIMIT_MS = 200;
 
     private final Arguments arguments;
     private final int core;
@@ -81,15 +81,15 @@
 
     private void playlists() throws Exception {
         try (StandInPlaylistServers servers = new StandInPlaylistServers(EDGE_SERVERS);
-                TargetBroker broker = broker(
-                        TestbedFiles.config(DESCRIPTORS, List.of()),
+                MeasuredBroker broker = broker(
+                        TestbedFiles.config(MAX_DESCRIPTORS, List.of()),
                         "--hls",
                         hls(servers).toString());
                 HlsPlayers players = new HlsPlayers(broker.hls(), PLAYERS)) {
-            require(players.awaitReady(READY_SECONDS), "not all players have a session", broker);
+            require(players.awaitReady(READY_TIMEOUT_SECONDS), "not all players have a session", broker);
             ProcessFigures process = new ProcessFigures(broker.pid());
-            playlistStep(new OpenLoop(WARM_UP_RATE, WARM_UP_SECONDS), players, process);
-            for (int rate : arguments.quick() ? QUICK_RATES : PLAYLIST_RATES) {
+            playlistStep(new OpenLoop(WARM_UP_RATE_PER_SECOND, WARM_UP_SECONDS), players, process);
+            for (int rate : arguments.quick() ? QUICK_RATES_PER_SECOND : PLAYLIST_RATES_PER_SECOND) {
                 OpenLoop load = new OpenLoop(rate, PLAYLIST_SECONDS);
                 Step step = playlistStep(load, players, process);
                 add("playlist", rate, load, step);
@@ -98,22 +98,22 @@
     }
 
     private static Step playlistStep(OpenLoop load, HlsPlayers players, ProcessFigures process) throws Exception {
-        players.use(load);
+        players.setLoad(load);
         double before = process.processorSeconds();
         load.send(players::fetch);
-        double seconds = load.awaitAll(REST_SECONDS);
+        double seconds = load.awaitAll(LATE_DELIVERY_TIMEOUT_SECONDS);
         Step step = new Step(seconds, process.processorSeconds() - before);
-        TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
         return step;
     }
 
     private void notes() throws Exception {
         try (StandInEdgeServers servers = new StandInEdgeServers(EDGE_SERVERS);
-                TargetBroker broker = broker(TestbedFiles.config(DESCRIPTORS, servers.addresses()));
-                NotedViewers viewers = new NotedViewers(broker.rtsp())) {
+                MeasuredBroker broker = broker(TestbedFiles.config(MAX_DESCRIPTORS, servers.addresses()));
+                NotifiedViewers viewers = new NotifiedViewers(broker.rtsp())) {
             ProcessFigures process = new ProcessFigures(broker.pid());
-            noteStep(new OpenLoop(WARM_UP_RATE, WARM_UP_SECONDS), servers, viewers, process, broker);
-            for (int rate : arguments.quick() ? QUICK_RATES : NOTE_RATES) {
+            noteStep(new OpenLoop(WARM_UP_RATE_PER_SECOND, WARM_UP_SECONDS), servers, viewers, process, broker);
+            for (int rate : arguments.quick() ? QUICK_RATES_PER_SECOND : NOTE_RATES_PER_SECOND) {
                 OpenLoop load = new OpenLoop(rate, NOTE_SECONDS);
                 Step step = noteStep(load, servers, viewers, process, broker);
                 add("note", rate, load, step);
@@ -124,19 +124,19 @@
     private static Step noteStep(
             OpenLoop load,
             StandInEdgeServers servers,
-            NotedViewers viewers,
+            NotifiedViewers viewers,
             ProcessFigures process,
-            TargetBroker broker)
+            MeasuredBroker broker)
             throws Exception {
-        List<String> sessions = viewers.setUp(load, NOTE_CONNECTIONS, READY_SECONDS);
+        List<String> sessions = viewers.setUp(load, NOTE_CONNECTIONS, READY_TIMEOUT_SECONDS);
         require(
                 sessions != null,
                 "not all of " + load.count() + " sessions were set up, refused=" + viewers.refused(),
                 broker);
-        TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
         double before = process.processorSeconds();
         load.send(delivery -> servers.end(sessions.get(delivery)));
-        double seconds = load.awaitAll(REST_SECONDS);
+        double seconds = load.awaitAll(LATE_DELIVERY_TIMEOUT_SECONDS);
         return new Step(seconds, process.processorSeconds() - before);
     }
 
@@ -159,7 +159,7 @@
                 decimals(times.p99Ms()),
                 decimals(times.maxMs()),
                 decimals(times.sentLateMs()),
-                times.p99Ms() <= LIMIT_MS ? "yes" : "no");
+                times.p99Ms() <= P99_LIMIT_MS ? "yes" : "no");
     }
 
     private void report(String kind) {
@@ -186,14 +186,14 @@
     }
 
     private static String fitOf(CapacityCsv rows) {
-        return rows.rows().size() < LinearFit.LEAST_POINTS
+        return rows.rows().size() < LinearFit.MIN_POINTS
                 ? "none, " + rows.rows().size() + " rates only"
                 : rows.fit("rate_delivered", "cores").toString();
     }
 
-    private TargetBroker broker(String config, String... arguments) throws Exception {
-        RunLine command = TargetBroker.runLine().plus(arguments);
-        return new TargetBroker(
+    private MeasuredBroker broker(String config, String... arguments) throws Exception {
+        RunLine command = MeasuredBroker.runLine().plus(arguments);
+        return new MeasuredBroker(
                 core < 0 ? command.plusOption("-XX:ActiveProcessorCount=1") : command.onCore(core), file(config));
     }
 
@@ -207,7 +207,7 @@
         return Files.writeString(file, text);
     }
 
-    private static void require(boolean holds, String what, TargetBroker broker) {
+    private static void require(boolean holds, String what, MeasuredBroker broker) {
         if (!holds) {
             throw new IllegalStateException(what + "; the broker's last lines: " + broker.lastLines());
         }
--- a/src/test/java/dockshed/capacity/Figure.java
+++ b/src/test/java/dockshed/capacity/Figure.java
@@ -19,20 +19,20 @@
     static final String FORM = "-?\\d[\\d,]*(?:\\.\\d+)?";
 
     private static final Pattern PATTERN = Pattern.compile(FORM);
-    private static final int FEWEST_DIGITS = 2;
-    private static final int MOST_DIGITS = 3;
-    private static final double LEAST_GROUPED = 1000;
+    private static final int MIN_SIGNIFICANT_DIGITS = 2;
+    private static final int MAX_SIGNIFICANT_DIGITS = 3;
+    private static final double MIN_GROUPED_VALUE = 1000;
 
     private Figure() {}
 
     /** The figure to three significant digits. */
     static String format(double value) {
-        return format(value, MOST_DIGITS);
+        return format(value, MAX_SIGNIFICANT_DIGITS);
     }
 
     /** The figure to two significant digits, as margins and factors are written. */
     static String formatBriefly(double value) {
-        return format(value, FEWEST_DIGITS);
+        return format(value, MIN_SIGNIFICANT_DIGITS);
     }
 
     /** The exact number that a cell of a target, a constant or a guess holds. */
@@ -50,10 +50,10 @@
                 && (same(written.getAsDouble(), value)
                         || same(
                                 written.getAsDouble(),
-                                rounded(value, FEWEST_DIGITS).doubleValue())
+                                rounded(value, MIN_SIGNIFICANT_DIGITS).doubleValue())
                         || same(
                                 written.getAsDouble(),
-                                rounded(value, MOST_DIGITS).doubleValue()));
+                                rounded(value, MAX_SIGNIFICANT_DIGITS).doubleValue()));
     }
 
     private static OptionalDouble parse(String text) {
@@ -68,7 +68,7 @@
             return NOT_REACHED;
         }
         BigDecimal rounded = rounded(value, digits);
-        if (rounded.abs().doubleValue() >= LEAST_GROUPED) {
+        if (rounded.abs().doubleValue() >= MIN_GROUPED_VALUE) {
             return new DecimalFormat("#,##0", DecimalFormatSymbols.getInstance(Locale.ROOT)).format(rounded);
         }
         return rounded.toPlainString();
--- a/src/test/java/dockshed/capacity/HlsPlayers.java
+++ b/src/test/java/dockshed/capacity/HlsPlayers.java
@@ -14,9 +14,9 @@
 final class HlsPlayers implements AutoCloseable {
 
     /** Fetches that one player may have open; the broker takes 32 on a connection. */
-    private static final int MOST_OPEN = 30;
+    private static final int MAX_OPEN_FETCHES = 30;
 
-    private static final int AGAIN_MILLIS = 500;
+    private static final int RETRY_DELAY_MILLIS = 500;
 
     private final Net net = new Net("players");
     private final List<Player> players = new ArrayList<>();
@@ -40,7 +40,7 @@
     }
 
     /** Deliveries sent from now on are this load's. */
-    void use(OpenLoop current) {
+    void setLoad(OpenLoop current) {
         load = current;
     }
 
@@ -74,7 +74,7 @@
         }
 
         void fetch(OpenLoop its, int delivery) {
-            if (connection == null || open.size() >= MOST_OPEN) {
+            if (connection == null || open.size() >= MAX_OPEN_FETCHES) {
                 return; // counts as lost
             }
             open.add(new Fetch(its, delivery));
@@ -82,14 +82,14 @@
         }
 
         @Override
-        public void up(ClientConnection to) {
+        public void connected(ClientConnection to) {
             to.write(get("/lessons/live/master.m3u8?class=" + TestbedFiles.SESSION_CLASS + "&viewer=v" + number));
         }
 
         @Override
         public void message(ClientConnection from, HttpStyleMessage message) {
             if (request == null) {
-                begin(from, message);
+                startSession(from, message);
                 return;
             }
             Fetch fetch = open.poll();
@@ -98,9 +98,9 @@
             }
         }
 
-        private void begin(ClientConnection from, HttpStyleMessage message) {
+        private void startSession(ClientConnection from, HttpStyleMessage message) {
             if (message.status() != 200) {
-                net.loop().schedule(() -> up(from), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+                net.loop().schedule(() -> connected(from), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
             String media = message.bodyText()
@@ -118,7 +118,7 @@
             connection = null;
             open.clear();
             if (request == null) {
-                net.loop().schedule(this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+                net.loop().schedule(this::connect, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/src/test/java/dockshed/capacity/JvmProbe.java
+++ b/src/test/java/dockshed/capacity/JvmProbe.java
@@ -23,7 +23,7 @@
 public final class JvmProbe implements AutoCloseable {
 
     /** Collections in a row: the first may only find what has references to be cleared. */
-    private static final int COLLECTIONS = 2;
+    private static final int COLLECTIONS_PER_READING = 2;
 
     private final JMXConnector connector;
     private final MBeanServerConnection connection;
@@ -47,7 +47,7 @@
 
     /** Heap in use after full collections, in bytes. */
     public long heapAfterCollection() {
-        for (int time = 0; time < COLLECTIONS; time++) {
+        for (int time = 0; time < COLLECTIONS_PER_READING; time++) {
             memory.gc();
         }
         return memory.getHeapMemoryUsage().getUsed();
--- a/src/test/java/dockshed/capacity/LinearFit.java
+++ b/src/test/java/dockshed/capacity/LinearFit.java
@@ -17,15 +17,15 @@
         double slope, double intercept, double rSquared, double slopeLow, double slopeHigh, int points) {
 
     /** Two points always lie on a line, so an interval needs a third. */
-    public static final int LEAST_POINTS = 3;
+    public static final int MIN_POINTS = 3;
 
-    private static final double SIGNIFICANCE = 0.05;
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
 
     /**
      * Fits a line to the points (x[i], y[i]).
      *
      * @throws IllegalArgumentException if the arrays differ in length, hold fewer than
-     *     {@link #LEAST_POINTS} points or a value that is not finite, or all x are the same
+     *     {@link #MIN_POINTS} points or a value that is not finite, or all x are the same
      */
     public static LinearFit of(double[] x, double[] y) {
         requirePoints(x, y);
@@ -65,8 +65,8 @@
         if (x.length != y.length) {
             throw new IllegalArgumentException("x has " + x.length + " values, y has " + y.length);
         }
-        if (x.length < LEAST_POINTS) {
-            throw new IllegalArgumentException("a fit needs " + LEAST_POINTS + " points, got " + x.length);
+        if (x.length < MIN_POINTS) {
+            throw new IllegalArgumentException("a fit needs " + MIN_POINTS + " points, got " + x.length);
         }
         for (int point = 0; point < x.length; point++) {
             if (!Double.isFinite(x[point]) || !Double.isFinite(y[point])) {
@@ -77,7 +77,7 @@
 
     /** Half the interval's width; zero for points that lie on the line exactly. */
     private static double marginOf(SimpleRegression regression) {
-        double margin = regression.getSlopeConfidenceInterval(SIGNIFICANCE);
+        double margin = regression.getSlopeConfidenceInterval(SIGNIFICANCE_LEVEL);
         return Double.isNaN(margin) ? 0 : margin;
     }
 
--- a/src/test/java/dockshed/capacity/LinearFitTest.java
+++ b/src/test/java/dockshed/capacity/LinearFitTest.java
@@ -8,18 +8,18 @@
 /** The line against data whose fit is known. */
 class LinearFitTest {
 
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     @Test
     void pointsOnALineGiveTheLineWithNoMargin() {
         LinearFit fit = LinearFit.of(new double[] {0, 1, 2, 3}, new double[] {5, 7, 9, 11});
-        assertEquals(2, fit.slope(), EXACT);
-        assertEquals(5, fit.intercept(), EXACT);
-        assertEquals(1, fit.rSquared(), EXACT);
-        assertEquals(2, fit.slopeLow(), EXACT);
-        assertEquals(2, fit.slopeHigh(), EXACT);
+        assertEquals(2, fit.slope(), TOLERANCE);
+        assertEquals(5, fit.intercept(), TOLERANCE);
+        assertEquals(1, fit.rSquared(), TOLERANCE);
+        assertEquals(2, fit.slopeLow(), TOLERANCE);
+        assertEquals(2, fit.slopeHigh(), TOLERANCE);
         assertEquals(4, fit.points());
-        assertEquals(25, fit.at(10), EXACT);
+        assertEquals(25, fit.at(10), TOLERANCE);
     }
 
     /** Anscombe's first quartet: slope 0.5001 with standard error 0.1179, t(0.975, 9) = 2.2622. */
@@ -38,9 +38,9 @@
     @Test
     void aLevelLineHasSlopeZero() {
         LinearFit fit = LinearFit.of(new double[] {1, 2, 3, 4}, new double[] {7, 7, 7, 7});
-        assertEquals(0, fit.slope(), EXACT);
-        assertEquals(7, fit.intercept(), EXACT);
-        assertEquals(1, fit.rSquared(), EXACT);
+        assertEquals(0, fit.slope(), TOLERANCE);
+        assertEquals(7, fit.intercept(), TOLERANCE);
+        assertEquals(1, fit.rSquared(), TOLERANCE);
     }
 
     @Test
--- a/src/test/java/dockshed/capacity/Measure.java
+++ b/src/test/java/dockshed/capacity/Measure.java
@@ -45,9 +45,9 @@
 
     private static final Pattern FORM = Pattern.compile(
             "(slope|intercept|mean|max|min|value) of (\\w+)(?: by (\\w+))?(?: where (\\w+=\\S+(?: and \\w+=\\S+)*))?");
-    private static final double CONFIDENCE_UPPER_TAIL = 0.975;
+    private static final double CONFIDENCE_UPPER_QUANTILE = 0.975;
     /** Cells of a delay that was not reached while it was waited for. */
-    private static final Set<String> NOT_REACHED = Set.of("inf", "none");
+    private static final Set<String> NOT_REACHED_CELLS = Set.of("inf", "none");
 
     /**
      * Reads the page's words.
@@ -89,8 +89,8 @@
         for (Map.Entry<String, String> condition : conditions.entrySet()) {
             kept = kept.where(condition.getKey(), condition.getValue());
         }
-        if (kept.column(column).stream().anyMatch(NOT_REACHED::contains)) {
-            return plain(Double.POSITIVE_INFINITY);
+        if (kept.column(column).stream().anyMatch(NOT_REACHED_CELLS::contains)) {
+            return withoutMargin(Double.POSITIVE_INFINITY);
         }
         double[] numbers = kept.numbers(column);
         if (numbers.length == 0) {
@@ -100,9 +100,9 @@
             case SLOPE -> slope(kept.fit(by.orElseThrow(), column));
             case INTERCEPT -> intercept(kept.fit(by.orElseThrow(), column));
             case MEAN -> mean(numbers);
-            case MAX -> plain(Arrays.stream(numbers).max().orElseThrow());
-            case MIN -> plain(Arrays.stream(numbers).min().orElseThrow());
-            case VALUE -> only(file, numbers);
+            case MAX -> withoutMargin(Arrays.stream(numbers).max().orElseThrow());
+            case MIN -> withoutMargin(Arrays.stream(numbers).min().orElseThrow());
+            case VALUE -> onlyValue(file, numbers);
         };
     }
 
@@ -119,22 +119,22 @@
         SummaryStatistics statistics = new SummaryStatistics();
         Arrays.stream(numbers).forEach(statistics::addValue);
         if (numbers.length == 1) {
-            return plain(statistics.getMean());
+            return withoutMargin(statistics.getMean());
         }
-        double quantile = new TDistribution(numbers.length - 1).inverseCumulativeProbability(CONFIDENCE_UPPER_TAIL);
+        double quantile = new TDistribution(numbers.length - 1).inverseCumulativeProbability(CONFIDENCE_UPPER_QUANTILE);
         double margin = quantile * statistics.getStandardDeviation() / Math.sqrt(numbers.length);
         return new Reading(statistics.getMean(), OptionalDouble.of(margin), OptionalDouble.empty());
     }
 
-    private Reading only(CapacityCsv file, double[] numbers) {
+    private Reading onlyValue(CapacityCsv file, double[] numbers) {
         if (numbers.length != 1) {
             throw new IllegalArgumentException(
                     file.name() + ": " + numbers.length + " rows with " + conditions + ", expected one");
         }
-        return plain(numbers[0]);
+        return withoutMargin(numbers[0]);
     }
 
-    private static Reading plain(double value) {
+    private static Reading withoutMargin(double value) {
         return new Reading(value, OptionalDouble.empty(), OptionalDouble.empty());
     }
 }
--- a/src/test/java/dockshed/capacity/TargetBroker.java
+++ b/src/test/java/dockshed/capacity/MeasuredBroker.java
@@ -13,33 +13,33 @@
 import java.util.regex.Pattern;
 
 /** The built program in a JVM of its own, under measurement; ends with its owner. */
-final class TargetBroker implements AutoCloseable {
+final class MeasuredBroker implements AutoCloseable {
 
-    private static final long START_SECONDS = 30;
-    private static final int LAST_LINES = 20;
-    private static final Pattern LISTENS = Pattern.compile("listen=/?([0-9.]+):([0-9]+)");
+    private static final long START_TIMEOUT_SECONDS = 30;
+    private static final int MAX_LOG_LINES_KEPT = 20;
+    private static final Pattern LISTEN_ADDRESS = Pattern.compile("listen=/?([0-9.]+):([0-9]+)");
 
     private final Process process;
     private final Deque<String> lastLines = new ArrayDeque<>();
     private final CompletableFuture<InetSocketAddress> rtsp = new CompletableFuture<>();
     private final CompletableFuture<InetSocketAddress> hls = new CompletableFuture<>();
-    private final Thread killer = new Thread(this::kill);
+    private final Thread shutdownHook = new Thread(this::kill);
 
     /** Starts the program and waits until it serves. */
-    TargetBroker(RunLine command, Path config) throws Exception {
+    MeasuredBroker(RunLine command, Path config) throws Exception {
         ProcessBuilder builder = new ProcessBuilder(command.words()).redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
         process = builder.start();
-        Runtime.getRuntime().addShutdownHook(killer);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         Thread reader = new Thread(this::readLog, "log of the measured broker");
         reader.setDaemon(true);
         reader.start();
-        rtsp.get(START_SECONDS, TimeUnit.SECONDS);
+        rtsp.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** The same from the deploy file's run line, with room for many connections. */
-    static TargetBroker withRoom(Path config, String... arguments) throws Exception {
-        return new TargetBroker(runLine().plus(arguments), config);
+    static MeasuredBroker withLargeHeap(Path config, String... arguments) throws Exception {
+        return new MeasuredBroker(runLine().plus(arguments), config);
     }
 
     /** The deploy file's run line with a heap and direct memory that many connections do not fill. */
@@ -59,7 +59,7 @@
 
     /** Where the HLS front listens; only for a program started with one. */
     InetSocketAddress hls() throws Exception {
-        return hls.get(START_SECONDS, TimeUnit.SECONDS);
+        return hls.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     boolean alive() {
@@ -76,7 +76,7 @@
     @Override
     public void close() {
         kill();
-        Runtime.getRuntime().removeShutdownHook(killer);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 
     private void kill() {
@@ -86,23 +86,23 @@
     private void readLog() {
         try (BufferedReader in = process.inputReader()) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                keep(line);
-                Matcher listens = LISTENS.matcher(line);
+                keepLine(line);
+                Matcher listens = LISTEN_ADDRESS.matcher(line);
                 if (listens.find()) {
                     InetSocketAddress at = new InetSocketAddress(listens.group(1), Integer.parseInt(listens.group(2)));
                     (line.contains("serving HLS:") ? hls : rtsp).complete(at);
                 }
             }
         } catch (IOException e) {
-            keep("log not read on: " + e.getMessage());
+            keepLine("log not read on: " + e.getMessage());
         }
         rtsp.completeExceptionally(new IllegalStateException("the program ended: " + lastLines()));
     }
 
-    private void keep(String line) {
+    private void keepLine(String line) {
         synchronized (lastLines) {
             lastLines.add(line);
-            if (lastLines.size() > LAST_LINES) {
+            if (lastLines.size() > MAX_LOG_LINES_KEPT) {
                 lastLines.remove();
             }
         }
--- a/src/test/java/dockshed/capacity/NotedViewers.java
+++ b/src/test/java/dockshed/capacity/NotifiedViewers.java
@@ -12,30 +12,30 @@
 import java.util.stream.IntStream;
 
 /** RTSP viewers with some sessions on each connection, who wait for the note that a session is over. */
-final class NotedViewers implements AutoCloseable {
+final class NotifiedViewers implements AutoCloseable {
 
     /** Set-ups that wait for an answer on one connection at a time. */
-    private static final int OPEN_SET_UPS = 4;
+    private static final int MAX_OPEN_SETUPS_PER_CONNECTION = 4;
 
-    private static final int AGAIN_MILLIS = 200;
+    private static final int DEFAULT_RETRY_DELAY_MILLIS = 200;
 
     private final Net net = new Net("noted viewers");
     private final InetSocketAddress broker;
     private final Map<String, Integer> deliveries = new HashMap<>(); // of the loop's thread
     private final AtomicInteger refused = new AtomicInteger();
-    private int named;
+    private int namesUsed;
     private volatile OpenLoop load;
 
-    NotedViewers(InetSocketAddress broker) {
+    NotifiedViewers(InetSocketAddress broker) {
         this.broker = broker;
     }
 
     /** Sets sessions up for a load, one for each delivery; null if they were not all set up in time. */
     List<String> setUp(OpenLoop current, int connections, long seconds) throws InterruptedException {
         load = current;
-        int first = named;
-        named += current.count();
-        List<String> names = IntStream.range(first, named)
+        int first = namesUsed;
+        namesUsed += current.count();
+        List<String> names = IntStream.range(first, namesUsed)
                 .mapToObj(number -> String.format("%016x", number + 1))
                 .toList();
         CountDownLatch ready = new CountDownLatch(names.size());
@@ -66,23 +66,23 @@
     private final class Viewer implements ClientConnection.Listener {
         private final List<String> sessions;
         private final CountDownLatch ready;
-        private int asked;
+        private int setupsSent;
 
         Viewer(List<String> sessions, CountDownLatch ready) {
             this.sessions = sessions;
             this.ready = ready;
         }
 
-        private void ask(ClientConnection to) {
-            if (asked < sessions.size()) {
-                to.write(RtspRequests.setUp(sessions.get(asked++)));
+        private void sendNextSetup(ClientConnection to) {
+            if (setupsSent < sessions.size()) {
+                to.write(RtspRequests.setup(sessions.get(setupsSent++)));
             }
         }
 
         @Override
-        public void up(ClientConnection to) {
-            for (int first = 0; first < OPEN_SET_UPS; first++) {
-                ask(to);
+        public void connected(ClientConnection to) {
+            for (int first = 0; first < MAX_OPEN_SETUPS_PER_CONNECTION; first++) {
+                sendNextSetup(to);
             }
         }
 
@@ -94,14 +94,14 @@
                 if (delivery != null) {
                     load.delivered(delivery);
                 }
-                from.write(RtspRequests.heard(session));
+                from.write(RtspRequests.teardownAnswer(session));
             } else if (message.status() == 200) {
                 ready.countDown();
-                ask(from);
+                sendNextSetup(from);
             } else if (message.status() > 0) {
                 refused.incrementAndGet();
-                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(AGAIN_MILLIS)));
-                net.loop().schedule(() -> from.write(RtspRequests.setUp(session)), wait, TimeUnit.MILLISECONDS);
+                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
+                net.loop().schedule(() -> from.write(RtspRequests.setup(session)), wait, TimeUnit.MILLISECONDS);
             }
         }
 
--- a/src/test/java/dockshed/capacity/OpenLoop.java
+++ b/src/test/java/dockshed/capacity/OpenLoop.java
@@ -13,19 +13,19 @@
 final class OpenLoop {
 
     /** The longest time that is told apart, and what a lost delivery counts. */
-    static final long LONGEST_MICROS = 10_000_000;
+    static final long MAX_RECORDED_MICROS = 10_000_000;
 
-    private static final int DIGITS = 3;
-    private static final long COARSE_NANOS = 100_000;
-    private static final double MEDIAN = 50;
-    private static final double PERCENTILE = 99;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final long SPIN_WAIT_NANOS = 100_000;
+    private static final double MEDIAN_PERCENT = 50;
+    private static final double TAIL_PERCENT = 99;
 
     private final int rate;
     private final int count;
-    private final ConcurrentHistogram micros = new ConcurrentHistogram(LONGEST_MICROS, DIGITS);
-    private long begin;
-    private volatile long lastDelivered;
-    private long latestNanos; // the most that a delivery was sent late
+    private final ConcurrentHistogram micros = new ConcurrentHistogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
+    private long startNanos;
+    private volatile long lastDeliveredNanos;
+    private long maxSendDelayNanos; // the most that a delivery was sent late
 
     OpenLoop(int rate, double seconds) {
         this.rate = rate;
@@ -39,20 +39,20 @@
 
     /** Sends each delivery when it is due; the sender gets its number and says whether it could be sent. */
     void send(IntPredicate sender) {
-        begin = System.nanoTime();
-        lastDelivered = begin;
+        startNanos = System.nanoTime();
+        lastDeliveredNanos = startNanos;
         for (int delivery = 0; delivery < count; delivery++) {
-            awaitTime(dueAt(delivery));
-            latestNanos = Math.max(latestNanos, System.nanoTime() - dueAt(delivery));
+            awaitTime(dueNanos(delivery));
+            maxSendDelayNanos = Math.max(maxSendDelayNanos, System.nanoTime() - dueNanos(delivery));
             sender.test(delivery);
         }
     }
 
     /** A delivery has come to its client; on any thread. */
     void delivered(int delivery) {
-        long taken = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueAt(delivery));
-        micros.recordValue(Math.min(LONGEST_MICROS, Math.max(0, taken)));
-        lastDelivered = System.nanoTime();
+        long taken = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueNanos(delivery));
+        micros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, taken)));
+        lastDeliveredNanos = System.nanoTime();
     }
 
     /** Waits until all have been delivered or so long has passed; returns the seconds from the first due to the last. */
@@ -61,7 +61,7 @@
         while (micros.getTotalCount() < count && System.nanoTime() < until) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
         }
-        return Math.max(0, lastDelivered - begin) / 1e9;
+        return Math.max(0, lastDeliveredNanos - startNanos) / 1e9;
     }
 
     /** The times of all that were due, the lost ones at the longest time. */
@@ -69,15 +69,15 @@
         Histogram whole = micros.copy();
         int delivered = (int) whole.getTotalCount();
         if (delivered < count) {
-            whole.recordValueWithCount(LONGEST_MICROS, count - delivered);
+            whole.recordValueWithCount(MAX_RECORDED_MICROS, count - delivered);
         }
         return new Times(
                 delivered,
                 count - delivered,
-                whole.getValueAtPercentile(MEDIAN) / 1e3,
-                whole.getValueAtPercentile(PERCENTILE) / 1e3,
+                whole.getValueAtPercentile(MEDIAN_PERCENT) / 1e3,
+                whole.getValueAtPercentile(TAIL_PERCENT) / 1e3,
                 whole.getMaxValue() / 1e3,
-                latestNanos / 1e6);
+                maxSendDelayNanos / 1e6);
     }
 
     /**
@@ -92,14 +92,14 @@
      */
     record Times(int delivered, int lost, double medianMs, double p99Ms, double maxMs, double sentLateMs) {}
 
-    private long dueAt(int delivery) {
-        return begin + delivery * 1_000_000_000L / rate;
+    private long dueNanos(int delivery) {
+        return startNanos + delivery * 1_000_000_000L / rate;
     }
 
     private static void awaitTime(long due) {
         for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
-            if (left > COARSE_NANOS) {
-                LockSupport.parkNanos(left - COARSE_NANOS / 2);
+            if (left > SPIN_WAIT_NANOS) {
+                LockSupport.parkNanos(left - SPIN_WAIT_NANOS / 2);
             } else {
                 Thread.onSpinWait();
             }
--- a/src/test/java/dockshed/capacity/OpenLoopTest.java
+++ b/src/test/java/dockshed/capacity/OpenLoopTest.java
@@ -33,7 +33,7 @@
         OpenLoop.Times times = load.times();
         assertEquals(90, times.delivered());
         assertEquals(10, times.lost());
-        assertEquals(OpenLoop.LONGEST_MICROS / 1e3, times.p99Ms(), OpenLoop.LONGEST_MICROS / 1e6);
-        assertEquals(OpenLoop.LONGEST_MICROS / 1e3, times.maxMs(), OpenLoop.LONGEST_MICROS / 1e6);
+        assertEquals(OpenLoop.MAX_RECORDED_MICROS / 1e3, times.p99Ms(), OpenLoop.MAX_RECORDED_MICROS / 1e6);
+        assertEquals(OpenLoop.MAX_RECORDED_MICROS / 1e3, times.maxMs(), OpenLoop.MAX_RECORDED_MICROS / 1e6);
     }
 }
--- a/src/test/java/dockshed/capacity/ProcessFigures.java
+++ b/src/test/java/dockshed/capacity/ProcessFigures.java
@@ -13,9 +13,9 @@
     static final double TICKS_PER_SECOND = 100;
 
     /** Places of utime and stime after the command's closing parenthesis, whose next field is the state. */
-    private static final int USER_TICKS = 11;
+    private static final int USER_TICKS_FIELD = 11;
 
-    private static final int SYSTEM_TICKS = 12;
+    private static final int SYSTEM_TICKS_FIELD = 12;
 
     private final Path folder;
 
@@ -50,10 +50,10 @@
     static double processorSeconds(String stat) {
         int commandEnd = stat.lastIndexOf(')');
         String[] fields = stat.substring(commandEnd + 1).trim().split(" ");
-        if (commandEnd < 0 || fields.length <= SYSTEM_TICKS) {
+        if (commandEnd < 0 || fields.length <= SYSTEM_TICKS_FIELD) {
             throw new IllegalArgumentException("not the text of /proc/PID/stat: " + stat);
         }
-        long ticks = Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]);
+        long ticks = Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]);
         return ticks / TICKS_PER_SECOND;
     }
 
--- a/src/test/java/dockshed/capacity/ProseFigure.java
+++ b/src/test/java/dockshed/capacity/ProseFigure.java
@@ -21,7 +21,7 @@
     private static final Pattern CODE = Pattern.compile("`[^`]*`");
     private static final Pattern LINK_TARGET = Pattern.compile("\\]\\([^)]*\\)");
     /** Numbers that a reader would take for figures: of two digits or more, or with decimals. */
-    private static final Pattern BARE = Pattern.compile("(?<![\\p{L}\\d.,])\\d(?:[\\d,]*\\d|\\.\\d+)");
+    private static final Pattern BARE_FIGURE = Pattern.compile("(?<![\\p{L}\\d.,])\\d(?:[\\d,]*\\d|\\.\\d+)");
 
     /** The figures with ids, in the order of the text. */
     static List<ProseFigure> in(String prose) {
@@ -34,10 +34,10 @@
     }
 
     /** Faults for figures that no id follows. */
-    static List<String> bareIn(String prose) {
+    static List<String> faultsOfBareFigures(String prose) {
         String left = blank(LINK_TARGET, blank(CODE, blank(FORM, prose)));
         List<String> faults = new ArrayList<>();
-        Matcher found = BARE.matcher(left);
+        Matcher found = BARE_FIGURE.matcher(left);
         while (found.find()) {
             faults.add("line " + lineOf(left, found.start()) + ": the figure " + found.group()
                     + " is followed by no id of a row");
--- a/src/test/java/dockshed/capacity/Results.java
+++ b/src/test/java/dockshed/capacity/Results.java
@@ -9,7 +9,7 @@
 /** Rows of one file of a measurement, with those of earlier runs where they are wanted; column one is the run. */
 final class Results {
 
-    private static final Path FOLDER = Path.of("docs/capacity");
+    private static final Path DIRECTORY = Path.of("docs/capacity");
 
     private final String name;
     private final String command;
@@ -19,7 +19,7 @@
     private final boolean writes;
 
     Results(String name, String command, Arguments arguments, List<String> columns) throws IOException {
-        this(FOLDER, name, command, arguments, columns);
+        this(DIRECTORY, name, command, arguments, columns);
     }
 
     Results(Path folder, String name, String command, Arguments arguments, List<String> columns) throws IOException {
@@ -28,12 +28,12 @@
         this.columns = columns;
         writes = !arguments.quick();
         if (arguments.append() && Files.exists(Path.of(this.name))) {
-            earlier(CapacityCsv.read(Path.of(this.name)));
+            addEarlierRuns(CapacityCsv.read(Path.of(this.name)));
         }
         run = lastRun() + 1;
     }
 
-    private void earlier(CapacityCsv before) {
+    private void addEarlierRuns(CapacityCsv before) {
         if (!before.columns().equals(columns)) {
             throw new IllegalArgumentException(name + ", line 2: expected the columns " + columns);
         }
--- a/src/test/java/dockshed/capacity/RtspRequests.java
+++ b/src/test/java/dockshed/capacity/RtspRequests.java
@@ -9,17 +9,17 @@
 final class RtspRequests {
 
     private static final byte[] DESCRIPTION = "v=0\r\n".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private RtspRequests() {}
 
     /** A request that is answered at once; after it a connection may stay open without a word. */
     static byte[] options() {
-        return HttpStyleMessage.encode("OPTIONS rtsp://media/ping RTSP/1.0", Map.of("CSeq", "3"), NOTHING);
+        return HttpStyleMessage.encode("OPTIONS rtsp://media/ping RTSP/1.0", Map.of("CSeq", "3"), EMPTY_BODY);
     }
 
     /** A set-up of a lesson under a session's name. */
-    static byte[] setUp(String session) {
+    static byte[] setup(String session) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "1");
         headers.put("Session", session);
@@ -30,10 +30,10 @@
     }
 
     /** The answer to a note of the broker's that a session is over. */
-    static byte[] heard(String session) {
+    static byte[] teardownAnswer(String session) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "2");
         headers.put("Session", session);
-        return HttpStyleMessage.encode("RTSP/1.0 200 OK", headers, NOTHING);
+        return HttpStyleMessage.encode("RTSP/1.0 200 OK", headers, EMPTY_BODY);
     }
 }
--- a/src/test/java/dockshed/capacity/RtspViewers.java
+++ b/src/test/java/dockshed/capacity/RtspViewers.java
@@ -21,13 +21,13 @@
         SESSION
     }
 
-    private static final int AGAIN_MILLIS = 200;
+    private static final int DEFAULT_RETRY_DELAY_MILLIS = 200;
 
     private final Net net = new Net("viewers");
     private final InetSocketAddress broker;
     private final Kind kind;
     private final Set<Viewer> open = new HashSet<>(); // of the loop's thread
-    private final AtomicInteger names = new AtomicInteger();
+    private final AtomicInteger sessionsNamed = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger turnedAway = new AtomicInteger();
     private final AtomicInteger notConnected = new AtomicInteger();
@@ -103,17 +103,17 @@
             connection.close();
         }
 
-        private void ask(ClientConnection to) {
+        private void sendRequest(ClientConnection to) {
             to.write(
                     kind == Kind.IDLE
                             ? RtspRequests.options()
-                            : RtspRequests.setUp(String.format("%016x", names.incrementAndGet())));
+                            : RtspRequests.setup(String.format("%016x", sessionsNamed.incrementAndGet())));
         }
 
         @Override
-        public void up(ClientConnection to) {
+        public void connected(ClientConnection to) {
             up = true;
-            ask(to);
+            sendRequest(to);
         }
 
         @Override
@@ -123,8 +123,8 @@
                 served.release();
             } else if (message.status() > 0) {
                 refused.incrementAndGet();
-                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(AGAIN_MILLIS)));
-                net.loop().schedule(() -> ask(from), wait, TimeUnit.MILLISECONDS);
+                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
+                net.loop().schedule(() -> sendRequest(from), wait, TimeUnit.MILLISECONDS);
             }
         }
 
@@ -135,7 +135,7 @@
             }
             (up ? turnedAway : notConnected).incrementAndGet();
             if (!open.remove(this)) {
-                net.loop().schedule(this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+                net.loop().schedule(this::connect, DEFAULT_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/src/test/java/dockshed/capacity/RunLineTest.java
+++ b/src/test/java/dockshed/capacity/RunLineTest.java
@@ -50,7 +50,7 @@
     /** The options that the measurements replace are on the platform's own line. */
     @Test
     void theDeployFileHasWhatTheMeasurementsReplace() throws IOException {
-        RunLine line = TargetBroker.runLine();
+        RunLine line = MeasuredBroker.runLine();
         assertEquals("java", line.words().get(0));
         assertTrue(line.words().contains("-Xmx1g"));
         assertEquals(
--- a/src/test/java/dockshed/capacity/SetupCapacity.java
+++ b/src/test/java/dockshed/capacity/SetupCapacity.java
@@ -75,23 +75,23 @@
     private static void measure(Extent extent, Results results) {
         ThreadCost cost = new ThreadCost();
         measure("warm_up", new Size(USUAL_SERVERS, USUAL_LESSONS, USUAL_SESSIONS, false), extent, cost);
-        for (int servers : some(SERVERS, extent)) {
+        for (int servers : smallest(SERVERS, extent)) {
             results.add(measure("servers", new Size(servers, USUAL_LESSONS, USUAL_SESSIONS, false), extent, cost));
         }
-        for (int servers : some(SERVERS, extent)) {
+        for (int servers : smallest(SERVERS, extent)) {
             Size size = new Size(servers, USUAL_LESSONS, USUAL_SESSIONS, true);
             results.add(measure("servers_uplink_told", size, extent, cost));
         }
-        for (int lessons : some(LESSONS, extent)) {
+        for (int lessons : smallest(LESSONS, extent)) {
             results.add(measure("lessons", new Size(USUAL_SERVERS, lessons, USUAL_SESSIONS, false), extent, cost));
         }
-        for (int sessions : some(SESSIONS, extent)) {
+        for (int sessions : smallest(SESSIONS, extent)) {
             results.add(
                     measure("sessions", new Size(SERVERS_FOR_SESSIONS, USUAL_LESSONS, sessions, false), extent, cost));
         }
     }
 
-    private static int[] some(int[] sizes, Extent extent) {
+    private static int[] smallest(int[] sizes, Extent extent) {
         return Arrays.copyOf(sizes, Math.min(sizes.length, extent.sizes()));
     }
 
@@ -102,12 +102,12 @@
         for (int i = 0; i < extent.warmUpBatches(); i++) {
             fixture.batch();
         }
-        fixture.takeSweeps();
+        fixture.drainSweepMicros();
         List<BatchCost> batches = new ArrayList<>();
         for (int i = 0; i < extent.batches(); i++) {
             batches.add(fixture.batch());
         }
-        List<Double> sweeps = fixture.takeSweeps();
+        List<Double> sweeps = fixture.drainSweepMicros();
         long heap = ThreadCost.usedHeap() - before;
         if (fixture.playing() != size.sessions()) {
             throw new IllegalStateException(fixture.playing() + " sessions play, not " + size.sessions());
@@ -117,16 +117,16 @@
             size.servers(),
             size.lessons(),
             size.sessions(),
-            size.uplinkTold(),
-            number(median(batches, BatchCost::setupNanos)),
-            number(percentile(batches, BatchCost::setupNanos, 25)),
-            number(percentile(batches, BatchCost::setupNanos, 75)),
-            number(median(batches, BatchCost::requestNanos)),
-            number(median(batches, BatchCost::playNanos)),
-            number(median(batches, BatchCost::endNanos)),
-            number(median(sweeps, x -> x)),
-            number(median(batches, BatchCost::allocatedBytes)),
-            number(heap),
+            size.uplinkReported(),
+            oneDecimal(median(batches, BatchCost::setupNanos)),
+            oneDecimal(percentile(batches, BatchCost::setupNanos, 25)),
+            oneDecimal(percentile(batches, BatchCost::setupNanos, 75)),
+            oneDecimal(median(batches, BatchCost::requestNanos)),
+            oneDecimal(median(batches, BatchCost::playNanos)),
+            oneDecimal(median(batches, BatchCost::endNanos)),
+            oneDecimal(median(sweeps, x -> x)),
+            oneDecimal(median(batches, BatchCost::allocatedBytes)),
+            oneDecimal(heap),
             String.format(Locale.ROOT, "%.4f", fixture.refusedShare()),
             "measured"
         };
@@ -145,7 +145,7 @@
         return new Percentile().evaluate(values.stream().mapToDouble(of).toArray(), percent);
     }
 
-    private static String number(double value) {
+    private static String oneDecimal(double value) {
         return String.format(Locale.ROOT, "%.1f", value);
     }
 }
--- a/src/test/java/dockshed/capacity/SetupFixture.java
+++ b/src/test/java/dockshed/capacity/SetupFixture.java
@@ -24,12 +24,12 @@
 
 /**
  * The decision module with a steady load: so many edge servers, lessons and playing sessions. Each set-up that is
- * begun ends the oldest session, virtual time goes on by {@link #BETWEEN_SET_UPS}, and sweeps run when they are due. Each
- * lesson is held by every server, the most that can be asked of the module; a rack has {@link #SERVERS_OF_A_RACK}.
+ * begun ends the oldest session, virtual time goes on by {@link #SETUP_INTERVAL_US}, and sweeps run when they are due. Each
+ * lesson is held by every server, the most that can be asked of the module; a rack has {@link #SERVERS_PER_RACK}.
  */
 final class SetupFixture {
     /** Sizes of one measurement; {@code uplinkTold}: edge servers report how full their rack's uplink is. */
-    record Size(int servers, int lessons, int sessions, boolean uplinkTold) {}
+    record Size(int servers, int lessons, int sessions, boolean uplinkReported) {}
 
     /** What one batch of set-ups cost on the calling thread. */
     record BatchCost(double requestNanos, double playNanos, double endNanos, double allocatedBytes) {
@@ -38,21 +38,21 @@
         }
     }
 
-    static final long SECOND = 1_000_000;
+    static final long SECOND_US = 1_000_000;
     /** Microseconds of virtual time from one set-up to the next. */
-    static final long BETWEEN_SET_UPS = 10_000;
+    static final long SETUP_INTERVAL_US = 10_000;
 
     /** Set-ups that are timed together, as a clock read costs as much as a part of one. */
-    static final int BATCH = 20;
+    static final int SETUPS_PER_BATCH = 20;
 
     /** One broker alone has all of the headroom: with many, its part is refused at rates that no broker sees. */
     private static final int BROKERS = 1;
 
-    private static final int SERVERS_OF_A_RACK = 9;
-    private static final double LINK_KB = 100_000;
-    private static final int STREAMS = 100;
-    private static final double LINK_USED = 0.5;
-    private static final List<Double> RATES = List.of(200.0, 340.0, 600.0, 1000.0, 1700.0);
+    private static final int SERVERS_PER_RACK = 9;
+    private static final double LINK_KB_PER_SECOND = 100_000;
+    private static final int STREAMS_PER_SERVER = 100;
+    private static final double LINK_LOAD_SHARE = 0.5;
+    private static final List<Double> RATES_KB_PER_SECOND = List.of(200.0, 340.0, 600.0, 1000.0, 1700.0);
     private static final List<Double> WORTHS = List.of(0.2, 0.42, 0.62, 0.81, 1.0);
     private static final String CLASS = "film";
     private static final long SEED = 42;
@@ -106,39 +106,41 @@
     private final ThreadCost cost;
     private final ArrayDeque<Playing> playing = new ArrayDeque<>();
     private final List<Double> sweepMicros = new ArrayList<>();
-    private long now = 1000 * SECOND;
+    private long nowMicros = 1000 * SECOND_US;
     private long requests;
 
     SetupFixture(Size size, ThreadCost cost) {
         this.size = size;
         this.cost = cost;
         director = new Choice(settings(size), SEED, recorder);
-        director.serversChanged(now, ListScope.DISK, servers(size.servers()));
-        director.serversChanged(now, ListScope.CHANGES, List.of());
+        director.serversChanged(nowMicros, ListScope.DISK, servers(size.servers()));
+        director.serversChanged(nowMicros, ListScope.CHANGES, List.of());
         for (int session = 0; session < size.sessions(); session++) {
             Request request = nextRequest();
             String server = serverId(session % size.servers());
-            director.adoptSession(now, request, server);
+            director.adoptSession(nowMicros, request, server);
             playing.add(new Playing(request.id(), server));
         }
     }
 
     private static Settings settings(Size size) {
         int servers = size.servers();
-        double links = LINK_KB * servers;
+        double links = LINK_KB_PER_SECOND * servers;
         int racks = racks(servers);
-        Ladder ladder = new Ladder(RATES, WORTHS, links, LINK_KB, links / racks, racks, racks, 0, 7, 800_000);
+        Ladder ladder = new Ladder(
+                RATES_KB_PER_SECOND, WORTHS, links, LINK_KB_PER_SECOND, links / racks, racks, racks, 0, 7, 800_000);
         return new Settings(
                 0,
                 BROKERS,
                 "here",
-                List.of(new SessionClass(CLASS, Effect.SAFE, SECOND, 4 * SECOND, 1, 1, 0, RATES.size() - 1, 0)),
-                List.of(new ServerKind("box", STREAMS)),
+                List.of(new SessionClass(
+                        CLASS, Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 0, RATES_KB_PER_SECOND.size() - 1, 0)),
+                List.of(new ServerKind("box", STREAMS_PER_SERVER)),
                 ladder,
-                new Limits(3, false, false, 250_000, 500_000, 800_000, 3 * SECOND),
-                new Rules(250_000, 0.4, 12 * SECOND, 2, 2 * SECOND, 0, 0, 0),
+                new Limits(3, false, false, 250_000, 500_000, 800_000, 3 * SECOND_US),
+                new Rules(250_000, 0.4, 12 * SECOND_US, 2, 2 * SECOND_US, 0, 0, 0),
                 new Prices(0.04, 0.05, 0, 0),
-                size.uplinkTold() ? List.of(ReportField.LINK, ReportField.UPLINK) : List.of(ReportField.LINK));
+                size.uplinkReported() ? List.of(ReportField.LINK, ReportField.UPLINK) : List.of(ReportField.LINK));
     }
 
     private static List<Server> servers(int count) {
@@ -150,7 +152,7 @@
     }
 
     private static int racks(int servers) {
-        return Math.max(1, servers / SERVERS_OF_A_RACK);
+        return Math.max(1, servers / SERVERS_PER_RACK);
     }
 
     private static String serverId(int number) {
@@ -166,21 +168,21 @@
                 CLASS,
                 "v" + number,
                 "lesson-" + lesson,
-                4 * SECOND,
+                4 * SECOND_US,
                 0,
                 lesson % cells,
                 cells,
-                RATES.size() - 1,
+                RATES_KB_PER_SECOND.size() - 1,
                 false,
                 false,
                 false);
     }
 
-    /** Sets {@link #BATCH} sessions up, lets them play and ends as many of the oldest. */
+    /** Sets {@link #SETUPS_PER_BATCH} sessions up, lets them play and ends as many of the oldest. */
     BatchCost batch() {
-        Request[] wanted = new Request[BATCH];
-        String[] sentTo = new String[BATCH];
-        for (int i = 0; i < BATCH; i++) {
+        Request[] wanted = new Request[SETUPS_PER_BATCH];
+        String[] sentTo = new String[SETUPS_PER_BATCH];
+        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
             wanted[i] = nextRequest();
         }
         long bytes = 0;
@@ -190,52 +192,52 @@
 
         runDueTimers();
         cost.start();
-        for (int i = 0; i < BATCH; i++) {
+        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
             recorder.sentTo = null;
-            director.request(now, wanted[i]);
+            director.request(nowMicros, wanted[i]);
             sentTo[i] = recorder.sentTo;
         }
         requestNanos += cost.nanos();
         bytes += cost.bytes();
 
         cost.start();
-        for (int i = 0; i < BATCH; i++) {
+        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
             if (sentTo[i] != null) {
-                director.sessionStarted(now, wanted[i].id(), 0, sentTo[i]);
-                director.metricReceived(now, wanted[i].id(), sentTo[i], Metric.LINK, LINK_USED);
-                if (size.uplinkTold()) {
-                    director.metricReceived(now, wanted[i].id(), sentTo[i], Metric.UPLINK, LINK_USED);
+                director.sessionStarted(nowMicros, wanted[i].id(), 0, sentTo[i]);
+                director.metricReceived(nowMicros, wanted[i].id(), sentTo[i], Metric.LINK, LINK_LOAD_SHARE);
+                if (size.uplinkReported()) {
+                    director.metricReceived(nowMicros, wanted[i].id(), sentTo[i], Metric.UPLINK, LINK_LOAD_SHARE);
                 }
             }
         }
         playNanos += cost.nanos();
         bytes += cost.bytes();
 
-        for (int i = 0; i < BATCH; i++) {
+        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
             if (sentTo[i] != null) {
                 playing.add(new Playing(wanted[i].id(), sentTo[i]));
             }
         }
-        now += BATCH * BETWEEN_SET_UPS;
+        nowMicros += SETUPS_PER_BATCH * SETUP_INTERVAL_US;
         List<Playing> ending = new ArrayList<>();
         while (playing.size() > size.sessions()) {
             ending.add(playing.poll());
         }
         cost.start();
         for (Playing oldest : ending) {
-            director.outcome(now, oldest.request(), 0, oldest.server(), Outcome.OK, true, LoadReport.NONE);
+            director.outcome(nowMicros, oldest.request(), 0, oldest.server(), Outcome.OK, true, LoadReport.NONE);
         }
         endNanos += cost.nanos();
         bytes += cost.bytes();
         return new BatchCost(
-                requestNanos / (double) BATCH,
-                playNanos / (double) BATCH,
-                endNanos / (double) BATCH,
-                bytes / (double) BATCH);
+                requestNanos / (double) SETUPS_PER_BATCH,
+                playNanos / (double) SETUPS_PER_BATCH,
+                endNanos / (double) SETUPS_PER_BATCH,
+                bytes / (double) SETUPS_PER_BATCH);
     }
 
     private void runDueTimers() {
-        while (recorder.timerAt <= now) {
+        while (recorder.timerAt <= nowMicros) {
             long at = recorder.timerAt;
             recorder.timerAt = Long.MAX_VALUE;
             cost.start();
@@ -245,7 +247,7 @@
     }
 
     /** Microseconds of each sweep since the last call. */
-    List<Double> takeSweeps() {
+    List<Double> drainSweepMicros() {
         List<Double> taken = List.copyOf(sweepMicros);
         sweepMicros.clear();
         return taken;
--- a/src/test/java/dockshed/capacity/StandInEdgeServers.java
+++ b/src/test/java/dockshed/capacity/StandInEdgeServers.java
@@ -23,10 +23,10 @@
 final class StandInEdgeServers implements AutoCloseable {
 
     private static final String DESCRIPTION = "v=0\\r\\n";
-    private static final int CAUSE_OVER = 16;
-    private static final int REPORT_MILLIS = 1000;
+    private static final int CAUSE_PLAYED_TO_END = 16;
+    private static final int REPORT_INTERVAL_MILLIS = 1000;
     /** The share of its link that each reports: far from full. */
-    private static final String LOAD = "0.05";
+    private static final String REPORTED_LINK_SHARE = "0.05";
 
     private final Net net = new Net("edge servers");
     private final List<EdgeServer> servers = new ArrayList<>();
@@ -36,7 +36,9 @@
         for (int number = 0; number < count; number++) {
             servers.add(new EdgeServer());
         }
-        net.loop().scheduleAtFixedRate(this::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
+        net.loop()
+                .scheduleAtFixedRate(
+                        this::report, REPORT_INTERVAL_MILLIS, REPORT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     List<InetSocketAddress> addresses() {
@@ -56,7 +58,7 @@
         }
         net.loop()
                 .execute(() -> server.write("{\"type\":\"release\",\"id\":\"" + session + "\",\"fields\":{},\"cause\":"
-                        + CAUSE_OVER + "}"));
+                        + CAUSE_PLAYED_TO_END + "}"));
         return true;
     }
 
@@ -72,8 +74,8 @@
     /** One edge server; but for its address all of it belongs to the loop's thread. */
     private final class EdgeServer {
         private final InetSocketAddress address;
-        private final List<Channel> lines = new ArrayList<>();
-        private String latest; // the session set up last; null: none yet
+        private final List<Channel> connections = new ArrayList<>();
+        private String latestSession; // the session set up last; null: none yet
 
         EdgeServer() {
             address = (InetSocketAddress)
@@ -85,8 +87,8 @@
 
         /** Writes on the newest connection that the broker has open; without one nothing can be told. */
         void write(String message) {
-            if (!lines.isEmpty()) {
-                write(lines.get(lines.size() - 1), message);
+            if (!connections.isEmpty()) {
+                write(connections.get(connections.size() - 1), message);
             }
         }
 
@@ -95,9 +97,9 @@
         }
 
         void report() {
-            if (latest != null) {
-                write("{\"type\":\"note\",\"id\":\"" + latest + "\",\"fields\":{\"note\":\"local\",\"value\":\"" + LOAD
-                        + "\"}}");
+            if (latestSession != null) {
+                write("{\"type\":\"note\",\"id\":\"" + latestSession + "\",\"fields\":{\"note\":\"local\",\"value\":\""
+                        + REPORTED_LINK_SHARE + "\"}}");
             }
         }
 
@@ -106,7 +108,7 @@
             switch (message.get("type").getAsString()) {
                 case "setup" -> {
                     playing.put(session, this);
-                    latest = session;
+                    latestSession = session;
                     write(
                             channel,
                             "{\"type\":\"answer\",\"id\":\"" + session + "\",\"fields\":{},\"sdp\":\"" + DESCRIPTION
@@ -130,7 +132,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            server.lines.add(ctx.channel());
+            server.connections.add(ctx.channel());
         }
 
         @Override
@@ -148,7 +150,7 @@
 
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
-            server.lines.remove(ctx.channel());
+            server.connections.remove(ctx.channel());
         }
     }
 }
--- a/src/test/java/dockshed/capacity/StandInPlaylistServers.java
+++ b/src/test/java/dockshed/capacity/StandInPlaylistServers.java
@@ -15,8 +15,8 @@
 /** Edge servers on loopback that answer each GET at once: a multivariant playlist, or a live media playlist. */
 final class StandInPlaylistServers implements AutoCloseable {
 
-    private static final int REQUEST_LIMIT = 1 << 16;
-    private static final int SEGMENTS = 6;
+    private static final int MAX_REQUEST_BYTES = 1 << 16;
+    private static final int SEGMENTS_PER_PLAYLIST = 6;
     private static final String MULTIVARIANT = """
             #EXTM3U
             #EXT-X-STREAM-INF:BANDWIDTH=2040000
@@ -54,7 +54,7 @@
     static String livePlaylist() {
         StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:2\n");
         text.append("#EXT-X-MEDIA-SEQUENCE:4711\n");
-        for (int segment = 0; segment < SEGMENTS; segment++) {
+        for (int segment = 0; segment < SEGMENTS_PER_PLAYLIST; segment++) {
             text.append("#EXTINF:2.000,\nsegment-").append(4711 + segment).append(".ts\n");
         }
         return text.toString();
@@ -67,7 +67,7 @@
     }
 
     private final class Connection extends ByteHandler {
-        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(REQUEST_LIMIT);
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_REQUEST_BYTES);
 
         @Override
         protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
--- a/src/test/java/dockshed/capacity/ThreadCost.java
+++ b/src/test/java/dockshed/capacity/ThreadCost.java
@@ -26,11 +26,11 @@
     }
 
     /** The serial collector leaves small dead objects where they are in all but each fourth full collection. */
-    private static final int COLLECTIONS = 4;
+    private static final int COLLECTIONS_PER_READING = 4;
 
     /** Bytes of the heap in use once garbage is collected. */
     public static long usedHeap() {
-        for (int pass = 0; pass < COLLECTIONS; pass++) {
+        for (int pass = 0; pass < COLLECTIONS_PER_READING; pass++) {
             System.gc();
         }
         Runtime runtime = Runtime.getRuntime();
--- a/src/test/java/dockshed/scale/ChangeSeen.java
+++ b/src/test/java/dockshed/scale/ChangeObservation.java
@@ -7,4 +7,4 @@
  * @param observer the broker that knows now
  * @param change   which change, by the number that the script gave it
  */
-record ChangeSeen(long atMillis, int observer, int change) {}
+record ChangeObservation(long atMillis, int observer, int change) {}
--- a/src/test/java/dockshed/scale/Delays.java
+++ b/src/test/java/dockshed/scale/Delays.java
@@ -4,32 +4,32 @@
 
 /** Delays in milliseconds, of which some may not have come to their end. */
 final class Delays {
-    private static final int DIGITS = 3;
-    private static final double MILLIS = 1e3;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
-    private final Histogram ended = new Histogram(DIGITS);
-    private long never;
+    private final Histogram finished = new Histogram(SIGNIFICANT_DIGITS);
+    private long unfinished;
 
     void add(long millis) {
-        ended.recordValue(millis);
+        finished.recordValue(millis);
     }
 
-    void addNever() {
-        never++;
+    void addUnfinished() {
+        unfinished++;
     }
 
     void add(Delays more) {
-        ended.add(more.ended);
-        never += more.never;
+        finished.add(more.finished);
+        unfinished += more.unfinished;
     }
 
     long count() {
-        return ended.getTotalCount() + never;
+        return finished.getTotalCount() + unfinished;
     }
 
     /** The share that has come to its end; 1 where there is none. */
-    double endedShare() {
-        return count() == 0 ? 1 : ended.getTotalCount() / (double) count();
+    double finishedShare() {
+        return count() == 0 ? 1 : finished.getTotalCount() / (double) count();
     }
 
     /** In seconds, within which so many in 100 have ended; infinite where they have not. */
@@ -38,10 +38,10 @@
             return Double.NaN;
         }
         long wanted = (long) Math.ceil(count() * percent / 100);
-        if (wanted > ended.getTotalCount()) {
+        if (wanted > finished.getTotalCount()) {
             return Double.POSITIVE_INFINITY;
         }
-        return ended.getValueAtPercentile(100.0 * wanted / ended.getTotalCount()) / MILLIS;
+        return finished.getValueAtPercentile(100.0 * wanted / finished.getTotalCount()) / MILLIS_PER_SECOND;
     }
 
     /** Until the last has ended. */
--- a/src/test/java/dockshed/scale/FaultyPeers.java
+++ b/src/test/java/dockshed/scale/FaultyPeers.java
@@ -25,7 +25,7 @@
     private final Supplier<LinkFaults> faults;
     private final Counts counts;
     private final SplittableRandom random;
-    private volatile boolean dead;
+    private volatile boolean stopped;
 
     FaultyPeers(int me, DatagramPeers peers, BitSet real, Supplier<LinkFaults> faults, Counts counts, long seed) {
         this.me = me;
@@ -37,14 +37,14 @@
     }
 
     /** From now on nothing goes out or comes in, though the loop may turn a little longer. */
-    void die() {
-        dead = true;
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void listen(Net net, InetSocketAddress at, Receiver receiver) {
         peers.listen(net, at, (from, message) -> {
-            if (dead || real.get(from) && faults.get().drops(from, me, random.nextDouble())) {
+            if (stopped || real.get(from) && faults.get().drops(from, me, random.nextDouble())) {
                 return;
             }
             counts.bytesReceived.addAndGet(message.length);
@@ -54,7 +54,7 @@
 
     @Override
     public void send(int to, byte[] message) {
-        if (dead) {
+        if (stopped) {
             return;
         }
         counts.bytesSent.addAndGet(message.length);
--- a/src/test/java/dockshed/scale/FleetLayout.java
+++ b/src/test/java/dockshed/scale/FleetLayout.java
@@ -34,7 +34,7 @@
     }
 
     /** Numbers of the real brokers: the first of each zone, then the second of each, and so on. */
-    BitSet spread(int count) {
+    BitSet spreadOverZones(int count) {
         BitSet chosen = new BitSet();
         for (int i = 0; i < count; i++) {
             chosen.set(firstOfZone(i % ZONES) + i / ZONES);
--- a/src/test/java/dockshed/scale/FleetRecorder.java
+++ b/src/test/java/dockshed/scale/FleetRecorder.java
@@ -14,7 +14,7 @@
  */
 final class FleetRecorder {
     /** Whoever is called dead so soon after it was back was not given up anew: an older suspicion ran out. */
-    static final long SETTLING_MILLIS = 5_000;
+    static final long SETTLING_TIME_MILLIS = 5_000;
 
     private final Visibility visibility;
     private final BitSet running = new BitSet();
@@ -22,15 +22,15 @@
     private final long[][] changedAt; // [observer][subject]: when it was last listed or listed no more
     private final long[] startedAt;
     private final Outages outages = new Outages();
-    private final Set<Integer> falselyDead = new HashSet<>();
-    private final Set<Integer> falselyLostScopes = new HashSet<>();
-    private final Set<Integer> latelyDead = new HashSet<>();
+    private final Set<Integer> falseDeaths = new HashSet<>();
+    private final Set<Integer> falseScopeLosses = new HashSet<>();
+    private final Set<Integer> lateDeaths = new HashSet<>();
     private final Map<Integer, Map<Integer, Long>> knownAt = new HashMap<>(); // by change, then observer
 
     FleetRecorder(Visibility visibility, int brokers) {
         this.visibility = visibility;
         listed = new BitSet[brokers];
-        changedAt = new long[brokers][visibility.subjects()];
+        changedAt = new long[brokers][visibility.subjectCount()];
         startedAt = new long[brokers];
         for (int i = 0; i < brokers; i++) {
             listed[i] = new BitSet();
@@ -61,16 +61,16 @@
         });
     }
 
-    void take(Observations observations) {
+    void record(Observations observations) {
         List<MembershipChange> ordered = new ArrayList<>(observations.membership());
         ordered.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
-        ordered.forEach(this::take);
-        for (ChangeSeen seen : observations.changes()) {
+        ordered.forEach(this::record);
+        for (ChangeObservation seen : observations.changes()) {
             knownAt.computeIfAbsent(seen.change(), x -> new HashMap<>()).putIfAbsent(seen.observer(), seen.atMillis());
         }
     }
 
-    private void take(MembershipChange change) {
+    private void record(MembershipChange change) {
         int observer = change.observer();
         if (!running.get(observer) || change.atMillis() < startedAt[observer]) {
             return; // of an earlier life
@@ -78,7 +78,7 @@
         BrokerRanges.parse(change.lost()).stream().forEach(subject -> {
             listed[observer].clear(subject);
             changedAt[observer][subject] = change.atMillis();
-            judge(observer, subject, change.atMillis());
+            classifyLoss(observer, subject, change.atMillis());
         });
         BrokerRanges.parse(change.found()).stream().forEach(subject -> {
             listed[observer].set(subject);
@@ -87,41 +87,41 @@
     }
 
     /** A scope is there as long as one of its brokers is. */
-    private void judge(int observer, int subject, long atMillis) {
+    private void classifyLoss(int observer, int subject, long atMillis) {
         boolean isScope = visibility.isScope(subject);
-        if (reachable(observer, subject, atMillis - SETTLING_MILLIS, atMillis)) {
-            (isScope ? falselyLostScopes : falselyDead).add(subject);
+        if (reachable(observer, subject, atMillis - SETTLING_TIME_MILLIS, atMillis)) {
+            (isScope ? falseScopeLosses : falseDeaths).add(subject);
         } else if (!isScope && reachable(observer, subject, atMillis, atMillis)) {
-            latelyDead.add(subject);
+            lateDeaths.add(subject);
         }
     }
 
     private boolean reachable(int observer, int subject, long fromMillis, long untilMillis) {
-        return visibility.members(subject).stream()
+        return visibility.brokersOf(subject).stream()
                 .anyMatch(member -> outages.reachable(observer, member, fromMillis, untilMillis));
     }
 
     /** Brokers called dead falsely since the last time they were asked for. */
-    int takeFalselyDead() {
-        return take(falselyDead);
+    int drainFalseDeaths() {
+        return drain(falseDeaths);
     }
 
-    int takeLatelyDead() {
-        return take(latelyDead);
+    int drainLateDeaths() {
+        return drain(lateDeaths);
     }
 
-    int takeFalselyLostScopes() {
-        return take(falselyLostScopes);
+    int drainFalseScopeLosses() {
+        return drain(falseScopeLosses);
     }
 
-    private static int take(Set<Integer> subjects) {
+    private static int drain(Set<Integer> subjects) {
         int count = subjects.size();
         subjects.clear();
         return count;
     }
 
     /** Whether each of some observers lists all, or none, of those subjects that it is to know of. */
-    boolean all(BitSet observers, BitSet subjects, boolean present) {
+    boolean listsMatch(BitSet observers, BitSet subjects, boolean present) {
         return observers.stream().allMatch(observer -> {
             BitSet expected = expected(observer, subjects);
             BitSet matching = (BitSet) listed[observer].clone();
@@ -131,13 +131,13 @@
     }
 
     private BitSet expected(int observer, BitSet subjects) {
-        BitSet expected = visibility.watched(observer);
+        BitSet expected = visibility.expectedSubjects(observer);
         expected.and(subjects);
         return expected;
     }
 
     /** From a time until each of some observers listed each subject, or listed it no more; infinite where it does not yet. */
-    Delays listing(BitSet observers, BitSet subjects, boolean present, long sinceMillis) {
+    Delays listingDelays(BitSet observers, BitSet subjects, boolean present, long sinceMillis) {
         Delays delays = new Delays();
         observers.stream()
                 .forEach(observer -> expected(observer, subjects).stream()
@@ -146,21 +146,21 @@
                             if (listed[observer].get(subject) == present) {
                                 delays.add(Math.max(0, changedAt[observer][subject] - sinceMillis));
                             } else {
-                                delays.addNever();
+                                delays.addUnfinished();
                             }
                         }));
         return delays;
     }
 
     /** From a time until each of some observers knew a change. */
-    Delays knowing(BitSet observers, int change, long sinceMillis) {
+    Delays changeDelays(BitSet observers, int change, long sinceMillis) {
         Delays delays = new Delays();
         Map<Integer, Long> known = knownAt.getOrDefault(change, Map.of());
         observers.stream().forEach(observer -> {
             if (known.containsKey(observer)) {
                 delays.add(Math.max(0, known.get(observer) - sinceMillis));
             } else {
-                delays.addNever();
+                delays.addUnfinished();
             }
         });
         return delays;
--- a/src/test/java/dockshed/scale/HollowBroker.java
+++ b/src/test/java/dockshed/scale/HollowBroker.java
@@ -19,9 +19,9 @@
 /** One broker's control part as the program runs it, on sockets and a thread of its own, without connections. */
 final class HollowBroker {
     /** The socket of an earlier life may take a moment to close. */
-    private static final long BIND_PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long BIND_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    private static final long BIND_AGAIN_MILLIS = 20;
+    private static final long BIND_RETRY_INTERVAL_MILLIS = 20;
 
     final int number;
     final FaultyPeers.Counts counts = new FaultyPeers.Counts();
@@ -36,9 +36,9 @@
     private FaultyPeers peers;
     private long startedMillis;
     private long threadId;
-    private FleetSnapshot seen = FleetSnapshot.ALONE;
+    private FleetSnapshot lastSnapshot = FleetSnapshot.ALONE;
     private BitSet listed = new BitSet();
-    private final Set<Integer> known = new HashSet<>();
+    private final Set<Integer> knownChanges = new HashSet<>();
 
     HollowBroker(
             int number,
@@ -63,20 +63,20 @@
         seed++;
         peers = new FaultyPeers(number, new UdpPeers(addresses, null), real, faults, counts, seed);
         FleetHost made = new FleetHost(settings, number, addresses.size(), peers, clock, seed);
-        long until = System.nanoTime() + BIND_PATIENCE_NANOS;
-        while (!listens(made, until)) {
-            TimeUnit.MILLISECONDS.sleep(BIND_AGAIN_MILLIS);
+        long until = System.nanoTime() + BIND_TIMEOUT_NANOS;
+        while (!tryListen(made, until)) {
+            TimeUnit.MILLISECONDS.sleep(BIND_RETRY_INTERVAL_MILLIS);
         }
         host = made;
-        seen = FleetSnapshot.ALONE;
+        lastSnapshot = FleetSnapshot.ALONE;
         listed = new BitSet();
-        known.clear();
+        knownChanges.clear();
         startedMillis = System.currentTimeMillis();
         threadId = FleetInspection.loopThreadId(made);
     }
 
     /** Netty throws the checked exception of a bind as it is. */
-    private boolean listens(FleetHost made, long untilNanos) {
+    private boolean tryListen(FleetHost made, long untilNanos) {
         try {
             made.start(addresses.get(number));
             return true;
@@ -91,7 +91,7 @@
 
     synchronized void kill() {
         if (host != null) {
-            peers.die();
+            peers.stop();
             host.close();
             host = null;
         }
@@ -121,7 +121,7 @@
 
     /** Adds what has changed since the last time. */
     synchronized void observe(long nowMillis, Map<Integer, Integer> watched, Observations to) {
-        if (host == null || host.snapshot() == seen) {
+        if (host == null || host.snapshot() == lastSnapshot) {
             return;
         }
         FleetSnapshot now = host.snapshot();
@@ -130,11 +130,11 @@
             to.membership().add(MembershipChange.of(nowMillis, number, listed, after));
             listed = after;
         }
-        seen = now;
+        lastSnapshot = now;
         watched.forEach((change, owner) -> {
-            if (!known.contains(change) && FleetInspection.hasHealthReport(now, change, owner)) {
-                known.add(change);
-                to.changes().add(new ChangeSeen(nowMillis, number, change));
+            if (!knownChanges.contains(change) && FleetInspection.hasHealthReport(now, change, owner)) {
+                knownChanges.add(change);
+                to.changes().add(new ChangeObservation(nowMillis, number, change));
             }
         });
     }
@@ -150,7 +150,7 @@
     }
 
     /** Adds the ages of the figures held of others. */
-    synchronized void figureAges(Ages ages) {
+    synchronized void recordFigureAges(Ages ages) {
         if (host != null) {
             FleetInspection.recordFigureAges(host, startedMillis, ages);
         }
--- a/src/test/java/dockshed/scale/HollowProcess.java
+++ b/src/test/java/dockshed/scale/HollowProcess.java
@@ -37,19 +37,19 @@
 
     static final String FAILED = "failed ";
 
-    private static final long SAMPLE_MILLIS = 50;
-    private static final long FIGURES_MILLIS = 250;
+    private static final long OBSERVE_INTERVAL_MILLIS = 50;
+    private static final long LOAD_SAMPLE_INTERVAL_MILLIS = 250;
     /** Threads that start and end brokers. */
-    private static final int WORKERS = 4;
+    private static final int WORKER_THREADS = 4;
     /** Requests of a quarter of a second, by step of rank: as {@code FleetCosts} has them. */
-    private static final int[] REQUESTS = requests();
+    private static final int[] REQUESTS_BY_RANK = requestsByRank();
 
     private static final Gson GSON = new Gson();
 
     private final Map<Integer, HollowBroker> brokers = new TreeMap<>();
-    private final Map<Integer, Integer> watched = new ConcurrentHashMap<>();
-    private final Map<Integer, Long> cpuOfEarlierLives = new HashMap<>();
-    private final List<Long> taken = new ArrayList<>();
+    private final Map<Integer, Integer> ownerByChange = new ConcurrentHashMap<>();
+    private final Map<Integer, Long> cpuBeforeRestart = new HashMap<>();
+    private final List<Long> processesToEnd = new ArrayList<>();
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, HollowProcess::daemon);
     private final List<ExecutorService> workers = new ArrayList<>();
@@ -58,7 +58,7 @@
     private volatile String failure;
     private Observations observed = Observations.empty();
 
-    private HollowProcess(HollowSpec spec) {
+    private HollowProcess(HollowProcessSpec spec) {
         List<InetSocketAddress> addresses = spec.addresses();
         FleetSettings settings = Mechanism.of(spec.mechanism()).settings(new FleetLayout(addresses.size()));
         BitSet real = BrokerRanges.parse(spec.real());
@@ -67,12 +67,17 @@
                         number,
                         new HollowBroker(
                                 number, settings, addresses, real, () -> faults, spec.seed() + 1000L * number)));
-        for (int i = 0; i < WORKERS; i++) {
+        for (int i = 0; i < WORKER_THREADS; i++) {
             workers.add(Executors.newSingleThreadExecutor(HollowProcess::daemon));
         }
         heapBeforeKb = heapKb();
-        timer.scheduleAtFixedRate(this::sample, SAMPLE_MILLIS, SAMPLE_MILLIS, TimeUnit.MILLISECONDS);
-        timer.scheduleAtFixedRate(this::offerFigures, FIGURES_MILLIS, FIGURES_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(
+                this::observeBrokers, OBSERVE_INTERVAL_MILLIS, OBSERVE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(
+                this::offerLoadSamples,
+                LOAD_SAMPLE_INTERVAL_MILLIS,
+                LOAD_SAMPLE_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     private static Thread daemon(Runnable what) {
@@ -81,7 +86,7 @@
         return thread;
     }
 
-    private static int[] requests() {
+    private static int[] requestsByRank() {
         int[] requests = new int[32];
         requests[0] = 3;
         requests[1] = 1;
@@ -89,39 +94,40 @@
         return requests;
     }
 
-    private void sample() {
+    private void observeBrokers() {
         long now = System.currentTimeMillis();
         synchronized (this) {
             for (HollowBroker broker : brokers.values()) {
-                broker.observe(now, watched, observed);
+                broker.observe(now, ownerByChange, observed);
             }
             notifyAll();
         }
     }
 
-    private void offerFigures() {
+    private void offerLoadSamples() {
         for (HollowBroker broker : brokers.values()) {
-            broker.offer(new LocalEvent.LoadSample(REQUESTS.clone(), 4, 1, 0, FIGURES_MILLIS * 1000));
+            broker.offer(
+                    new LocalEvent.LoadSample(REQUESTS_BY_RANK.clone(), 4, 1, 0, LOAD_SAMPLE_INTERVAL_MILLIS * 1000));
         }
     }
 
     // ---- Commands.
 
-    private String answer(String line) throws InterruptedException {
+    private String execute(String line) throws InterruptedException {
         if (failure != null) {
             return FAILED + failure;
         }
         String[] words = line.split(" ");
         switch (words[0]) {
-            case "start" -> each(words[1], this::start);
-            case "kill" -> each(words[1], this::kill);
-            case "leave" -> each(words[1], this::leave);
+            case "start" -> forEachBroker(words[1], this::start);
+            case "kill" -> forEachBroker(words[1], this::kill);
+            case "leave" -> forEachBroker(words[1], this::leave);
             case "pause" -> pause(Integer.parseInt(words[1]), Long.parseLong(words[2]));
             case "cut" -> faults = faults.withCut(BrokerRanges.parse(words[1]), BrokerRanges.parse(words[2]));
             case "join" -> faults = faults.withoutCuts();
             case "loss" -> faults = faults.withLoss(Double.parseDouble(words[1]));
             case "change" -> change(Integer.parseInt(words[1]), Integer.parseInt(words[2]));
-            case "take" -> taken.add(Long.parseLong(words[1]));
+            case "take" -> processesToEnd.add(Long.parseLong(words[1]));
             case "collect" -> {
                 return collect(words.length > 1 ? Long.parseLong(words[1]) : 0);
             }
@@ -141,20 +147,20 @@
         return OK;
     }
 
-    private void each(String ranges, Consumer<HollowBroker> what) {
+    private void forEachBroker(String ranges, Consumer<HollowBroker> what) {
         BrokerRanges.parse(ranges).stream()
                 .mapToObj(brokers::get)
                 .filter(broker -> broker != null)
-                .forEach(broker -> workerOf(broker).execute(() -> guarded(() -> what.accept(broker))));
+                .forEach(broker -> workerOf(broker).execute(() -> runKeepingFailure(() -> what.accept(broker))));
     }
 
     /** One broker's commands are carried out one after another. */
     private ExecutorService workerOf(HollowBroker broker) {
-        return workers.get(broker.number % WORKERS);
+        return workers.get(broker.number % WORKER_THREADS);
     }
 
     /** What fails in the background is told in answer to the next command. */
-    private void guarded(Runnable what) {
+    private void runKeepingFailure(Runnable what) {
         try {
             what.run();
         } catch (RuntimeException e) {
@@ -171,12 +177,12 @@
     }
 
     private void kill(HollowBroker broker) {
-        keepCpu(broker);
+        saveCpu(broker);
         broker.kill();
     }
 
     private void leave(HollowBroker broker) {
-        keepCpu(broker);
+        saveCpu(broker);
         try {
             broker.leave();
         } catch (InterruptedException e) {
@@ -193,7 +199,7 @@
 
     /** Every broker watches for the change; the one that is meant has it to tell. */
     private void change(int owner, int change) {
-        watched.put(change, owner);
+        ownerByChange.put(change, owner);
         HollowBroker broker = brokers.get(owner);
         if (broker != null) {
             broker.offer(new LocalEvent.HealthReport(change, false));
@@ -211,11 +217,11 @@
         return GSON.toJson(since);
     }
 
-    private synchronized void keepCpu(HollowBroker broker) {
-        cpuOfEarlierLives.merge(broker.number, cpuOfThisLife(broker), Long::sum);
+    private synchronized void saveCpu(HollowBroker broker) {
+        cpuBeforeRestart.merge(broker.number, cpuSinceStart(broker), Long::sum);
     }
 
-    private long cpuOfThisLife(HollowBroker broker) {
+    private long cpuSinceStart(HollowBroker broker) {
         long thread = broker.threadId();
         return thread < 0 ? 0 : Math.max(0, threads.getThreadCpuTime(thread));
     }
@@ -228,14 +234,14 @@
                     broker.number,
                     counts.bytesSent.get(),
                     counts.bytesReceived.get(),
-                    cpuOfEarlierLives.getOrDefault(broker.number, 0L) + cpuOfThisLife(broker)));
+                    cpuBeforeRestart.getOrDefault(broker.number, 0L) + cpuSinceStart(broker)));
         }
-        return GSON.toJson(new HollowReport(totals));
+        return GSON.toJson(new HollowProcessTotals(totals));
     }
 
     private String ages() {
         Ages ages = new Ages();
-        brokers.values().forEach(broker -> broker.figureAges(ages));
+        brokers.values().forEach(broker -> broker.recordFigureAges(ages));
         return GSON.toJson(FigureAges.of(ages));
     }
 
@@ -252,24 +258,24 @@
     }
 
     /** Ends what it was told to take along: the driver is gone, or has done with it. */
-    private void end() {
-        for (long pid : taken) {
+    private void endRegisteredProcesses() {
+        for (long pid : processesToEnd) {
             ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
         }
     }
 
-    /** The one argument names a file that holds a {@link HollowSpec} as JSON. */
+    /** The one argument names a file that holds a {@link HollowProcessSpec} as JSON. */
     public static void main(String[] args) throws IOException, InterruptedException {
         PrintStream out = System.out;
-        HollowSpec spec = GSON.fromJson(Files.readString(Path.of(args[0])), HollowSpec.class);
+        HollowProcessSpec spec = GSON.fromJson(Files.readString(Path.of(args[0])), HollowProcessSpec.class);
         HollowProcess process = new HollowProcess(spec);
         out.println(OK);
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                out.println(process.answer(line));
+                out.println(process.execute(line));
             }
         } finally {
-            process.end();
+            process.endRegisteredProcesses();
         }
         System.exit(0);
     }
--- a/src/test/java/dockshed/scale/HollowHandle.java
+++ b/src/test/java/dockshed/scale/HollowProcessClient.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** The driver's end of a {@link HollowProcess}: commands go out, and each is answered by one line. */
-final class HollowHandle {
-    private static final long PATIENCE_SECONDS = 60;
-    private static final String HEAP = "-Xmx384m";
+final class HollowProcessClient {
+    private static final long ANSWER_TIMEOUT_SECONDS = 60;
+    private static final String HEAP_OPTION = "-Xmx384m";
     /** In place of an answer: the process's output has ended. */
-    private static final String ENDED = "failed process has ended";
+    private static final String END_OF_OUTPUT = "failed process has ended";
 
     private static final Gson GSON = new Gson();
 
@@ -29,13 +29,13 @@
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
 
     /** Starts a process; its specification and its log are kept in a directory. */
-    HollowHandle(String name, HollowSpec spec, Path directory, ProcessGuard guard) throws IOException {
+    HollowProcessClient(String name, HollowProcessSpec spec, Path directory, ProcessGuard guard) throws IOException {
         this.name = name;
         Path specFile = Files.writeString(directory.resolve(name + ".json"), GSON.toJson(spec));
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
-                HEAP,
+                HEAP_OPTION,
                 "-Xss512k",
                 "-Djava.net.preferIPv4Stack=true",
                 "-Dorg.slf4j.simpleLogger.defaultLogLevel=error",
@@ -45,14 +45,14 @@
                 HollowProcess.class.getName(),
                 specFile.toString());
         builder.redirectError(directory.resolve(name + ".log").toFile());
-        process = guard.watch(builder.start());
+        process = guard.register(builder.start());
         in = process.outputWriter(StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "answers of " + name);
+        Thread reader = new Thread(this::readAnswers, "answers of " + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readAnswers() {
         try (BufferedReader out =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = out.readLine(); line != null; line = out.readLine()) {
@@ -61,12 +61,12 @@
         } catch (IOException e) {
             // its end, told below
         }
-        answers.add(ENDED);
+        answers.add(END_OF_OUTPUT);
     }
 
     /** Waits until the process is ready for commands. */
     void awaitReady() {
-        answer("start of the process");
+        awaitAnswer("start of the process");
     }
 
     /** Sends a command and returns the answer. Throws IllegalStateException where it failed. */
@@ -77,16 +77,16 @@
         } catch (IOException e) {
             throw new UncheckedIOException(name + ": " + command, e);
         }
-        return answer(command);
+        return awaitAnswer(command);
     }
 
     <T> T call(String command, Class<T> type) {
         return GSON.fromJson(call(command), type);
     }
 
-    private String answer(String command) {
+    private String awaitAnswer(String command) {
         try {
-            String answer = answers.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            String answer = answers.poll(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (answer == null || answer.startsWith(HollowProcess.FAILED)) {
                 throw new IllegalStateException(name + ": " + command + ": " + answer);
             }
@@ -98,7 +98,7 @@
     }
 
     /** Whose brokers get it; those of other processes are passed over there. */
-    static void callAll(List<HollowHandle> handles, String command) {
+    static void callAll(List<HollowProcessClient> handles, String command) {
         handles.parallelStream().forEach(handle -> handle.call(command));
     }
 
@@ -109,7 +109,7 @@
     /** Ends the process by the end of its input, and waits for it. */
     int end() throws IOException, InterruptedException {
         in.close();
-        if (!process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+        if (!process.waitFor(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IllegalStateException(name + " did not end");
         }
         return process.exitValue();
--- a/src/test/java/dockshed/scale/HollowSpec.java
+++ b/src/test/java/dockshed/scale/HollowProcessSpec.java
@@ -14,7 +14,7 @@
  * @param ports     of all brokers, by number, on the loopback address
  * @param seed      of its random numbers
  */
-record HollowSpec(String mechanism, String brokers, String real, int[] ports, long seed) {
+record HollowProcessSpec(String mechanism, String brokers, String real, int[] ports, long seed) {
     List<InetSocketAddress> addresses() {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int port : ports) {
--- a/src/test/java/dockshed/scale/HollowProcessTest.java
+++ b/src/test/java/dockshed/scale/HollowProcessTest.java
@@ -14,8 +14,8 @@
 /** Two processes of four hollow brokers each: they find one another, notice a death and a change, and end. */
 class HollowProcessTest {
     private static final int BROKERS = 8;
-    private static final int PER_PROCESS = 4;
-    private static final int CHANGE = SceneScript.FIRST_CHANGE;
+    private static final int BROKERS_PER_PROCESS = 4;
+    private static final int CHANGE = SceneScript.FIRST_CHANGE_NUMBER;
     private static final BitSet KILLED = BrokerRanges.of(5);
 
     @TempDir
@@ -25,14 +25,14 @@
     private final FleetRecorder recorder = new FleetRecorder(Mechanism.FULL_MESH.visibility(layout), BROKERS);
 
     private ProcessFleet fleet() throws Exception {
-        return new ProcessFleet(layout, Mechanism.FULL_MESH, 0, PER_PROCESS, null, directory);
+        return new ProcessFleet(layout, Mechanism.FULL_MESH, 0, BROKERS_PER_PROCESS, null, directory);
     }
 
     /** Each process answers as soon as it has something to tell. */
     private void awaitUntil(ProcessFleet fleet, BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
-            for (HollowHandle handle : fleet.hollowProcesses()) {
-                recorder.take(handle.call("collect 1000", Observations.class));
+            for (HollowProcessClient handle : fleet.hollowProcesses()) {
+                recorder.record(handle.call("collect 1000", Observations.class));
             }
         }
     }
@@ -40,7 +40,7 @@
     private void startAll(ProcessFleet fleet) {
         recorder.started(layout.all(), fleet.nowMillis());
         fleet.start(layout.all());
-        awaitUntil(fleet, () -> recorder.all(layout.all(), layout.all(), true));
+        awaitUntil(fleet, () -> recorder.listsMatch(layout.all(), layout.all(), true));
     }
 
     @Test
@@ -48,18 +48,19 @@
     void brokersOfTwoProcessesFindOneAnotherNoticeADeathAndShareAChange() throws Exception {
         try (ProcessFleet fleet = fleet()) {
             startAll(fleet);
-            fleet.change(0, CHANGE);
-            awaitUntil(fleet, () -> recorder.knowing(layout.all(), CHANGE, 0).endedShare() == 1);
+            fleet.publishChange(0, CHANGE);
+            awaitUntil(
+                    fleet, () -> recorder.changeDelays(layout.all(), CHANGE, 0).finishedShare() == 1);
             recorder.stopped(KILLED, fleet.nowMillis());
             fleet.kill(KILLED);
             BitSet others = recorder.running();
-            awaitUntil(fleet, () -> recorder.all(others, KILLED, false));
-            assertEquals(0, recorder.takeFalselyDead());
+            awaitUntil(fleet, () -> recorder.listsMatch(others, KILLED, false));
+            assertEquals(0, recorder.drainFalseDeaths());
             assertTrue(fleet.totals().stream().allMatch(each -> each.bytesSent() > 0 && each.bytesReceived() > 0));
-            for (HollowHandle handle : fleet.hollowProcesses()) {
+            for (HollowProcessClient handle : fleet.hollowProcesses()) {
                 assertEquals(0, handle.end());
             }
-            assertEquals(0, fleet.alive());
+            assertEquals(0, fleet.aliveProcesses());
         }
     }
 
@@ -68,10 +69,10 @@
     void aFailureIsToldAndEverythingEnds() throws Exception {
         ProcessFleet fleet = fleet();
         try (fleet) {
-            HollowHandle handle = fleet.hollowProcesses().get(0);
+            HollowProcessClient handle = fleet.hollowProcesses().get(0);
             assertThrows(IllegalStateException.class, () -> handle.call("nonsense"));
-            assertEquals(2, fleet.alive());
+            assertEquals(2, fleet.aliveProcesses());
         }
-        assertEquals(0, fleet.alive());
+        assertEquals(0, fleet.aliveProcesses());
     }
 }
--- a/src/test/java/dockshed/scale/HollowReport.java
+++ b/src/test/java/dockshed/scale/HollowProcessTotals.java
@@ -3,4 +3,4 @@
 import java.util.List;
 
 /** A hollow process's totals: one entry for each of its brokers. */
-record HollowReport(List<BrokerTotals> totals) {}
+record HollowProcessTotals(List<BrokerTotals> totals) {}
--- a/src/test/java/dockshed/scale/LinkFaults.java
+++ b/src/test/java/dockshed/scale/LinkFaults.java
@@ -34,7 +34,7 @@
         return new LinkFaults(cuts, share);
     }
 
-    boolean cut(int sender, int receiver) {
+    boolean isCut(int sender, int receiver) {
         for (Cut cut : cuts) {
             if (cut.covers(sender, receiver)) {
                 return true;
@@ -45,6 +45,6 @@
 
     /** Whether a datagram is lost, by a random number from 0 to 1. */
     boolean drops(int sender, int receiver, double random) {
-        return random < loss || cut(sender, receiver);
+        return random < loss || isCut(sender, receiver);
     }
 }
--- a/src/test/java/dockshed/scale/Observations.java
+++ b/src/test/java/dockshed/scale/Observations.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What brokers were seen to know since the last time they were asked, in the order seen by each. */
-record Observations(List<MembershipChange> membership, List<ChangeSeen> changes) {
+record Observations(List<MembershipChange> membership, List<ChangeObservation> changes) {
     static Observations empty() {
         return new Observations(new ArrayList<>(), new ArrayList<>());
     }
--- a/src/test/java/dockshed/scale/PausableClock.java
+++ b/src/test/java/dockshed/scale/PausableClock.java
@@ -13,15 +13,15 @@
     private static final long STARTED_MICROS = STARTED.getEpochSecond() * 1_000_000 + STARTED.getNano() / 1000;
     private static final long STARTED_NANOS = System.nanoTime();
 
-    private volatile long heldUntilNanos = STARTED_NANOS;
+    private volatile long pausedUntilNanos = STARTED_NANOS;
 
     void pause(long millis) {
-        heldUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        pausedUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     @Override
     public long now() {
-        for (long left = heldUntilNanos - System.nanoTime(); left > 0; left = heldUntilNanos - System.nanoTime()) {
+        for (long left = pausedUntilNanos - System.nanoTime(); left > 0; left = pausedUntilNanos - System.nanoTime()) {
             try {
                 TimeUnit.NANOSECONDS.sleep(left);
             } catch (InterruptedException e) {
--- a/src/test/java/dockshed/scale/ProcessFleet.java
+++ b/src/test/java/dockshed/scale/ProcessFleet.java
@@ -15,8 +15,8 @@
     private final FleetLayout layout;
     private final BitSet real;
     private final ProcessGuard guard = new ProcessGuard();
-    private final List<HollowHandle> hollow = new ArrayList<>();
-    private final List<DatagramSocket> heldPorts = new ArrayList<>();
+    private final List<HollowProcessClient> hollowProcesses = new ArrayList<>();
+    private final List<DatagramSocket> reservedPorts = new ArrayList<>();
     private final RealBrokers realBrokers;
     private LinkFaults faults = LinkFaults.NONE;
 
@@ -29,20 +29,20 @@
     ProcessFleet(FleetLayout layout, Mechanism mechanism, int real, int perProcess, Path jar, Path directory)
             throws IOException {
         this.layout = layout;
-        this.real = layout.spread(real);
-        int[] ports = takePorts(layout.brokers());
-        List<BitSet> parts = parts(BrokerRanges.minus(layout.all(), this.real), perProcess);
-        HollowSpec spec = null;
+        this.real = layout.spreadOverZones(real);
+        int[] ports = reservePorts(layout.brokers());
+        List<BitSet> parts = splitOverProcesses(BrokerRanges.minus(layout.all(), this.real), perProcess);
+        HollowProcessSpec spec = null;
         for (int i = 0; i < parts.size(); i++) {
-            spec = new HollowSpec(
+            spec = new HollowProcessSpec(
                     mechanism.label(),
                     BrokerRanges.format(parts.get(i)),
                     BrokerRanges.format(this.real),
                     ports,
                     System.nanoTime() + i);
-            hollow.add(new HollowHandle("hollow" + i, spec, directory, guard));
+            hollowProcesses.add(new HollowProcessClient("hollow" + i, spec, directory, guard));
         }
-        hollow.forEach(HollowHandle::awaitReady);
+        hollowProcesses.forEach(HollowProcessClient::awaitReady);
         realBrokers = real == 0
                 ? null
                 : new RealBrokers(
@@ -52,27 +52,27 @@
                         jar,
                         directory,
                         guard,
-                        pid -> hollow.get(0).call("take " + pid));
+                        pid -> hollowProcesses.get(0).call("take " + pid));
     }
 
     /** Takes a free port for each broker; none of them is given to anybody else until {@link #releasePorts}. */
-    private int[] takePorts(int count) throws IOException {
+    private int[] reservePorts(int count) throws IOException {
         int[] ports = new int[count];
         for (int i = 0; i < count; i++) {
             DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-            heldPorts.add(socket);
+            reservedPorts.add(socket);
             ports[i] = socket.getLocalPort();
         }
         return ports;
     }
 
     private void releasePorts() {
-        heldPorts.forEach(DatagramSocket::close);
-        heldPorts.clear();
+        reservedPorts.forEach(DatagramSocket::close);
+        reservedPorts.clear();
     }
 
     /** Each part has brokers of all zones, so that no process is a zone. */
-    private static List<BitSet> parts(BitSet brokers, int most) {
+    private static List<BitSet> splitOverProcesses(BitSet brokers, int most) {
         int count = (brokers.cardinality() + most - 1) / most;
         List<BitSet> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -105,14 +105,14 @@
         }
     }
 
-    private void call(String command) {
-        HollowHandle.callAll(hollow, command);
+    private void callHollow(String command) {
+        HollowProcessClient.callAll(hollowProcesses, command);
     }
 
     @Override
     public void start(BitSet brokers) {
         releasePorts();
-        call("start " + BrokerRanges.format(brokers));
+        callHollow("start " + BrokerRanges.format(brokers));
         if (realBrokers != null) {
             realBrokers.start(brokers);
         }
@@ -120,7 +120,7 @@
 
     @Override
     public void kill(BitSet brokers) {
-        call("kill " + BrokerRanges.format(brokers));
+        callHollow("kill " + BrokerRanges.format(brokers));
         if (realBrokers != null) {
             realBrokers.kill(brokers);
         }
@@ -128,7 +128,7 @@
 
     @Override
     public void leave(BitSet brokers) {
-        call("leave " + BrokerRanges.format(brokers));
+        callHollow("leave " + BrokerRanges.format(brokers));
         if (realBrokers != null) {
             realBrokers.leave(brokers);
         }
@@ -139,51 +139,51 @@
         if (real.get(broker)) {
             realBrokers.pause(broker, millis);
         } else {
-            call("pause " + broker + " " + millis);
+            callHollow("pause " + broker + " " + millis);
         }
     }
 
     @Override
     public void cut(BitSet from, BitSet to) {
         faults = faults.withCut(from, to);
-        call("cut " + BrokerRanges.format(from) + " " + BrokerRanges.format(to));
-        faultsOfReal();
+        callHollow("cut " + BrokerRanges.format(from) + " " + BrokerRanges.format(to));
+        applyFaultsToRealBrokers();
     }
 
     @Override
-    public void join() {
+    public void heal() {
         faults = faults.withoutCuts();
-        call("join");
-        faultsOfReal();
+        callHollow("join");
+        applyFaultsToRealBrokers();
     }
 
     @Override
-    public void lose(double share) {
+    public void setLoss(double share) {
         faults = faults.withLoss(share);
-        call("loss " + share);
-        faultsOfReal();
+        callHollow("loss " + share);
+        applyFaultsToRealBrokers();
     }
 
-    private void faultsOfReal() {
+    private void applyFaultsToRealBrokers() {
         if (realBrokers != null) {
-            realBrokers.faults(faults);
+            realBrokers.setFaults(faults);
         }
     }
 
     @Override
-    public void change(int broker, int change) {
-        call("change " + broker + " " + change);
+    public void publishChange(int broker, int change) {
+        callHollow("change " + broker + " " + change);
     }
 
     @Override
-    public boolean reportsChanges(int broker) {
+    public boolean observesChanges(int broker) {
         return !real.get(broker);
     }
 
     @Override
     public Observations collect() {
         Observations since = Observations.empty();
-        for (HollowHandle handle : hollow) {
+        for (HollowProcessClient handle : hollowProcesses) {
             since.add(handle.call("collect", Observations.class));
         }
         if (realBrokers != null) {
@@ -194,14 +194,14 @@
 
     @Override
     public List<BrokerTotals> totals() {
-        return hollow.parallelStream()
-                .flatMap(handle -> handle.call("totals", HollowReport.class).totals().stream())
+        return hollowProcesses.parallelStream()
+                .flatMap(handle -> handle.call("totals", HollowProcessTotals.class).totals().stream())
                 .toList();
     }
 
     @Override
     public Ages figureAges() {
-        List<FigureAges> ofProcesses = hollow.parallelStream()
+        List<FigureAges> ofProcesses = hollowProcesses.parallelStream()
                 .map(handle -> handle.call("ages", FigureAges.class))
                 .toList();
         Ages ages = new Ages();
@@ -211,7 +211,7 @@
 
     @Override
     public double memoryKb() {
-        return hollow.parallelStream()
+        return hollowProcesses.parallelStream()
                 .mapToDouble(handle -> Double.parseDouble(handle.call("memory")))
                 .average()
                 .orElse(Double.NaN);
@@ -227,7 +227,7 @@
 
     /** Processes of brokers, the driver not counted. */
     int processes() {
-        return hollow.size() + real.cardinality();
+        return hollowProcesses.size() + real.cardinality();
     }
 
     /** The real brokers; null where there are none. */
@@ -235,13 +235,13 @@
         return realBrokers;
     }
 
-    List<HollowHandle> hollowProcesses() {
-        return hollow;
+    List<HollowProcessClient> hollowProcesses() {
+        return hollowProcesses;
     }
 
     /** Processes that still run. */
-    long alive() {
-        return guard.alive();
+    long aliveProcesses() {
+        return guard.aliveProcesses();
     }
 
     @Override
--- a/src/test/java/dockshed/scale/ProcessGuard.java
+++ b/src/test/java/dockshed/scale/ProcessGuard.java
@@ -12,7 +12,7 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    Process watch(Process process) {
+    Process register(Process process) {
         started.add(process);
         return process;
     }
@@ -24,7 +24,7 @@
     }
 
     /** Processes that still run. */
-    long alive() {
+    long aliveProcesses() {
         return started.stream().filter(Process::isAlive).count();
     }
 
--- a/src/test/java/dockshed/scale/RealBroker.java
+++ b/src/test/java/dockshed/scale/RealBroker.java
@@ -21,12 +21,12 @@
 
 /** The built jar as a process with the limits of the platform's {@code run} line; its log tells whom it lists. */
 final class RealBroker {
-    private static final Pattern MEMBERSHIP = Pattern.compile(
+    private static final Pattern MEMBERSHIP_CHANGE = Pattern.compile(
             "(?<time>[0-9:.]{12}) .* present=\\d+ lost=\\[(?<lost>[^]]*)] joined=\\[(?<joined>[^]]*)] .* fleet");
-    private static final Pattern SCOPE = Pattern.compile(
+    private static final Pattern SCOPE_CHANGE = Pattern.compile(
             "(?<time>[0-9:.]{12}) .* zone=\\S+ scope=(?<scope>\\d+) known=(?<known>true|false) .* fleet zone");
     private static final Pattern SERVING = Pattern.compile(".*serving: name=.* listen=/([0-9.]+):(\\d+) .*");
-    private static final long START_SECONDS = 30;
+    private static final long START_TIMEOUT_SECONDS = 30;
 
     private final int number;
     private final Visibility visibility;
@@ -58,19 +58,19 @@
                         operatorFile.toString())
                 .redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
-        process = guard.watch(builder.start());
-        Thread reader = new Thread(this::read, "log of broker " + number);
+        process = guard.register(builder.start());
+        Thread reader = new Thread(this::readLog, "log of broker " + number);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readLog() {
         String last = "";
         try (BufferedReader log =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 last = line;
-                take(line);
+                readLine(line);
             }
         } catch (IOException e) {
             // its end
@@ -78,14 +78,14 @@
         serving.completeExceptionally(new IllegalStateException("broker " + number + " has ended: " + last));
     }
 
-    private void take(String line) {
+    private void readLine(String line) {
         Matcher at = SERVING.matcher(line);
         if (at.matches()) {
             serving.complete(new InetSocketAddress(at.group(1), Integer.parseInt(at.group(2))));
             return;
         }
-        Matcher change = MEMBERSHIP.matcher(line);
-        Matcher scope = SCOPE.matcher(line);
+        Matcher change = MEMBERSHIP_CHANGE.matcher(line);
+        Matcher scope = SCOPE_CHANGE.matcher(line);
         synchronized (changes) {
             errors += line.contains(" ERROR ") ? 1 : 0;
             if (change.matches()) {
@@ -99,11 +99,11 @@
     }
 
     private void add(Matcher line, String lost, String found) {
-        changes.add(new MembershipChange(millis(LocalTime.parse(line.group("time"))), number, lost, found));
+        changes.add(new MembershipChange(unixMillis(LocalTime.parse(line.group("time"))), number, lost, found));
     }
 
     /** The log tells the time of the day: the latest such that is not later than now, but for a little. */
-    private static long millis(LocalTime time) {
+    private static long unixMillis(LocalTime time) {
         ZoneId zone = ZoneId.systemDefault();
         LocalDateTime at = LocalDate.now(zone).atTime(time);
         LocalDateTime soon = LocalDateTime.now(zone).plusMinutes(1);
@@ -125,7 +125,7 @@
 
     /** Where viewers can connect, once it serves. */
     InetSocketAddress awaitServing() {
-        return serving.orTimeout(START_SECONDS, TimeUnit.SECONDS).join();
+        return serving.orTimeout(START_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
     /** What its log has told since the last time. */
--- a/src/test/java/dockshed/scale/RealBrokers.java
+++ b/src/test/java/dockshed/scale/RealBrokers.java
@@ -22,9 +22,9 @@
  * the faults towards hollow brokers act at those.
  */
 final class RealBrokers implements AutoCloseable {
-    private static final int SOCKETS = 1024;
-    private static final int BOXES = 6;
-    private static final int CONNECTIONS = 250;
+    private static final int MAX_SOCKETS = 1024;
+    private static final int EDGE_SERVERS = 6;
+    private static final int CONNECTIONS_PER_BROKER = 250;
 
     private final int[] numbers;
     private final Visibility visibility;
@@ -33,15 +33,15 @@
     private final Path operatorFile;
     private final List<InetSocketAddress> addresses;
     private final ProcessGuard guard;
-    private final LongConsumer started;
+    private final LongConsumer onStarted;
     private final Net net = new Net("viewers");
-    private final LossyNetwork fabric;
-    private final List<AnsweringEdgeServer> boxes = new ArrayList<>();
+    private final LossyNetwork network;
+    private final List<AnsweringEdgeServer> edgeServers = new ArrayList<>();
     private final Map<Integer, RealBroker> running = new TreeMap<>();
-    private final Map<Integer, HeldConnections> viewers = new TreeMap<>();
-    private final Observations ofEarlierLives = Observations.empty();
-    private int answersOfEarlierLives;
-    private int errorsOfEarlierLives;
+    private final Map<Integer, ViewerConnections> viewers = new TreeMap<>();
+    private final Observations ofEndedBrokers = Observations.empty();
+    private int answersOfEndedBrokers;
+    private int errorsOfEndedBrokers;
 
     /** {@code started}: told the id of each process that begins. */
     RealBrokers(
@@ -58,7 +58,7 @@
         this.jar = jar;
         this.directory = directory;
         this.guard = guard;
-        this.started = started;
+        this.onStarted = started;
         FleetLayout layout = new FleetLayout(addresses.size());
         visibility = mechanism.visibility(layout);
         operatorFile = Files.writeString(directory.resolve("real.conf"), mechanism.operatorFile(layout));
@@ -66,9 +66,9 @@
         for (int i = 0; i < numbers.length; i++) {
             listens[i] = addresses.get(numbers[i]);
         }
-        fabric = new LossyNetwork(net, listens);
-        for (int i = 0; i < BOXES; i++) {
-            boxes.add(new AnsweringEdgeServer());
+        network = new LossyNetwork(net, listens);
+        for (int i = 0; i < EDGE_SERVERS; i++) {
+            edgeServers.add(new AnsweringEdgeServer());
         }
     }
 
@@ -80,7 +80,9 @@
         }
         for (int number : numbers) {
             if (brokers.get(number) && !viewers.containsKey(number)) {
-                viewers.put(number, new HeldConnections(net, running.get(number).awaitServing(), number, CONNECTIONS));
+                viewers.put(
+                        number,
+                        new ViewerConnections(net, running.get(number).awaitServing(), number, CONNECTIONS_PER_BROKER));
             }
         }
     }
@@ -89,16 +91,16 @@
         int number = numbers[index];
         List<InetSocketAddress> peers = new ArrayList<>(addresses);
         for (int other = 0; other < numbers.length; other++) {
-            peers.set(numbers[other], fabric.addressOf(index, other));
+            peers.set(numbers[other], network.addressOf(index, other));
         }
         List<InetSocketAddress> servers =
-                boxes.stream().map(AnsweringEdgeServer::address).toList();
-        BrokerConfig config = new BrokerConfig(number, SOCKETS, addresses.get(number), peers, servers);
+                edgeServers.stream().map(AnsweringEdgeServer::address).toList();
+        BrokerConfig config = new BrokerConfig(number, MAX_SOCKETS, addresses.get(number), peers, servers);
         try {
             Path file = Files.writeString(directory.resolve("real" + number + ".json"), config.toJson());
             RealBroker broker = new RealBroker(number, visibility, jar, file, operatorFile, guard);
             running.put(number, broker);
-            started.accept(broker.pid());
+            onStarted.accept(broker.pid());
         } catch (IOException e) {
             throw new UncheckedIOException("real broker " + number, e);
         }
@@ -107,20 +109,20 @@
     void kill(BitSet brokers) {
         for (int number : numbers) {
             if (brokers.get(number) && running.containsKey(number)) {
-                forget(number).kill();
+                remove(number).kill();
             }
         }
     }
 
-    private RealBroker forget(int number) {
-        HeldConnections gone = viewers.remove(number);
+    private RealBroker remove(int number) {
+        ViewerConnections gone = viewers.remove(number);
         if (gone != null) {
             gone.stop();
-            answersOfEarlierLives += gone.answers();
+            answersOfEndedBrokers += gone.answers();
         }
         RealBroker broker = running.remove(number);
-        ofEarlierLives.membership().addAll(broker.collect());
-        errorsOfEarlierLives += broker.errors();
+        ofEndedBrokers.membership().addAll(broker.collect());
+        errorsOfEndedBrokers += broker.errors();
         return broker;
     }
 
@@ -128,7 +130,7 @@
     void leave(BitSet brokers) {
         for (int number : numbers) {
             if (brokers.get(number) && running.containsKey(number)) {
-                signal(forget(number), "TERM");
+                signal(remove(number), "TERM");
             }
         }
     }
@@ -150,15 +152,15 @@
         }
     }
 
-    void faults(LinkFaults faults) {
-        fabric.setLoss(faults.loss());
-        fabric.cutWhere((from, to) -> faults.cut(numbers[from], numbers[to]));
+    void setFaults(LinkFaults faults) {
+        network.setLoss(faults.loss());
+        network.cutWhere((from, to) -> faults.isCut(numbers[from], numbers[to]));
     }
 
     Observations collect() {
         Observations since = Observations.empty();
-        since.add(ofEarlierLives);
-        ofEarlierLives.membership().clear();
+        since.add(ofEndedBrokers);
+        ofEndedBrokers.membership().clear();
         for (RealBroker broker : running.values()) {
             since.membership().addAll(broker.collect());
         }
@@ -167,17 +169,17 @@
 
     /** Connections that viewers hold now. */
     int connections() {
-        return viewers.values().stream().mapToInt(HeldConnections::open).sum();
+        return viewers.values().stream().mapToInt(ViewerConnections::open).sum();
     }
 
     int answers() {
-        return answersOfEarlierLives
-                + viewers.values().stream().mapToInt(HeldConnections::answers).sum();
+        return answersOfEndedBrokers
+                + viewers.values().stream().mapToInt(ViewerConnections::answers).sum();
     }
 
     /** Internal errors that the brokers logged. */
     int errors() {
-        return errorsOfEarlierLives
+        return errorsOfEndedBrokers
                 + running.values().stream().mapToInt(RealBroker::errors).sum();
     }
 
@@ -194,10 +196,10 @@
 
     @Override
     public void close() {
-        viewers.values().forEach(HeldConnections::stop);
+        viewers.values().forEach(ViewerConnections::stop);
         running.values().forEach(RealBroker::kill);
         net.close();
-        for (AnsweringEdgeServer box : boxes) {
+        for (AnsweringEdgeServer box : edgeServers) {
             try {
                 box.close();
             } catch (IOException e) {
--- a/src/test/java/dockshed/scale/ScaleBench.java
+++ b/src/test/java/dockshed/scale/ScaleBench.java
@@ -21,9 +21,9 @@
     /** Configurations and logs of the processes of the last run. */
     private static final Path LOGS = Path.of("target", "scale");
 
-    private static final long TWIN_SEED = 11;
+    private static final long SIMULATION_SEED = 11;
     /** Simulations beside one another. */
-    private static final int SIMULATIONS = 4;
+    private static final int PARALLEL_SIMULATIONS = 4;
 
     private final ScaleOptions options;
     private final List<SceneResult> rows = new ArrayList<>();
@@ -32,23 +32,24 @@
         this.options = options;
     }
 
-    private synchronized void result(SceneResult result) {
+    private synchronized void addResult(SceneResult result) {
         rows.add(result);
         System.out.println(result);
     }
 
     /** The socket run first, undisturbed; the simulation's groups of scenes then, beside one another. */
-    private ScaleLine play(Mechanism mechanism) throws IOException {
+    private SummaryLine play(Mechanism mechanism) throws IOException {
         ScaleRun run = options.sockets()
-                ? onSockets(mechanism)
+                ? playOnSockets(mechanism)
                 : new ScaleRun(mechanism, options.brokers(), 0, 0, 0, List.of());
-        TwinComparison comparison = TwinComparison.of(run.results(), options.twin() ? simulate(mechanism) : List.of());
+        SimulationComparison comparison =
+                SimulationComparison.of(run.results(), options.simulation() ? simulate(mechanism) : List.of());
         System.out.println(comparison);
-        return ScaleLine.of(run, comparison.rSquared());
+        return SummaryLine.of(run, comparison.rSquared());
     }
 
     private List<SceneResult> simulate(Mechanism mechanism) {
-        ExecutorService threads = Executors.newFixedThreadPool(SIMULATIONS, ScaleBench::daemon);
+        ExecutorService threads = Executors.newFixedThreadPool(PARALLEL_SIMULATIONS, ScaleBench::daemon);
         List<CompletableFuture<List<SceneResult>>> groups = groups().stream()
                 .map(group -> CompletableFuture.supplyAsync(() -> simulate(mechanism, group), threads))
                 .toList();
@@ -61,14 +62,14 @@
     /** Each simulation starts a fleet of its own; what it plays before a scene differs from the socket run's. */
     private List<List<SceneName>> groups() {
         List<List<SceneName>> groups = new ArrayList<>();
-        for (int i = 0; i < SIMULATIONS; i++) {
+        for (int i = 0; i < PARALLEL_SIMULATIONS; i++) {
             groups.add(new ArrayList<>());
         }
-        List<SceneName> scenes = options.only().stream()
+        List<SceneName> scenes = options.scenes().stream()
                 .filter(scene -> scene != SceneName.START)
                 .toList();
         for (int i = 0; i < scenes.size(); i++) {
-            groups.get(i % SIMULATIONS).add(scenes.get(i));
+            groups.get(i % PARALLEL_SIMULATIONS).add(scenes.get(i));
         }
         groups.removeIf(List::isEmpty);
         return groups;
@@ -80,7 +81,7 @@
         return thread;
     }
 
-    private ScaleRun onSockets(Mechanism mechanism) throws IOException {
+    private ScaleRun playOnSockets(Mechanism mechanism) throws IOException {
         FleetLayout layout = new FleetLayout(options.brokers());
         Path directory = Files.createDirectories(LOGS);
         List<SceneResult> results = new ArrayList<>();
@@ -88,9 +89,9 @@
                 layout, mechanism, options.real(), options.perProcess(), JAR.toAbsolutePath(), directory)) {
             SceneScript script = new SceneScript(fleet, mechanism, SceneResult.SOCKETS, options.times(), result -> {
                 results.add(result);
-                result(result);
+                addResult(result);
             });
-            options.only().forEach(script::play);
+            options.scenes().forEach(script::play);
             if (fleet.realBrokers() != null) {
                 System.out.printf(
                         Locale.ROOT,
@@ -106,10 +107,11 @@
 
     private List<SceneResult> simulate(Mechanism mechanism, List<SceneName> scenes) {
         List<SceneResult> results = new ArrayList<>();
-        try (SimulatedFleet fleet = new SimulatedFleet(new FleetLayout(options.brokers()), mechanism, TWIN_SEED)) {
+        try (SimulatedFleet fleet =
+                new SimulatedFleet(new FleetLayout(options.brokers()), mechanism, SIMULATION_SEED)) {
             SceneScript script = new SceneScript(fleet, mechanism, SceneResult.SIMULATED, options.times(), result -> {
                 results.add(result);
-                result(result);
+                addResult(result);
             });
             script.play(SceneName.START);
             scenes.forEach(script::play);
@@ -127,7 +129,7 @@
     public static void main(String[] args) throws IOException {
         ScaleOptions options = ScaleOptions.parse(args);
         ScaleBench bench = new ScaleBench(options);
-        List<ScaleLine> lines = new ArrayList<>();
+        List<SummaryLine> lines = new ArrayList<>();
         for (Mechanism mechanism : options.mechanisms()) {
             lines.add(bench.play(mechanism));
         }
--- a/src/test/java/dockshed/scale/ScaleFleet.java
+++ b/src/test/java/dockshed/scale/ScaleFleet.java
@@ -25,20 +25,20 @@
     /** The broker stands still for so long, and goes on. */
     void pause(int broker, long millis);
 
-    /** Nothing comes through from one set to the other until {@link #join}. */
+    /** Nothing comes through from one set to the other until {@link #heal}. */
     void cut(BitSet from, BitSet to);
 
     /** All cuts are over. */
-    void join();
+    void heal();
 
     /** On every link from now on. */
-    void lose(double share);
+    void setLoss(double share);
 
     /** The broker has something to share with all others; {@link Observations} tell who knows it. */
-    void change(int broker, int change);
+    void publishChange(int broker, int change);
 
-    /** Whether {@link ChangeSeen} is told of a broker. */
-    boolean reportsChanges(int broker);
+    /** Whether {@link ChangeObservation} is told of a broker. */
+    boolean observesChanges(int broker);
 
     Observations collect();
 
--- a/src/test/java/dockshed/scale/ScaleOptions.java
+++ b/src/test/java/dockshed/scale/ScaleOptions.java
@@ -13,8 +13,8 @@
  * @param real       processes of the built jar
  * @param perProcess hollow brokers of a process at most
  * @param sockets    whether processes play the script
- * @param twin       whether the simulated network does
- * @param only       the scenes played; the start is always
+ * @param simulation       whether the simulated network does
+ * @param scenes       the scenes played; the start is always
  */
 record ScaleOptions(
         boolean quick,
@@ -23,11 +23,11 @@
         int real,
         int perProcess,
         boolean sockets,
-        boolean twin,
-        List<SceneName> only) {
-    private static final int WANTED_BROKERS = 510;
-    private static final int REAL = 8;
-    private static final int PER_PROCESS = 72;
+        boolean simulation,
+        List<SceneName> scenes) {
+    private static final int DEFAULT_BROKERS = 510;
+    private static final int DEFAULT_REAL_BROKERS = 8;
+    private static final int DEFAULT_HOLLOW_PER_PROCESS = 72;
     private static final List<SceneName> QUICK_SCENES =
             List.of(SceneName.START, SceneName.STEADY, SceneName.CHANGES, SceneName.ZONE);
 
@@ -39,9 +39,9 @@
         boolean quick = false;
         boolean sockets = true;
         boolean twin = true;
-        int brokers = WANTED_BROKERS;
-        int real = REAL;
-        int perProcess = PER_PROCESS;
+        int brokers = DEFAULT_BROKERS;
+        int real = DEFAULT_REAL_BROKERS;
+        int perProcess = DEFAULT_HOLLOW_PER_PROCESS;
         List<Mechanism> mechanisms = List.of(Mechanism.values());
         List<SceneName> only = null;
         List<String> rest = new ArrayList<>(List.of(arguments));
@@ -59,7 +59,7 @@
                 default -> throw new IllegalArgumentException("unknown option " + option + "; " + USAGE);
             }
         }
-        List<SceneName> scenes = only != null ? only : quick ? QUICK_SCENES : SceneScript.all();
+        List<SceneName> scenes = only != null ? only : quick ? QUICK_SCENES : SceneScript.allScenes();
         return new ScaleOptions(quick, mechanisms, brokers, real, perProcess, sockets, twin, scenes);
     }
 
--- a/src/test/java/dockshed/scale/ScaleReportTest.java
+++ b/src/test/java/dockshed/scale/ScaleReportTest.java
@@ -51,12 +51,12 @@
         for (int i = 1; i <= 98; i++) {
             delays.add(i * 1000);
         }
-        delays.addNever();
-        delays.addNever();
+        delays.addUnfinished();
+        delays.addUnfinished();
         assertEquals(50, delays.percentile(50), 0.1);
         assertEquals(98, delays.percentile(98), 0.1);
         assertTrue(Double.isInfinite(delays.percentile(99)));
-        assertEquals(0.98, delays.endedShare(), 1e-9);
+        assertEquals(0.98, delays.finishedShare(), 1e-9);
     }
 
     @Test
@@ -70,23 +70,23 @@
     }
 
     /** Broker 0 calls broker 1 dead at a time; the script had it down from 10 s to 12 s. */
-    private static int[] judged(long atMillis) {
+    private static int[] deathsCounted(long atMillis) {
         FleetRecorder recorder = new FleetRecorder(Mechanism.FULL_MESH.visibility(new FleetLayout(3)), 3);
         recorder.started(BrokerRanges.of(0, 1, 2), 0);
         recorder.stopped(BrokerRanges.of(1), 10_000);
         if (atMillis > 12_000) {
             recorder.started(BrokerRanges.of(1), 12_000);
         }
-        recorder.take(new Observations(List.of(new MembershipChange(atMillis, 0, "1", "")), List.of()));
-        return new int[] {recorder.takeFalselyDead(), recorder.takeLatelyDead()};
+        recorder.record(new Observations(List.of(new MembershipChange(atMillis, 0, "1", "")), List.of()));
+        return new int[] {recorder.drainFalseDeaths(), recorder.drainLateDeaths()};
     }
 
     @Test
     void aDeathIsFalseWhereTheBrokerRanAndWasReachable() {
-        assertEquals(List.of(0, 0), List.of(judged(11_000)[0], judged(11_000)[1]));
-        assertEquals(List.of(0, 1), List.of(judged(13_000)[0], judged(13_000)[1]));
-        assertEquals(List.of(1, 0), List.of(judged(30_000)[0], judged(30_000)[1]));
-        assertEquals(List.of(1, 0), List.of(judged(3_000)[0], judged(3_000)[1]));
+        assertEquals(List.of(0, 0), List.of(deathsCounted(11_000)[0], deathsCounted(11_000)[1]));
+        assertEquals(List.of(0, 1), List.of(deathsCounted(13_000)[0], deathsCounted(13_000)[1]));
+        assertEquals(List.of(1, 0), List.of(deathsCounted(30_000)[0], deathsCounted(30_000)[1]));
+        assertEquals(List.of(1, 0), List.of(deathsCounted(3_000)[0], deathsCounted(3_000)[1]));
     }
 
     @Test
@@ -95,7 +95,7 @@
         outages.cut(BrokerRanges.of(0), BrokerRanges.of(1), 10_000);
         assertFalse(outages.reachable(1, 0, 15_000, 16_000));
         assertTrue(outages.reachable(1, 2, 15_000, 16_000));
-        outages.joined(20_000);
+        outages.healed(20_000);
         assertTrue(outages.reachable(1, 0, 21_000, 22_000));
     }
 
@@ -108,16 +108,16 @@
                 502,
                 15,
                 List.of(scene(SceneResult.SOCKETS, SceneName.ZONE, 20, 21.5, Double.POSITIVE_INFINITY)));
-        ScaleLine line = ScaleLine.of(run, 0.9876);
-        assertEquals(line, ScaleLine.parse(line.toString()));
+        SummaryLine line = SummaryLine.of(run, 0.9876);
+        assertEquals(line, SummaryLine.parse(line.toString()));
         assertEquals("510", line.values().get("brokers"));
         assertEquals("21.5", line.values().get("zone_gone_s"));
         assertEquals("nan", line.values().get("heal_s"));
         assertEquals("0", line.values().get("false_dead"));
         assertEquals("nan", line.values().get("disagree"), "what was not measured is not zero");
         assertEquals("0.9876", line.values().get("r2"));
-        assertThrows(IllegalArgumentException.class, () -> ScaleLine.parse("scale brokers"));
-        assertThrows(IllegalArgumentException.class, () -> ScaleLine.parse("something else"));
+        assertThrows(IllegalArgumentException.class, () -> SummaryLine.parse("scale brokers"));
+        assertThrows(IllegalArgumentException.class, () -> SummaryLine.parse("something else"));
     }
 
     @Test
@@ -129,7 +129,7 @@
 
     @Test
     void theTwinIsComparedSceneByScene() {
-        TwinComparison comparison = TwinComparison.of(
+        SimulationComparison comparison = SimulationComparison.of(
                 List.of(
                         scene(SceneResult.SOCKETS, SceneName.ZONE, 10, 20, 30),
                         scene(SceneResult.SOCKETS, SceneName.REGIONS, 5, 6, Double.POSITIVE_INFINITY)),
@@ -148,7 +148,7 @@
         assertEquals(510, ScaleOptions.parse("--quick").brokers());
         assertEquals(
                 List.of(SceneName.START, SceneName.ZONE),
-                ScaleOptions.parse("--scenes", "zone").only());
+                ScaleOptions.parse("--scenes", "zone").scenes());
         assertThrows(IllegalArgumentException.class, () -> ScaleOptions.parse("--slow"));
         assertThrows(IllegalArgumentException.class, () -> ScaleOptions.parse("--brokers"));
     }
--- a/src/test/java/dockshed/scale/SceneResult.java
+++ b/src/test/java/dockshed/scale/SceneResult.java
@@ -15,7 +15,7 @@
         String run, Mechanism mechanism, int brokers, SceneName scene, double seconds, Map<Metric, Double> figures) {
     static final String SOCKETS = "sockets";
     static final String SIMULATED = "simulated";
-    private static final String NOT_YIELDED = "-";
+    private static final String NOT_MEASURED = "-";
     private static final int FRACTION_DIGITS = 4;
 
     SceneResult {
@@ -35,12 +35,12 @@
         return header.toString();
     }
 
-    /** Columns that the scene does not yield hold {@link #NOT_YIELDED}. */
+    /** Columns that the scene does not yield hold {@link #NOT_MEASURED}. */
     String csvRow() {
         StringBuilder row = new StringBuilder(
                 String.join(",", run, mechanism.label(), Integer.toString(brokers), scene.label(), format(seconds)));
         for (Metric metric : Metric.values()) {
-            row.append(',').append(figures.containsKey(metric) ? format(figures.get(metric)) : NOT_YIELDED);
+            row.append(',').append(figures.containsKey(metric) ? format(figures.get(metric)) : NOT_MEASURED);
         }
         return row.toString();
     }
--- a/src/test/java/dockshed/scale/SceneScript.java
+++ b/src/test/java/dockshed/scale/SceneScript.java
@@ -12,18 +12,18 @@
 /** Plays scenes on a fleet, real or simulated, and works out each one's figures. */
 final class SceneScript {
     /** The wanted rate is 460 changes a day; the scene has thirty times that: one each so many milliseconds. */
-    static final long CHANGE_GAP_MILLIS = 24L * 3600 * 1000 / (460 * 30);
+    static final long CHANGE_INTERVAL_MILLIS = 24L * 3600 * 1000 / (460 * 30);
 
-    static final int RESTARTS = 62;
+    static final int RESTART_COUNT = 62;
     static final long PAUSE_MILLIS = 5_000;
-    static final double LITTLE_LOSS = 0.01;
-    static final double MUCH_LOSS = 0.2;
+    static final double LOW_LOSS_SHARE = 0.01;
+    static final double HIGH_LOSS_SHARE = 0.2;
     /** The zone that is lost: of the first region, with the higher number of brokers. */
-    static final int LOST_ZONE = 1;
+    static final int KILLED_ZONE = 1;
 
-    private static final long STEP_MILLIS = 250;
+    private static final long POLL_INTERVAL_MILLIS = 250;
     /** Changes are numbered from here on. */
-    static final int FIRST_CHANGE = 1_000_000;
+    static final int FIRST_CHANGE_NUMBER = 1_000_000;
 
     private final ScaleFleet fleet;
     private final Mechanism mechanism;
@@ -33,7 +33,7 @@
     private final FleetLayout layout;
     private final Visibility visibility;
     private final FleetRecorder recorder;
-    private int nextChange = FIRST_CHANGE;
+    private int nextChange = FIRST_CHANGE_NUMBER;
 
     SceneScript(ScaleFleet fleet, Mechanism mechanism, String run, ScriptTimes times, Consumer<SceneResult> results) {
         this.fleet = fleet;
@@ -54,24 +54,24 @@
         Map<Metric, Double> figures = new EnumMap<>(Metric.class);
         switch (scene) {
             case START -> start(figures);
-            case STEADY -> advance(times.window());
-            case MACHINES -> lost(machines(), figures);
+            case STEADY -> advance(times.windowMillis());
+            case MACHINES -> killAndRestart(twoMachines(), figures);
             case CHANGES -> changes(figures);
             case RESTARTS -> restarts(figures);
             case PAUSE -> pause(figures);
-            case ZONE -> lost(layout.zone(LOST_ZONE), figures);
+            case ZONE -> killAndRestart(layout.zone(KILLED_ZONE), figures);
             case REGIONS -> regions(true, figures);
             case REGIONS_ONE_WAY -> regions(false, figures);
-            case LOSS_1 -> loss(LITTLE_LOSS, figures);
-            case LOSS_20 -> loss(MUCH_LOSS, figures);
+            case LOSS_1 -> loss(LOW_LOSS_SHARE, figures);
+            case LOSS_20 -> loss(HIGH_LOSS_SHARE, figures);
         }
         double seconds = (fleet.nowMillis() - began) / 1e3;
-        traffic(before, runningBefore, seconds, figures);
-        afterwards(scene, figures);
+        putTraffic(before, runningBefore, seconds, figures);
+        finish(scene, figures);
         figures.put(Metric.OBSERVERS, (double) recorder.running().cardinality());
-        figures.put(Metric.FALSE_DEAD, (double) recorder.takeFalselyDead());
-        figures.put(Metric.LATE_DEAD, (double) recorder.takeLatelyDead());
-        figures.put(Metric.SCOPES_LOST, (double) recorder.takeFalselyLostScopes());
+        figures.put(Metric.FALSE_DEAD, (double) recorder.drainFalseDeaths());
+        figures.put(Metric.LATE_DEAD, (double) recorder.drainLateDeaths());
+        figures.put(Metric.SCOPES_LOST, (double) recorder.drainFalseScopeLosses());
         results.accept(new SceneResult(run, mechanism, layout.brokers(), scene, seconds, figures));
     }
 
@@ -80,26 +80,26 @@
     private void start(Map<Metric, Double> figures) {
         long since = fleet.nowMillis();
         startBrokers(layout.all());
-        awaitAllListed(times.startMost());
-        healed(since, figures);
+        awaitAllListed(times.startMaxMillis());
+        putHealDelays(since, figures);
     }
 
     /** What is read of the brokers at the end, and takes a while itself. */
-    private void afterwards(SceneName scene, Map<Metric, Double> figures) {
+    private void finish(SceneName scene, Map<Metric, Double> figures) {
         switch (scene) {
             case STEADY -> {
-                figureAges(figures);
-                memory(figures);
+                putFigureAges(figures);
+                putMemory(figures);
             }
             case LOSS_1, LOSS_20 -> {
-                figureAges(figures);
-                fleet.lose(0);
+                putFigureAges(figures);
+                fleet.setLoss(0);
             }
             default -> {}
         }
     }
 
-    private void memory(Map<Metric, Double> figures) {
+    private void putMemory(Map<Metric, Double> figures) {
         double memory = fleet.memoryKb();
         if (!Double.isNaN(memory)) {
             figures.put(Metric.MEMORY_KB, memory);
@@ -107,73 +107,74 @@
     }
 
     /** Two hollow brokers of different regions: an ordinary day's loss. */
-    private BitSet machines() {
+    private BitSet twoMachines() {
         int inZone = layout.brokers() / FleetLayout.ZONES / 2;
         return BrokerRanges.of(layout.firstOfZone(2) + inZone, layout.firstOfZone(5) + inZone);
     }
 
-    private void lost(BitSet brokers, Map<Metric, Double> figures) {
+    private void killAndRestart(BitSet brokers, Map<Metric, Double> figures) {
         long killed = fleet.nowMillis();
         recorder.stopped(brokers, killed);
         fleet.kill(brokers);
         BitSet others = recorder.running();
-        BitSet lost = visibility.wholeOf(brokers);
-        await(() -> recorder.all(others, lost, false), times.detectMost());
-        detected(recorder.listing(others, lost, false, killed), figures);
+        BitSet lost = visibility.withScopesCovered(brokers);
+        await(() -> recorder.listsMatch(others, lost, false), times.detectMaxMillis());
+        putDetectionDelays(recorder.listingDelays(others, lost, false, killed), figures);
         long back = fleet.nowMillis();
         startBrokers(brokers);
-        awaitAllListed(times.healMost());
-        healed(back, figures);
+        awaitAllListed(times.healMaxMillis());
+        putHealDelays(back, figures);
     }
 
     private void changes(Map<Metric, Double> figures) {
         Delays delays = new Delays();
-        for (int i = 0; i < times.changes(); i++) {
-            boolean last = i + 1 == times.changes();
-            delays.add(change(last ? times.changeMost() : CHANGE_GAP_MILLIS, last));
+        for (int i = 0; i < times.changeCount(); i++) {
+            boolean last = i + 1 == times.changeCount();
+            delays.add(change(last ? times.changeMaxMillis() : CHANGE_INTERVAL_MILLIS, last));
         }
-        changed(delays, figures);
+        putChangeDelays(delays, figures);
     }
 
     /** One change at one broker; waits until all know it, and for the time of the next where there is one. */
     private Delays change(long most, boolean last) {
         int change = nextChange++;
         int owner = layout.firstOfZone(change % FleetLayout.ZONES) + 5 + change % 7;
-        while (!fleet.reportsChanges(owner)) {
+        while (!fleet.observesChanges(owner)) {
             owner++;
         }
         BitSet observers = recorder.running();
-        observers.and(visibility.scopeOf(owner));
-        observers.stream().filter(broker -> !fleet.reportsChanges(broker)).forEach(observers::clear);
+        observers.and(visibility.brokersInScopeOf(owner));
+        observers.stream().filter(broker -> !fleet.observesChanges(broker)).forEach(observers::clear);
         long at = fleet.nowMillis();
-        fleet.change(owner, change);
-        BooleanSupplier known = () -> recorder.knowing(observers, change, at).endedShare() == 1;
+        fleet.publishChange(owner, change);
+        BooleanSupplier known =
+                () -> recorder.changeDelays(observers, change, at).finishedShare() == 1;
         if (last) {
             await(known, most);
         } else {
             advance(most);
         }
-        return recorder.knowing(observers, change, at);
+        return recorder.changeDelays(observers, change, at);
     }
 
     /** Hollow brokers only: how long a real one's planned end takes is its viewers' affair. */
     private void restarts(Map<Metric, Double> figures) {
         long since = fleet.nowMillis();
-        for (int i = 0; i < Math.min(RESTARTS, layout.brokers() / 2); i++) {
-            int broker = i * layout.brokers() / RESTARTS % layout.brokers();
-            while (!fleet.reportsChanges(broker)) {
+        for (int i = 0; i < Math.min(RESTART_COUNT, layout.brokers() / 2); i++) {
+            int broker = i * layout.brokers() / RESTART_COUNT % layout.brokers();
+            while (!fleet.observesChanges(broker)) {
                 broker++;
             }
             BitSet one = BrokerRanges.of(broker);
             recorder.stopped(one, fleet.nowMillis());
             fleet.leave(one);
-            advance(times.restartGap() / 2);
+            advance(times.restartIntervalMillis() / 2);
             startBrokers(one);
             since = fleet.nowMillis();
-            advance(times.restartGap() / 2);
+            advance(times.restartIntervalMillis() / 2);
         }
-        awaitAllListed(times.healMost());
-        healed(since, figures);
+        awaitAllListed(times.healMaxMillis());
+        putHealDelays(since, figures);
     }
 
     private void pause(Map<Metric, Double> figures) {
@@ -184,9 +185,9 @@
             fleet.pause(broker, PAUSE_MILLIS);
         }
         advance(PAUSE_MILLIS);
-        awaitAllListed(times.healMost());
-        advance(STEP_MILLIS);
-        healed(began + PAUSE_MILLIS, figures);
+        awaitAllListed(times.healMaxMillis());
+        advance(POLL_INTERVAL_MILLIS);
+        putHealDelays(began + PAUSE_MILLIS, figures);
     }
 
     private void regions(boolean bothWays, Map<Metric, Double> figures) {
@@ -197,17 +198,19 @@
         if (bothWays) {
             cut(second, first, cutAt);
         }
-        BitSet ofFirst = visibility.wholeOf(first);
-        BitSet ofSecond = visibility.wholeOf(second);
-        await(() -> recorder.all(first, ofSecond, false) && recorder.all(second, ofFirst, false), times.detectMost());
-        Delays delays = recorder.listing(first, ofSecond, false, cutAt);
-        delays.add(recorder.listing(second, ofFirst, false, cutAt));
-        detected(delays, figures);
+        BitSet ofFirst = visibility.withScopesCovered(first);
+        BitSet ofSecond = visibility.withScopesCovered(second);
+        await(
+                () -> recorder.listsMatch(first, ofSecond, false) && recorder.listsMatch(second, ofFirst, false),
+                times.detectMaxMillis());
+        Delays delays = recorder.listingDelays(first, ofSecond, false, cutAt);
+        delays.add(recorder.listingDelays(second, ofFirst, false, cutAt));
+        putDetectionDelays(delays, figures);
         long joined = fleet.nowMillis();
-        fleet.join();
-        recorder.outages().joined(fleet.nowMillis());
-        awaitAllListed(times.healMost());
-        healed(joined, figures);
+        fleet.heal();
+        recorder.outages().healed(fleet.nowMillis());
+        awaitAllListed(times.healMaxMillis());
+        putHealDelays(joined, figures);
     }
 
     private void cut(BitSet from, BitSet to, long atMillis) {
@@ -216,8 +219,8 @@
     }
 
     private void loss(double share, Map<Metric, Double> figures) {
-        fleet.lose(share);
-        changed(change(times.window(), false), figures);
+        fleet.setLoss(share);
+        putChangeDelays(change(times.windowMillis(), false), figures);
     }
 
     // ---- Steps.
@@ -229,44 +232,44 @@
 
     private void advance(long millis) {
         fleet.advance(millis);
-        recorder.take(fleet.collect());
+        recorder.record(fleet.collect());
     }
 
     private void await(BooleanSupplier condition, long most) {
         long until = fleet.nowMillis() + most;
         do {
-            advance(STEP_MILLIS);
+            advance(POLL_INTERVAL_MILLIS);
         } while (!condition.getAsBoolean() && fleet.nowMillis() < until);
     }
 
     private void awaitAllListed(long most) {
         BitSet running = recorder.running();
-        BitSet there = visibility.anyOf(running);
-        await(() -> recorder.all(running, there, true), most);
+        BitSet there = visibility.withScopesTouched(running);
+        await(() -> recorder.listsMatch(running, there, true), most);
     }
 
     // ---- Figures.
 
-    private static void detected(Delays delays, Map<Metric, Double> figures) {
+    private static void putDetectionDelays(Delays delays, Map<Metric, Double> figures) {
         figures.put(Metric.DETECT_P50_S, delays.percentile(50));
         figures.put(Metric.DETECT_P99_S, delays.percentile(99));
         figures.put(Metric.GONE_S, delays.longest());
     }
 
-    private void healed(long since, Map<Metric, Double> figures) {
+    private void putHealDelays(long since, Map<Metric, Double> figures) {
         BitSet running = recorder.running();
-        Delays delays = recorder.listing(running, visibility.anyOf(running), true, since);
+        Delays delays = recorder.listingDelays(running, visibility.withScopesTouched(running), true, since);
         figures.put(Metric.HEAL_S, delays.longest());
         figures.put(Metric.HEAL_P99_S, delays.percentile(99));
     }
 
-    private static void changed(Delays delays, Map<Metric, Double> figures) {
+    private static void putChangeDelays(Delays delays, Map<Metric, Double> figures) {
         figures.put(Metric.CHANGE_P50_S, delays.percentile(50));
         figures.put(Metric.CHANGE_P99_S, delays.percentile(99));
-        figures.put(Metric.CHANGE_REACHED, delays.endedShare());
+        figures.put(Metric.CHANGE_REACHED, delays.finishedShare());
     }
 
-    private void figureAges(Map<Metric, Double> figures) {
+    private void putFigureAges(Map<Metric, Double> figures) {
         Ages ages = fleet.figureAges();
         long count = ages.ownScope().getTotalCount() + ages.otherScopes().getTotalCount();
         figures.put(Metric.FIGURE_AGE_MEAN_S, ages.ownScope().getMean() / 1e3);
@@ -286,7 +289,7 @@
     }
 
     /** Of brokers that ran at both ends of the scene. */
-    private void traffic(
+    private void putTraffic(
             Map<Integer, BrokerTotals> before, BitSet ranBefore, double seconds, Map<Metric, Double> figures) {
         BitSet running = recorder.running();
         running.and(ranBefore.isEmpty() ? running : ranBefore);
@@ -320,7 +323,7 @@
     }
 
     /** In the order played; scenes that are left out have no result. */
-    static List<SceneName> all() {
+    static List<SceneName> allScenes() {
         return List.of(SceneName.values());
     }
 }
--- a/src/test/java/dockshed/scale/SimulatedFleet.java
+++ b/src/test/java/dockshed/scale/SimulatedFleet.java
@@ -10,29 +10,29 @@
 /** The same control code on the simulated network and clock; one seed replays all. */
 final class SimulatedFleet implements ScaleFleet {
     /** As often as a host publishes what it knows. */
-    private static final long SAMPLE_MILLIS = 100;
+    private static final long OBSERVE_INTERVAL_MILLIS = 100;
 
     /** As {@link HollowProcess} offers them. */
-    private static final long FIGURES_MILLIS = 250;
+    private static final long LOAD_SAMPLE_INTERVAL_MILLIS = 250;
 
     private final FleetLayout layout;
     private final Visibility visibility;
-    private final FleetSimulationDriver twin;
-    private final Map<Integer, Integer> watched = new TreeMap<>();
+    private final FleetSimulationDriver simulation;
+    private final Map<Integer, Integer> ownerByChange = new TreeMap<>();
     private final BitSet[] listed;
-    private final BitSet[] known;
+    private final BitSet[] knownChanges;
     private Observations observed = Observations.empty();
-    private long figuresAt;
+    private long nextLoadSampleMillis;
 
     SimulatedFleet(FleetLayout layout, Mechanism mechanism, long seed) {
         this.layout = layout;
         visibility = mechanism.visibility(layout);
-        twin = new FleetSimulationDriver(layout.brokers(), mechanism.settings(layout), seed);
+        simulation = new FleetSimulationDriver(layout.brokers(), mechanism.settings(layout), seed);
         listed = new BitSet[layout.brokers()];
-        known = new BitSet[layout.brokers()];
+        knownChanges = new BitSet[layout.brokers()];
         for (int i = 0; i < layout.brokers(); i++) {
             listed[i] = new BitSet();
-            known[i] = new BitSet();
+            knownChanges[i] = new BitSet();
         }
     }
 
@@ -43,41 +43,41 @@
 
     @Override
     public long nowMillis() {
-        return twin.nowMillis();
+        return simulation.nowMillis();
     }
 
     @Override
     public void advance(long millis) {
         for (long until = nowMillis() + millis; nowMillis() < until; ) {
-            if (nowMillis() >= figuresAt) {
-                twin.offerLoadSamples(FIGURES_MILLIS);
-                figuresAt = nowMillis() + FIGURES_MILLIS;
+            if (nowMillis() >= nextLoadSampleMillis) {
+                simulation.offerLoadSamples(LOAD_SAMPLE_INTERVAL_MILLIS);
+                nextLoadSampleMillis = nowMillis() + LOAD_SAMPLE_INTERVAL_MILLIS;
             }
-            twin.run(Math.min(SAMPLE_MILLIS, until - nowMillis()));
-            sample();
+            simulation.run(Math.min(OBSERVE_INTERVAL_MILLIS, until - nowMillis()));
+            observe();
         }
     }
 
-    private void sample() {
+    private void observe() {
         for (int observer = 0; observer < layout.brokers(); observer++) {
-            if (twin.isRunning(observer)) {
-                sample(observer);
+            if (simulation.isRunning(observer)) {
+                observe(observer);
             }
         }
     }
 
-    private void sample(int observer) {
-        BitSet now = twin.presentMembers(observer);
-        twin.knownScopes(observer).stream().forEach(scope -> now.set(visibility.subjectOfScope(scope)));
+    private void observe(int observer) {
+        BitSet now = simulation.presentMembers(observer);
+        simulation.knownScopes(observer).stream().forEach(scope -> now.set(visibility.subjectOfScope(scope)));
         if (!now.equals(listed[observer])) {
             observed.membership().add(MembershipChange.of(nowMillis(), observer, listed[observer], now));
             listed[observer] = now;
         }
-        watched.forEach((change, owner) -> {
-            int index = change - SceneScript.FIRST_CHANGE;
-            if (!known[observer].get(index) && twin.hasHealthReport(observer, change, owner)) {
-                known[observer].set(index);
-                observed.changes().add(new ChangeSeen(nowMillis(), observer, change));
+        ownerByChange.forEach((change, owner) -> {
+            int index = change - SceneScript.FIRST_CHANGE_NUMBER;
+            if (!knownChanges[observer].get(index) && simulation.hasHealthReport(observer, change, owner)) {
+                knownChanges[observer].set(index);
+                observed.changes().add(new ChangeObservation(nowMillis(), observer, change));
             }
         });
     }
@@ -86,49 +86,49 @@
     public void start(BitSet brokers) {
         brokers.stream().forEach(broker -> {
             listed[broker].clear();
-            known[broker].clear();
-            twin.start(broker);
+            knownChanges[broker].clear();
+            simulation.start(broker);
         });
     }
 
     @Override
     public void kill(BitSet brokers) {
-        brokers.stream().forEach(twin::kill);
+        brokers.stream().forEach(simulation::kill);
     }
 
     @Override
     public void leave(BitSet brokers) {
-        brokers.stream().forEach(twin::leave);
+        brokers.stream().forEach(simulation::leave);
     }
 
     @Override
     public void pause(int broker, long millis) {
-        twin.pause(broker, millis);
+        simulation.pause(broker, millis);
     }
 
     @Override
     public void cut(BitSet from, BitSet to) {
-        twin.partition(from, to);
+        simulation.partition(from, to);
     }
 
     @Override
-    public void join() {
-        twin.heal();
+    public void heal() {
+        simulation.heal();
     }
 
     @Override
-    public void lose(double share) {
-        twin.setLoss(share);
+    public void setLoss(double share) {
+        simulation.setLoss(share);
     }
 
     @Override
-    public void change(int broker, int change) {
-        watched.put(change, broker);
-        twin.reportServerDown(broker, change);
+    public void publishChange(int broker, int change) {
+        ownerByChange.put(change, broker);
+        simulation.reportServerDown(broker, change);
     }
 
     @Override
-    public boolean reportsChanges(int broker) {
+    public boolean observesChanges(int broker) {
         return true;
     }
 
@@ -143,13 +143,16 @@
     public List<BrokerTotals> totals() {
         return layout.all().stream()
                 .mapToObj(broker -> new BrokerTotals(
-                        broker, twin.bytesSent(broker), twin.bytesReceived(broker), BrokerTotals.UNMEASURED))
+                        broker,
+                        simulation.bytesSent(broker),
+                        simulation.bytesReceived(broker),
+                        BrokerTotals.UNMEASURED))
                 .toList();
     }
 
     @Override
     public Ages figureAges() {
-        return twin.figureAges();
+        return simulation.figureAges();
     }
 
     @Override
--- a/src/test/java/dockshed/scale/TwinComparison.java
+++ b/src/test/java/dockshed/scale/SimulationComparison.java
@@ -17,8 +17,8 @@
  * @param bytesError    largest of the relative differences of bytes a second, in the scenes of a fixed length
  * @param onlyOneEnded  delays that came to an end in one of the two only
  */
-record TwinComparison(int pairs, double rSquared, double delayError, double bytesError, int onlyOneEnded) {
-    private static final List<Metric> DELAYS = List.of(
+record SimulationComparison(int pairs, double rSquared, double delayError, double bytesError, int onlyOneEnded) {
+    private static final List<Metric> COMPARED_DELAYS = List.of(
             Metric.DETECT_P50_S,
             Metric.DETECT_P99_S,
             Metric.GONE_S,
@@ -30,25 +30,26 @@
             Metric.CHANGE_P50_S,
             Metric.CHANGE_P99_S);
     /** Scenes of a fixed length, in which processes do not start. */
-    private static final Set<SceneName> BYTES_COMPARED =
+    private static final Set<SceneName> SCENES_WITH_COMPARED_BYTES =
             EnumSet.of(SceneName.STEADY, SceneName.LOSS_1, SceneName.LOSS_20);
     /** Delays under this are the sampling's: their relative difference says nothing. */
-    private static final double LEAST_SECONDS = 0.2;
+    private static final double MIN_COMPARED_SECONDS = 0.2;
 
-    static TwinComparison of(List<SceneResult> sockets, List<SceneResult> simulated) {
+    static SimulationComparison of(List<SceneResult> sockets, List<SceneResult> simulated) {
         List<double[]> delays = new ArrayList<>();
         int onlyOneEnded = 0;
         double bytesError = 0;
         for (SceneResult real : sockets) {
-            Optional<SceneResult> match = twinOf(real, simulated);
+            Optional<SceneResult> match = matchOf(real, simulated);
             if (match.isEmpty()) {
                 continue;
             }
             SceneResult twin = match.get();
-            if (BYTES_COMPARED.contains(real.scene())) {
-                bytesError = Math.max(bytesError, error(real.figure(Metric.BYTES_S), twin.figure(Metric.BYTES_S)));
+            if (SCENES_WITH_COMPARED_BYTES.contains(real.scene())) {
+                bytesError =
+                        Math.max(bytesError, relativeError(real.figure(Metric.BYTES_S), twin.figure(Metric.BYTES_S)));
             }
-            for (Metric metric : DELAYS) {
+            for (Metric metric : COMPARED_DELAYS) {
                 double a = real.figure(metric);
                 double b = twin.figure(metric);
                 if (Double.isFinite(a) && Double.isFinite(b)) {
@@ -58,10 +59,10 @@
                 }
             }
         }
-        return new TwinComparison(delays.size(), rSquared(delays), medianError(delays), bytesError, onlyOneEnded);
+        return new SimulationComparison(delays.size(), rSquared(delays), medianError(delays), bytesError, onlyOneEnded);
     }
 
-    private static Optional<SceneResult> twinOf(SceneResult real, List<SceneResult> simulated) {
+    private static Optional<SceneResult> matchOf(SceneResult real, List<SceneResult> simulated) {
         return simulated.stream()
                 .filter(twin -> twin.scene() == real.scene()
                         && twin.mechanism() == real.mechanism()
@@ -70,7 +71,7 @@
     }
 
     private static double rSquared(List<double[]> delays) {
-        if (delays.size() < LinearFit.LEAST_POINTS) {
+        if (delays.size() < LinearFit.MIN_POINTS) {
             return Double.NaN;
         }
         double[] simulated = delays.stream().mapToDouble(pair -> pair[1]).toArray();
@@ -80,14 +81,14 @@
 
     private static double medianError(List<double[]> delays) {
         double[] errors = delays.stream()
-                .filter(pair -> pair[0] >= LEAST_SECONDS)
-                .mapToDouble(pair -> error(pair[0], pair[1]))
+                .filter(pair -> pair[0] >= MIN_COMPARED_SECONDS)
+                .mapToDouble(pair -> relativeError(pair[0], pair[1]))
                 .sorted()
                 .toArray();
         return errors.length == 0 ? Double.NaN : errors[errors.length / 2];
     }
 
-    private static double error(double sockets, double simulated) {
+    private static double relativeError(double sockets, double simulated) {
         return Math.abs(simulated - sockets) / sockets;
     }
 
--- a/src/test/java/dockshed/scale/ScaleLine.java
+++ b/src/test/java/dockshed/scale/SummaryLine.java
@@ -10,31 +10,31 @@
  *
  * @param values by key, in the order printed
  */
-record ScaleLine(Map<String, String> values) {
-    private static final String BEGINS = "scale ";
+record SummaryLine(Map<String, String> values) {
+    private static final String PREFIX = "scale ";
 
-    ScaleLine {
+    SummaryLine {
         values = new LinkedHashMap<>(values);
     }
 
     /** Throws IllegalArgumentException where the line is none of these. */
-    static ScaleLine parse(String line) {
-        if (!line.startsWith(BEGINS)) {
+    static SummaryLine parse(String line) {
+        if (!line.startsWith(PREFIX)) {
             throw new IllegalArgumentException("expected a line that begins with 'scale ', got: " + line);
         }
         Map<String, String> values = new LinkedHashMap<>();
-        for (String pair : line.substring(BEGINS.length()).split(" ")) {
+        for (String pair : line.substring(PREFIX.length()).split(" ")) {
             int equals = pair.indexOf('=');
             if (equals < 1) {
                 throw new IllegalArgumentException("expected key=value, got: " + pair);
             }
             values.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
-        return new ScaleLine(values);
+        return new SummaryLine(values);
     }
 
     /** Of the socket run's scenes; a figure whose scene was not played is {@code nan}. */
-    static ScaleLine of(ScaleRun run, double rSquared) {
+    static SummaryLine of(ScaleRun run, double rSquared) {
         List<SceneResult> scenes = run.results();
         Map<String, String> values = new LinkedHashMap<>();
         values.put("brokers", Integer.toString(run.brokers()));
@@ -54,7 +54,7 @@
         values.put("disagree", sum(scenes, Metric.DISAGREE));
         values.put("r2", SceneResult.format(rSquared));
         values.put("mechanism", run.mechanism().label());
-        return new ScaleLine(values);
+        return new SummaryLine(values);
     }
 
     private static String figure(List<SceneResult> scenes, SceneName name, Metric metric) {
--- a/src/test/java/dockshed/scale/HeldConnections.java
+++ b/src/test/java/dockshed/scale/ViewerConnections.java
@@ -16,20 +16,20 @@
  * Viewers' connections to one broker: each asks for a session, asks again while it lasts so that it is not idle, and comes
  * back when it was closed, until the broker is not to be reached for good.
  */
-final class HeldConnections {
-    private static final int CONNECT_MILLIS = 1000;
-    private static final long BACK_MILLIS = 500;
-    private static final long ASK_AGAIN_MILLIS = 10_000;
-    private static final int MOST_ANSWER_BYTES = 1 << 16;
+final class ViewerConnections {
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+    private static final long RECONNECT_DELAY_MILLIS = 500;
+    private static final long REQUEST_INTERVAL_MILLIS = 10_000;
+    private static final int MAX_ANSWER_BYTES = 1 << 16;
 
     private final Net net;
     private final InetSocketAddress broker;
     private final int owner;
     private final AtomicInteger open = new AtomicInteger();
     private final AtomicInteger answers = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean stopped;
 
-    HeldConnections(Net net, InetSocketAddress broker, int owner, int count) {
+    ViewerConnections(Net net, InetSocketAddress broker, int owner, int count) {
         this.net = net;
         this.broker = broker;
         this.owner = owner;
@@ -40,24 +40,25 @@
     }
 
     private void connect(int viewer) {
-        if (!over) {
-            net.connect(broker, CONNECT_MILLIS, () -> new Viewer(viewer)).addListener(done -> {
-                if (!done.isSuccess()) {
-                    again(viewer);
-                }
-            });
+        if (!stopped) {
+            net.connect(broker, CONNECT_TIMEOUT_MILLIS, () -> new Viewer(viewer))
+                    .addListener(done -> {
+                        if (!done.isSuccess()) {
+                            reconnectLater(viewer);
+                        }
+                    });
         }
     }
 
-    private void again(int viewer) {
-        if (!over) {
-            net.loop().schedule(() -> connect(viewer), BACK_MILLIS, TimeUnit.MILLISECONDS);
+    private void reconnectLater(int viewer) {
+        if (!stopped) {
+            net.loop().schedule(() -> connect(viewer), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** The broker is gone: nobody comes back. */
     void stop() {
-        over = true;
+        stopped = true;
     }
 
     int open() {
@@ -70,8 +71,8 @@
 
     private final class Viewer extends ByteHandler {
         private final int viewer;
-        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MOST_ANSWER_BYTES);
-        private int asked;
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_ANSWER_BYTES);
+        private int requestsSent;
 
         Viewer(int viewer) {
             this.viewer = viewer;
@@ -80,17 +81,17 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             open.incrementAndGet();
-            ask(ctx);
+            requestSession(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            if (over || !ctx.channel().isActive()) {
+        private void requestSession(ChannelHandlerContext ctx) {
+            if (stopped || !ctx.channel().isActive()) {
                 ctx.close();
                 return;
             }
             String session = String.format("%08x%08x", owner + 1, viewer);
             Map<String, String> headers = new LinkedHashMap<>();
-            headers.put("CSeq", Integer.toString(++asked));
+            headers.put("CSeq", Integer.toString(++requestsSent));
             headers.put("Session", session);
             headers.put("Priority-Class", "refresher");
             headers.put("Expires-Ms", "3000");
@@ -98,7 +99,9 @@
             byte[] request = HttpStyleMessage.encode(
                     "SETUP rtsp://media/lesson RTSP/1.0", headers, "v=0\r\n".getBytes(StandardCharsets.UTF_8));
             ctx.writeAndFlush(Net.toByteBuf(request));
-            ctx.channel().eventLoop().schedule(() -> ask(ctx), ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            ctx.channel()
+                    .eventLoop()
+                    .schedule(() -> requestSession(ctx), REQUEST_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -116,7 +119,7 @@
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             open.decrementAndGet();
-            again(viewer);
+            reconnectLater(viewer);
         }
     }
 }
--- a/src/test/java/dockshed/scale/Visibility.java
+++ b/src/test/java/dockshed/scale/Visibility.java
@@ -18,7 +18,7 @@
         brokers = zones.brokers();
     }
 
-    int subjects() {
+    int subjectCount() {
         return brokers + zones.scopes().size();
     }
 
@@ -32,18 +32,18 @@
     }
 
     /** The subjects that a broker knows of while all is well. */
-    BitSet watched(int observer) {
+    BitSet expectedSubjects(int observer) {
         Scope own = zones.scopeOf(observer);
         BitSet watched = BrokerRanges.between(own.first(), own.first() + own.size());
         if (zones.zoned()) {
-            watched.set(brokers, subjects());
+            watched.set(brokers, subjectCount());
             watched.clear(subjectOfScope(own.number()));
         }
         return watched;
     }
 
     /** The brokers that a subject consists of. */
-    BitSet members(int subject) {
+    BitSet brokersOf(int subject) {
         if (subject < brokers) {
             return BrokerRanges.of(subject);
         }
@@ -52,10 +52,10 @@
     }
 
     /** Brokers and the scopes that have one of them. */
-    BitSet anyOf(BitSet of) {
+    BitSet withScopesTouched(BitSet of) {
         BitSet subjects = (BitSet) of.clone();
         for (Scope scope : zones.scopes()) {
-            if (members(subjectOfScope(scope.number())).intersects(of)) {
+            if (brokersOf(subjectOfScope(scope.number())).intersects(of)) {
                 subjects.set(subjectOfScope(scope.number()));
             }
         }
@@ -63,10 +63,11 @@
     }
 
     /** Brokers and the scopes that have no other. */
-    BitSet wholeOf(BitSet of) {
+    BitSet withScopesCovered(BitSet of) {
         BitSet subjects = (BitSet) of.clone();
         for (Scope scope : zones.scopes()) {
-            if (BrokerRanges.minus(members(subjectOfScope(scope.number())), of).isEmpty()) {
+            if (BrokerRanges.minus(brokersOf(subjectOfScope(scope.number())), of)
+                    .isEmpty()) {
                 subjects.set(subjectOfScope(scope.number()));
             }
         }
@@ -74,7 +75,7 @@
     }
 
     /** The brokers of the scope that a broker is in. */
-    BitSet scopeOf(int broker) {
+    BitSet brokersInScopeOf(int broker) {
         Scope scope = zones.scopeOf(broker);
         return BrokerRanges.between(scope.first(), scope.first() + scope.size());
     }
