--- a/src/test/java/dockshed/scale/BrokerRanges.java
+++ b/src/test/java/dockshed/scale/BrokerRanges.java
@@ -2,10 +2,11 @@
 
 import java.util.BitSet;
 
-/** Sets of broker numbers as text, such as {@code 0-72,80}: the form of the line protocol and of observations. */
+/** Sets of broker numbers written as ranges, such as {@code 0-72,80}, in commands to hollow processes and in observations. */
 final class BrokerRanges {
     private BrokerRanges() {}
 
+    /** Writes a set as ranges, ascending; an empty set is an empty text. */
     static String format(BitSet brokers) {
         StringBuilder text = new StringBuilder();
         for (int first = brokers.nextSetBit(0); first >= 0; ) {
@@ -19,7 +20,11 @@
         return text.toString();
     }
 
-    /** Throws NumberFormatException where the text is no set of ranges. */
+    /**
+     * Reads a set of ranges.
+     *
+     * @throws NumberFormatException if a bound of a range is not an integer
+     */
     static BitSet parse(String text) {
         BitSet brokers = new BitSet();
         if (text.isEmpty()) {
@@ -42,15 +47,17 @@
         return set;
     }
 
+    /** The numbers from {@code first} up to but not including {@code end}. */
     static BitSet between(int first, int end) {
         BitSet set = new BitSet();
         set.set(first, end);
         return set;
     }
 
-    static BitSet minus(BitSet all, BitSet but) {
+    /** The numbers of {@code all} that are not in {@code excluded}; neither argument changes. */
+    static BitSet minus(BitSet all, BitSet excluded) {
         BitSet rest = (BitSet) all.clone();
-        rest.andNot(but);
+        rest.andNot(excluded);
         return rest;
     }
 }
--- a/src/test/java/dockshed/scale/ChangeObservation.java
+++ b/src/test/java/dockshed/scale/ChangeObservation.java
@@ -1,10 +1,10 @@
 package dockshed.scale;
 
 /**
- * A broker knows of something shared for the first time.
+ * A broker was first seen to know of a published change.
  *
- * @param atMillis Unix time at which it was seen
- * @param observer the broker that knows now
- * @param change   which change, by the number that the script gave it
+ * @param atMillis time of the observation, milliseconds of the fleet's clock
+ * @param observer the broker that knows of the change
+ * @param change   the change's number, assigned by {@link SceneScript}
  */
 record ChangeObservation(long atMillis, int observer, int change) {}
--- a/src/test/java/dockshed/scale/Delays.java
+++ b/src/test/java/dockshed/scale/Delays.java
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** Delays in milliseconds, of which some may not have come to their end. */
+/** Delays, some of which may not have finished while they were observed. */
 final class Delays {
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -10,41 +10,43 @@
     private final Histogram finished = new Histogram(SIGNIFICANT_DIGITS);
     private long unfinished;
 
+    /** Adds a finished delay. */
     void add(long millis) {
         finished.recordValue(millis);
     }
 
+    /** Adds a delay that did not finish; it counts as infinite. */
     void addUnfinished() {
         unfinished++;
     }
 
-    void add(Delays more) {
-        finished.add(more.finished);
-        unfinished += more.unfinished;
+    void add(Delays other) {
+        finished.add(other.finished);
+        unfinished += other.unfinished;
     }
 
     long count() {
         return finished.getTotalCount() + unfinished;
     }
 
-    /** The share that has come to its end; 1 where there is none. */
+    /** The share of the delays that finished, 0 to 1; 1 if there are none. */
     double finishedShare() {
         return count() == 0 ? 1 : finished.getTotalCount() / (double) count();
     }
 
-    /** In seconds, within which so many in 100 have ended; infinite where they have not. */
+    /** The percentile, in seconds: infinite if it falls among unfinished delays, NaN if there are no delays. */
     double percentile(double percent) {
         if (count() == 0) {
             return Double.NaN;
         }
-        long wanted = (long) Math.ceil(count() * percent / 100);
-        if (wanted > finished.getTotalCount()) {
+        long rank = (long) Math.ceil(count() * percent / 100);
+        if (rank > finished.getTotalCount()) {
             return Double.POSITIVE_INFINITY;
         }
-        return finished.getValueAtPercentile(100.0 * wanted / finished.getTotalCount()) / MILLIS_PER_SECOND;
+        return finished.getValueAtPercentile(100.0 * rank / finished.getTotalCount()) / MILLIS_PER_SECOND;
     }
 
-    /** Until the last has ended. */
+    /** The longest delay, in seconds; infinite if one did not finish. */
     double longest() {
         return percentile(100);
     }
--- a/src/test/java/dockshed/scale/FaultyPeers.java
+++ b/src/test/java/dockshed/scale/FaultyPeers.java
@@ -9,11 +9,11 @@
 import java.util.function.Supplier;
 
 /**
- * Counts a hollow broker's datagrams and lets the faults of its links act on them: on those that it sends, and on those
- * that it receives from real brokers, which have no such layer of their own.
+ * Counts a hollow broker's datagrams and applies the injected faults to its links: to every datagram it sends, and to those
+ * it receives from real brokers, which have no fault layer of their own.
  */
 final class FaultyPeers implements DatagramPeers {
-    /** Counts over all lives of a broker. */
+    /** Payload bytes of a broker, its restarts included. */
     static final class Counts {
         final AtomicLong bytesSent = new AtomicLong();
         final AtomicLong bytesReceived = new AtomicLong();
@@ -27,6 +27,14 @@
     private final SplittableRandom random;
     private volatile boolean stopped;
 
+    /**
+     * @param me     the broker's number
+     * @param peers  the sockets
+     * @param real   numbers of the fleet's real brokers
+     * @param faults the faults in force now
+     * @param counts counters that outlive this object
+     * @param seed   of the random losses
+     */
     FaultyPeers(int me, DatagramPeers peers, BitSet real, Supplier<LinkFaults> faults, Counts counts, long seed) {
         this.me = me;
         this.peers = peers;
@@ -36,7 +44,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** From now on nothing goes out or comes in, though the loop may turn a little longer. */
+    /** Drops all datagrams from now on, although the event loop may run a little longer. */
     void stop() {
         stopped = true;
     }
--- a/src/test/java/dockshed/scale/FigureAges.java
+++ b/src/test/java/dockshed/scale/FigureAges.java
@@ -7,11 +7,11 @@
 import org.HdrHistogram.HistogramIterationValue;
 
 /**
- * {@link Ages} as they travel between processes.
+ * {@link Ages} in the JSON form in which a hollow process reports them.
  *
- * @param own     pairs of an age in milliseconds and how often it was seen, of brokers' own figures
- * @param others  the same of other scopes' summaries
- * @param missing as there
+ * @param own     ages of figures from the brokers' own scopes: pairs of an age in milliseconds and its count
+ * @param others  ages of other scopes' summaries, in the same form
+ * @param missing figures and summaries that are not held at all
  */
 record FigureAges(List<long[]> own, List<long[]> others, long missing) {
     static FigureAges of(Ages ages) {
@@ -26,6 +26,7 @@
         return counts;
     }
 
+    /** Adds these ages to a total. */
     void addTo(Ages ages) {
         own.forEach(count -> ages.ownScope().recordValueWithCount(count[0], count[1]));
         others.forEach(count -> ages.otherScopes().recordValueWithCount(count[0], count[1]));
--- a/src/test/java/dockshed/scale/FleetLayout.java
+++ b/src/test/java/dockshed/scale/FleetLayout.java
@@ -3,20 +3,21 @@
 import java.util.BitSet;
 
 /**
- * Zones and regions of the fleet under test: seven zones in two regions of four and three, broker numbers running through
- * the zones in order. The first zones have one broker more where the number does not divide evenly.
+ * Zones and regions of the fleet under test: seven zones, four in the first region and three in the second. Broker numbers
+ * ascend zone by zone; if the brokers do not divide evenly, the first zones have one more.
  *
- * @param brokers in all
+ * @param brokers number of brokers in the fleet
  */
 public record FleetLayout(int brokers) {
     static final int ZONES = 7;
     static final int ZONES_OF_FIRST_REGION = 4;
 
-    /** The lowest broker number of a zone; for {@link #ZONES} the number of brokers. */
+    /** The lowest broker number of a zone; for zone {@link #ZONES}, the number of brokers. */
     int firstOfZone(int zone) {
         return zone * (brokers / ZONES) + Math.min(zone, brokers % ZONES);
     }
 
+    /** The brokers of a zone, numbered from 0. */
     BitSet zone(int zone) {
         return BrokerRanges.between(firstOfZone(zone), firstOfZone(zone + 1));
     }
@@ -33,7 +34,7 @@
         return BrokerRanges.between(0, brokers);
     }
 
-    /** Numbers of the real brokers: the first of each zone, then the second of each, and so on. */
+    /** Chooses brokers zone by zone: the first of each zone, then the second of each, and so on. */
     BitSet spreadOverZones(int count) {
         BitSet chosen = new BitSet();
         for (int i = 0; i < count; i++) {
--- a/src/test/java/dockshed/scale/FleetRecorder.java
+++ b/src/test/java/dockshed/scale/FleetRecorder.java
@@ -9,17 +9,18 @@
 import java.util.Set;
 
 /**
- * Whom each broker lists, since when, and which changes it knows: put together from what was observed and held against
- * what the script did. Times are milliseconds of the fleet's clock.
+ * Records which subjects each broker lists as present, since when, and which changes it knows of. Compares the listings
+ * with the outages that the script caused to find false deaths. Times are milliseconds of the fleet's clock; subjects are
+ * numbered as {@link Visibility} describes.
  */
 final class FleetRecorder {
-    /** Whoever is called dead so soon after it was back was not given up anew: an older suspicion ran out. */
+    /** A broker declared dead this soon after it returned counts as late, not false: an earlier suspicion timed out. */
     static final long SETTLING_TIME_MILLIS = 5_000;
 
     private final Visibility visibility;
     private final BitSet running = new BitSet();
     private final BitSet[] listed;
-    private final long[][] changedAt; // [observer][subject]: when it was last listed or listed no more
+    private final long[][] changedAt; // [observer][subject]: when the listing last changed
     private final long[] startedAt;
     private final Outages outages = new Outages();
     private final Set<Integer> falseDeaths = new HashSet<>();
@@ -37,14 +38,17 @@
         }
     }
 
+    /** The outages that the script has caused so far. */
     Outages outages() {
         return outages;
     }
 
+    /** The brokers that the script has running, as a copy. */
     BitSet running() {
         return (BitSet) running.clone();
     }
 
+    /** The script starts brokers; observations from before this time no longer count for them. */
     void started(BitSet brokers, long atMillis) {
         brokers.stream().forEach(broker -> {
             running.set(broker);
@@ -54,6 +58,7 @@
         });
     }
 
+    /** The script stops brokers. */
     void stopped(BitSet brokers, long atMillis) {
         brokers.stream().forEach(broker -> {
             running.clear(broker);
@@ -61,19 +66,21 @@
         });
     }
 
+    /** Applies observations in the order of their times. */
     void record(Observations observations) {
         List<MembershipChange> ordered = new ArrayList<>(observations.membership());
-        ordered.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
+        ordered.sort((one, other) -> Long.compare(one.atMillis(), other.atMillis()));
         ordered.forEach(this::record);
         for (ChangeObservation seen : observations.changes()) {
-            knownAt.computeIfAbsent(seen.change(), x -> new HashMap<>()).putIfAbsent(seen.observer(), seen.atMillis());
+            knownAt.computeIfAbsent(seen.change(), change -> new HashMap<>())
+                    .putIfAbsent(seen.observer(), seen.atMillis());
         }
     }
 
     private void record(MembershipChange change) {
         int observer = change.observer();
         if (!running.get(observer) || change.atMillis() < startedAt[observer]) {
-            return; // of an earlier life
+            return; // from before the observer stopped or restarted
         }
         BrokerRanges.parse(change.lost()).stream().forEach(subject -> {
             listed[observer].clear(subject);
@@ -86,7 +93,7 @@
         });
     }
 
-    /** A scope is there as long as one of its brokers is. */
+    /** Counts a subject that left a listing as a false or late death; a scope is reachable while one of its brokers is. */
     private void classifyLoss(int observer, int subject, long atMillis) {
         boolean isScope = visibility.isScope(subject);
         if (reachable(observer, subject, atMillis - SETTLING_TIME_MILLIS, atMillis)) {
@@ -101,15 +108,17 @@
                 .anyMatch(member -> outages.reachable(observer, member, fromMillis, untilMillis));
     }
 
-    /** Brokers called dead falsely since the last time they were asked for. */
+    /** Number of brokers that were declared dead while running and reachable, since the last call. */
     int drainFalseDeaths() {
         return drain(falseDeaths);
     }
 
+    /** Number of brokers that were declared dead within {@link #SETTLING_TIME_MILLIS} of their return, since the last call. */
     int drainLateDeaths() {
         return drain(lateDeaths);
     }
 
+    /** Number of scopes that an observer lost while one of their brokers was reachable, since the last call. */
     int drainFalseScopeLosses() {
         return drain(falseScopeLosses);
     }
@@ -120,7 +129,7 @@
         return count;
     }
 
-    /** Whether each of some observers lists all, or none, of those subjects that it is to know of. */
+    /** Whether each observer lists all ({@code present}) or none of the subjects that it is expected to know of. */
     boolean listsMatch(BitSet observers, BitSet subjects, boolean present) {
         return observers.stream().allMatch(observer -> {
             BitSet expected = expected(observer, subjects);
@@ -136,7 +145,7 @@
         return expected;
     }
 
-    /** From a time until each of some observers listed each subject, or listed it no more; infinite where it does not yet. */
+    /** Delays from a time until each observer listed ({@code present}) or dropped each subject; unfinished if it has not. */
     Delays listingDelays(BitSet observers, BitSet subjects, boolean present, long sinceMillis) {
         Delays delays = new Delays();
         observers.stream()
@@ -152,7 +161,7 @@
         return delays;
     }
 
-    /** From a time until each of some observers knew a change. */
+    /** Delays from a time until each observer knew of a change; unfinished if it does not. */
     Delays changeDelays(BitSet observers, int change, long sinceMillis) {
         Delays delays = new Delays();
         Map<Integer, Long> known = knownAt.getOrDefault(change, Map.of());
--- a/src/test/java/dockshed/scale/HollowBroker.java
+++ b/src/test/java/dockshed/scale/HollowBroker.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** One broker's control part as the program runs it, on sockets and a thread of its own, without connections. */
+/** A broker's control code as the program runs it, with its own socket and thread, but without viewers or edge servers. */
 final class HollowBroker {
-    /** The socket of an earlier life may take a moment to close. */
+    /** How long to try to bind: after a restart, the previous socket may take a moment to close. */
     private static final long BIND_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private static final long BIND_RETRY_INTERVAL_MILLIS = 20;
@@ -56,39 +56,45 @@
         this.seed = seed;
     }
 
+    /**
+     * Starts the broker, unless it runs.
+     *
+     * @throws IllegalStateException if its address is still in use after the time limit
+     */
     synchronized void start() throws InterruptedException {
         if (host != null) {
             return;
         }
         seed++;
         peers = new FaultyPeers(number, new UdpPeers(addresses, null), real, faults, counts, seed);
-        FleetHost made = new FleetHost(settings, number, addresses.size(), peers, clock, seed);
-        long until = System.nanoTime() + BIND_TIMEOUT_NANOS;
-        while (!tryListen(made, until)) {
+        FleetHost created = new FleetHost(settings, number, addresses.size(), peers, clock, seed);
+        long untilNanos = System.nanoTime() + BIND_TIMEOUT_NANOS;
+        while (!tryListen(created, untilNanos)) {
             TimeUnit.MILLISECONDS.sleep(BIND_RETRY_INTERVAL_MILLIS);
         }
-        host = made;
+        host = created;
         lastSnapshot = FleetSnapshot.ALONE;
         listed = new BitSet();
         knownChanges.clear();
         startedMillis = System.currentTimeMillis();
-        threadId = FleetInspection.loopThreadId(made);
+        threadId = FleetInspection.loopThreadId(created);
     }
 
-    /** Netty throws the checked exception of a bind as it is. */
-    private boolean tryListen(FleetHost made, long untilNanos) {
+    /** Catches Exception because Netty throws the checked exception of a failed bind undeclared. */
+    private boolean tryListen(FleetHost created, long untilNanos) {
         try {
-            made.start(addresses.get(number));
+            created.start(addresses.get(number));
             return true;
         } catch (Exception e) {
             if (System.nanoTime() > untilNanos) {
-                made.close();
+                created.close();
                 throw new IllegalStateException("broker " + number + " cannot listen on " + addresses.get(number), e);
             }
             return false;
         }
     }
 
+    /** Ends the broker without notice to the others; nothing if it does not run. */
     synchronized void kill() {
         if (host != null) {
             peers.stop();
@@ -97,6 +103,7 @@
         }
     }
 
+    /** Ends the broker after it has notified the others; nothing if it does not run. */
     void leave() throws InterruptedException {
         FleetHost leaving;
         synchronized (this) {
@@ -104,23 +111,29 @@
         }
         if (leaving != null) {
             leaving.offer(new LocalEvent.Leaving());
-            FleetInspection.loopThreadId(leaving); // its loop has taken the event by then
+            FleetInspection.loopThreadId(leaving); // returns only after the loop has processed the event
             kill();
         }
     }
 
+    /** Halts the broker's loop for so long, as if its process were stopped. */
     void pause(long millis) {
         clock.pause(millis);
     }
 
+    /** Passes an event to the broker; nothing if it does not run. */
     synchronized void offer(LocalEvent event) {
         if (host != null) {
             host.offer(event);
         }
     }
 
-    /** Adds what has changed since the last time. */
-    synchronized void observe(long nowMillis, Map<Integer, Integer> watched, Observations to) {
+    /**
+     * Adds what has changed since the last call.
+     *
+     * @param ownerByChange the published changes, and the broker that published each
+     */
+    synchronized void observe(long nowMillis, Map<Integer, Integer> ownerByChange, Observations to) {
         if (host == null || host.snapshot() == lastSnapshot) {
             return;
         }
@@ -131,7 +144,7 @@
             listed = after;
         }
         lastSnapshot = now;
-        watched.forEach((change, owner) -> {
+        ownerByChange.forEach((change, owner) -> {
             if (!knownChanges.contains(change) && FleetInspection.hasHealthReport(now, change, owner)) {
                 knownChanges.add(change);
                 to.changes().add(new ChangeObservation(nowMillis, number, change));
@@ -139,7 +152,7 @@
         });
     }
 
-    /** As {@link Visibility} numbers them. */
+    /** The subjects present in a snapshot, numbered as {@link Visibility} describes. */
     private BitSet listed(FleetSnapshot snapshot) {
         BitSet subjects = new BitSet();
         snapshot.presentBrokers().forEach(subjects::set);
@@ -149,13 +162,14 @@
         return subjects;
     }
 
-    /** Adds the ages of the figures held of others. */
+    /** Adds the ages of the figures that this broker holds of others. */
     synchronized void recordFigureAges(Ages ages) {
         if (host != null) {
             FleetInspection.recordFigureAges(host, startedMillis, ages);
         }
     }
 
+    /** Id of the control thread; -1 if the broker does not run. */
     synchronized long threadId() {
         return host == null ? -1 : threadId;
     }
--- a/src/test/java/dockshed/scale/HollowProcessClient.java
+++ b/src/test/java/dockshed/scale/HollowProcessClient.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The driver's end of a {@link HollowProcess}: commands go out, and each is answered by one line. */
+/** Starts a {@link HollowProcess} and sends it commands, each of which is answered by one line. */
 final class HollowProcessClient {
     private static final long ANSWER_TIMEOUT_SECONDS = 60;
     private static final String HEAP_OPTION = "-Xmx384m";
-    /** In place of an answer: the process's output has ended. */
+    /** Queued as an answer when the process's output has ended. */
     private static final String END_OF_OUTPUT = "failed process has ended";
 
     private static final Gson GSON = new Gson();
@@ -28,7 +28,7 @@
     private final Writer in;
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
 
-    /** Starts a process; its specification and its log are kept in a directory. */
+    /** Starts a process; writes its specification and its log to {@code directory}. */
     HollowProcessClient(String name, HollowProcessSpec spec, Path directory, ProcessGuard guard) throws IOException {
         this.name = name;
         Path specFile = Files.writeString(directory.resolve(name + ".json"), GSON.toJson(spec));
@@ -59,17 +59,25 @@
                 answers.add(line);
             }
         } catch (IOException e) {
-            // its end, told below
+            // the process has ended, which is queued below
         }
         answers.add(END_OF_OUTPUT);
     }
 
-    /** Waits until the process is ready for commands. */
+    /**
+     * Waits until the process is ready for commands.
+     *
+     * @throws IllegalStateException if it ended, or is not ready within the time limit
+     */
     void awaitReady() {
         awaitAnswer("start of the process");
     }
 
-    /** Sends a command and returns the answer. Throws IllegalStateException where it failed. */
+    /**
+     * Sends a command and returns the answer.
+     *
+     * @throws IllegalStateException if the command failed, the process ended or the answer did not come within the time limit
+     */
     synchronized String call(String command) {
         try {
             in.write(command + "\n");
@@ -80,6 +88,7 @@
         return awaitAnswer(command);
     }
 
+    /** Sends a command and reads its answer from JSON. */
     <T> T call(String command, Class<T> type) {
         return GSON.fromJson(call(command), type);
     }
@@ -97,20 +106,21 @@
         }
     }
 
-    /** Whose brokers get it; those of other processes are passed over there. */
-    static void callAll(List<HollowProcessClient> handles, String command) {
-        handles.parallelStream().forEach(handle -> handle.call(command));
+    /** Sends a command to all processes; each ignores the brokers that are not its own. */
+    static void callAll(List<HollowProcessClient> clients, String command) {
+        clients.parallelStream().forEach(client -> client.call(command));
     }
 
     Process process() {
         return process;
     }
 
-    /** Ends the process by the end of its input, and waits for it. */
+    /** Closes the process's input, which ends it, and returns its exit status. */
     int end() throws IOException, InterruptedException {
         in.close();
         if (!process.waitFor(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new IllegalStateException(name + " did not end");
+            throw new IllegalStateException(
+                    name + " still runs " + ANSWER_TIMEOUT_SECONDS + " s after the end of its input");
         }
         return process.exitValue();
     }
--- a/src/test/java/dockshed/scale/HollowProcessSpec.java
+++ b/src/test/java/dockshed/scale/HollowProcessSpec.java
@@ -6,15 +6,16 @@
 import java.util.List;
 
 /**
- * What a hollow process is told at its start.
+ * The configuration of a hollow process, written to a JSON file that the process reads at its start.
  *
  * @param mechanism the label of a {@link Mechanism}
- * @param brokers   its brokers, as {@link BrokerRanges}
- * @param real      the brokers of the fleet that are real
- * @param ports     of all brokers, by number, on the loopback address
- * @param seed      of its random numbers
+ * @param brokers   the brokers that the process runs, in the form of {@link BrokerRanges}
+ * @param real      the fleet's real brokers, in the same form
+ * @param ports     UDP ports of all brokers on the loopback address, by broker number
+ * @param seed      base of the seeds of its brokers
  */
 record HollowProcessSpec(String mechanism, String brokers, String real, int[] ports, long seed) {
+    /** The loopback addresses of all brokers, by number. */
     List<InetSocketAddress> addresses() {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int port : ports) {
--- a/src/test/java/dockshed/scale/HollowProcessTotals.java
+++ b/src/test/java/dockshed/scale/HollowProcessTotals.java
@@ -2,5 +2,9 @@
 
 import java.util.List;
 
-/** A hollow process's totals: one entry for each of its brokers. */
+/**
+ * The answer of a hollow process to the command {@code totals}.
+ *
+ * @param totals one entry for each of its brokers
+ */
 record HollowProcessTotals(List<BrokerTotals> totals) {}
--- a/src/test/java/dockshed/scale/ViewerConnections.java
+++ b/src/test/java/dockshed/scale/ViewerConnections.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Viewers' connections to one broker: each asks for a session, asks again while it lasts so that it is not idle, and comes
- * back when it was closed, until the broker is not to be reached for good.
+ * Viewers with one connection each to one broker. A viewer requests a session, repeats the request so that its connection
+ * is not closed as idle, and reconnects when the connection is closed, until {@link #stop}.
  */
 final class ViewerConnections {
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
@@ -29,13 +29,18 @@
     private final AtomicInteger answers = new AtomicInteger();
     private volatile boolean stopped;
 
+    /**
+     * Opens the connections one millisecond apart.
+     *
+     * @param owner the broker's number, part of the sessions' names
+     */
     ViewerConnections(Net net, InetSocketAddress broker, int owner, int count) {
         this.net = net;
         this.broker = broker;
         this.owner = owner;
-        for (int i = 0; i < count; i++) {
-            int viewer = i;
-            net.loop().schedule(() -> connect(viewer), i, TimeUnit.MILLISECONDS);
+        for (int number = 0; number < count; number++) {
+            int viewer = number;
+            net.loop().schedule(() -> connect(viewer), number, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -56,15 +61,17 @@
         }
     }
 
-    /** The broker is gone: nobody comes back. */
+    /** The broker has ended: viewers do not reconnect. */
     void stop() {
         stopped = true;
     }
 
+    /** Connections that are open. */
     int open() {
         return open.get();
     }
 
+    /** Answers received on all connections. */
     int answers() {
         return answers.get();
     }
@@ -111,8 +118,8 @@
                 while (decoder.next() != null) {
                     answers.incrementAndGet();
                 }
-            } catch (HttpStyleMessage.MalformedMessageException e) {
-                throw new IllegalStateException(e);
+            } catch (HttpStyleMessage.MalformedMessageException malformed) {
+                throw new IllegalStateException(malformed);
             }
         }
 
