--- a/src/test/java/dockshed/scale/BrokerRanges.java
+++ b/src/test/java/dockshed/scale/BrokerRanges.java
@@ -2,7 +2,7 @@
 
 import java.util.BitSet;
 
-/** Sets of broker numbers written as ranges, such as {@code 0-72,80}, in commands to hollow processes and in observations. */
+/** Sets of broker numbers, written as ranges such as {@code 0-72,80} in commands to hollow processes and in observations. */
 final class BrokerRanges {
     private BrokerRanges() {}
 
--- a/src/test/java/dockshed/scale/FleetRecorder.java
+++ b/src/test/java/dockshed/scale/FleetRecorder.java
@@ -113,7 +113,7 @@
         return drain(falseDeaths);
     }
 
-    /** Number of brokers that were declared dead within {@link #SETTLING_TIME_MILLIS} of their return, since the last call. */
+    /** Number of brokers that were declared dead soon after their return, since the last call. */
     int drainLateDeaths() {
         return drain(lateDeaths);
     }
--- a/src/test/java/dockshed/scale/HollowProcess.java
+++ b/src/test/java/dockshed/scale/HollowProcess.java
@@ -28,20 +28,21 @@
 import java.util.function.Consumer;
 
 /**
- * A process of hollow brokers. Commands come as lines on its standard input and are answered by one line each; the end of
- * its input ends it, and with it the processes that it was told to take along, so that nothing outlives the driver.
+ * A process that runs hollow brokers. Reads commands as lines from its standard input and answers each with one line. The
+ * end of its input ends it and the processes registered with the command {@code take}, so that none outlives the benchmark.
  */
 public final class HollowProcess {
-    /** The answer to a command that returns nothing; a failure's begins with {@link #FAILED}. */
+    /** The answer to a command that returns nothing. */
     static final String OK = "ok";
 
+    /** Begins the answer to a command that failed. */
     static final String FAILED = "failed ";
 
     private static final long OBSERVE_INTERVAL_MILLIS = 50;
     private static final long LOAD_SAMPLE_INTERVAL_MILLIS = 250;
-    /** Threads that start and end brokers. */
+    /** Threads that start and end brokers; each broker is bound to one of them. */
     private static final int WORKER_THREADS = 4;
-    /** Requests of a quarter of a second, by step of rank: as {@code FleetCosts} has them. */
+    /** Requests within {@link #LOAD_SAMPLE_INTERVAL_MILLIS}, by priority rank; {@code FleetCosts} uses the same load. */
     private static final int[] REQUESTS_BY_RANK = requestsByRank();
 
     private static final Gson GSON = new Gson();
@@ -67,7 +68,7 @@
                         number,
                         new HollowBroker(
                                 number, settings, addresses, real, () -> faults, spec.seed() + 1000L * number)));
-        for (int i = 0; i < WORKER_THREADS; i++) {
+        for (int worker = 0; worker < WORKER_THREADS; worker++) {
             workers.add(Executors.newSingleThreadExecutor(HollowProcess::daemon));
         }
         heapBeforeKb = heapKb();
@@ -80,8 +81,8 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private static Thread daemon(Runnable what) {
-        Thread thread = new Thread(what, "hollow");
+    private static Thread daemon(Runnable task) {
+        Thread thread = new Thread(task, "hollow");
         thread.setDaemon(true);
         return thread;
     }
@@ -147,22 +148,23 @@
         return OK;
     }
 
-    private void forEachBroker(String ranges, Consumer<HollowBroker> what) {
+    /** Queues an action for each broker of a set that this process runs. */
+    private void forEachBroker(String ranges, Consumer<HollowBroker> action) {
         BrokerRanges.parse(ranges).stream()
                 .mapToObj(brokers::get)
                 .filter(broker -> broker != null)
-                .forEach(broker -> workerOf(broker).execute(() -> runKeepingFailure(() -> what.accept(broker))));
+                .forEach(broker -> workerOf(broker).execute(() -> runKeepingFailure(() -> action.accept(broker))));
     }
 
-    /** One broker's commands are carried out one after another. */
+    /** The same thread for all commands of a broker, so that they run in order. */
     private ExecutorService workerOf(HollowBroker broker) {
         return workers.get(broker.number % WORKER_THREADS);
     }
 
-    /** What fails in the background is told in answer to the next command. */
-    private void runKeepingFailure(Runnable what) {
+    /** Keeps the failure of a background task, which is the answer to the next command. */
+    private void runKeepingFailure(Runnable task) {
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException e) {
             failure = e.toString();
         }
@@ -197,7 +199,7 @@
         }
     }
 
-    /** Every broker watches for the change; the one that is meant has it to tell. */
+    /** Publishes a change at its owner, if this process runs it; all brokers are observed for the change. */
     private void change(int owner, int change) {
         ownerByChange.put(change, owner);
         HollowBroker broker = brokers.get(owner);
@@ -206,11 +208,13 @@
         }
     }
 
-    /** What was observed since the last time; where that is nothing, waits so long for something. */
-    private synchronized String collect(long mostMillis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMillis);
-        for (long left = until - System.nanoTime(); observed.isEmpty() && left > 0; left = until - System.nanoTime()) {
-            TimeUnit.NANOSECONDS.timedWait(this, left);
+    /** Observations since the last call, as JSON; if there are none, waits up to the time limit for one. */
+    private synchronized String collect(long maxMillis) throws InterruptedException {
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
+        for (long leftNanos = untilNanos - System.nanoTime();
+                observed.isEmpty() && leftNanos > 0;
+                leftNanos = untilNanos - System.nanoTime()) {
+            TimeUnit.NANOSECONDS.timedWait(this, leftNanos);
         }
         Observations since = observed;
         observed = Observations.empty();
@@ -251,20 +255,20 @@
         return (int) ((runtime.totalMemory() - runtime.freeMemory()) / 1024);
     }
 
-    /** What the running brokers added to the heap, each, after a collection. */
+    /** Heap that each running broker has added since the process began, in kB, after a garbage collection. */
     private double memoryKb() {
         long running = brokers.values().stream().filter(HollowBroker::running).count();
         return running == 0 ? 0 : (heapKb() - heapBeforeKb) / (double) running;
     }
 
-    /** Ends what it was told to take along: the driver is gone, or has done with it. */
+    /** Ends the registered processes, once the benchmark has ended or no longer needs them. */
     private void endRegisteredProcesses() {
         for (long pid : processesToEnd) {
             ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
         }
     }
 
-    /** The one argument names a file that holds a {@link HollowProcessSpec} as JSON. */
+    /** Runs until the end of the input. The only argument is the path of a {@link HollowProcessSpec} as JSON. */
     public static void main(String[] args) throws IOException, InterruptedException {
         PrintStream out = System.out;
         HollowProcessSpec spec = GSON.fromJson(Files.readString(Path.of(args[0])), HollowProcessSpec.class);
--- a/src/test/java/dockshed/scale/HollowProcessClient.java
+++ b/src/test/java/dockshed/scale/HollowProcessClient.java
@@ -76,7 +76,7 @@
     /**
      * Sends a command and returns the answer.
      *
-     * @throws IllegalStateException if the command failed, the process ended or the answer did not come within the time limit
+     * @throws IllegalStateException if the command failed, the process ended or no answer came in time
      */
     synchronized String call(String command) {
         try {
--- a/src/test/java/dockshed/scale/HollowProcessTest.java
+++ b/src/test/java/dockshed/scale/HollowProcessTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of four hollow brokers each: they find one another, notice a death and a change, and end. */
+/**
+ * Two processes of four hollow brokers each. Guards against a benchmark whose brokers do not share state across processes,
+ * whose failures go unnoticed, or which leaves processes behind.
+ */
 class HollowProcessTest {
     private static final int BROKERS = 8;
     private static final int BROKERS_PER_PROCESS = 4;
@@ -28,11 +31,11 @@
         return new ProcessFleet(layout, Mechanism.FULL_MESH, 0, BROKERS_PER_PROCESS, null, directory);
     }
 
-    /** Each process answers as soon as it has something to tell. */
+    /** Polls the processes until the condition holds; each answers as soon as it has an observation. */
     private void awaitUntil(ProcessFleet fleet, BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
-            for (HollowProcessClient handle : fleet.hollowProcesses()) {
-                recorder.record(handle.call("collect 1000", Observations.class));
+            for (HollowProcessClient client : fleet.hollowProcesses()) {
+                recorder.record(client.call("collect 1000", Observations.class));
             }
         }
     }
@@ -44,8 +47,8 @@
     }
 
     @Test
-    @Timeout(120) // only a failure takes so long
-    void brokersOfTwoProcessesFindOneAnotherNoticeADeathAndShareAChange() throws Exception {
+    @Timeout(120) // seconds; reached only by a failure
+    void brokersOfTwoProcessesFindOneAnotherDetectADeathAndShareAChange() throws Exception {
         try (ProcessFleet fleet = fleet()) {
             startAll(fleet);
             fleet.publishChange(0, CHANGE);
@@ -56,9 +59,10 @@
             BitSet others = recorder.running();
             awaitUntil(fleet, () -> recorder.listsMatch(others, KILLED, false));
             assertEquals(0, recorder.drainFalseDeaths());
-            assertTrue(fleet.totals().stream().allMatch(each -> each.bytesSent() > 0 && each.bytesReceived() > 0));
-            for (HollowProcessClient handle : fleet.hollowProcesses()) {
-                assertEquals(0, handle.end());
+            assertTrue(
+                    fleet.totals().stream().allMatch(broker -> broker.bytesSent() > 0 && broker.bytesReceived() > 0));
+            for (HollowProcessClient client : fleet.hollowProcesses()) {
+                assertEquals(0, client.end());
             }
             assertEquals(0, fleet.aliveProcesses());
         }
@@ -66,11 +70,11 @@
 
     @Test
     @Timeout(120)
-    void aFailureIsToldAndEverythingEnds() throws Exception {
+    void aFailedCommandIsReportedAndAllProcessesEnd() throws Exception {
         ProcessFleet fleet = fleet();
         try (fleet) {
-            HollowProcessClient handle = fleet.hollowProcesses().get(0);
-            assertThrows(IllegalStateException.class, () -> handle.call("nonsense"));
+            HollowProcessClient client = fleet.hollowProcesses().get(0);
+            assertThrows(IllegalStateException.class, () -> client.call("nonsense"));
             assertEquals(2, fleet.aliveProcesses());
         }
         assertEquals(0, fleet.aliveProcesses());
--- a/src/test/java/dockshed/scale/LinkFaults.java
+++ b/src/test/java/dockshed/scale/LinkFaults.java
@@ -5,35 +5,39 @@
 import java.util.List;
 
 /**
- * Faults that lie between brokers now; immutable, replaced as a whole.
+ * The faults injected between brokers; immutable.
  *
- * @param cuts links over which nothing comes through
- * @param loss share of datagrams lost on every link
+ * @param cuts links that drop all datagrams
+ * @param loss share of datagrams lost on every link, 0 to 1
  */
 record LinkFaults(List<Cut> cuts, double loss) {
     static final LinkFaults NONE = new LinkFaults(List.of(), 0);
 
-    /** Nothing comes through from one set of brokers to the other; the other way stays open. */
+    /** Drops all datagrams from one set of brokers to another, but not in the opposite direction. */
     record Cut(BitSet from, BitSet to) {
         boolean covers(int sender, int receiver) {
             return from.get(sender) && to.get(receiver);
         }
     }
 
+    /** The same faults and one more cut. */
     LinkFaults withCut(BitSet from, BitSet to) {
-        List<Cut> more = new ArrayList<>(cuts);
-        more.add(new Cut(from, to));
-        return new LinkFaults(List.copyOf(more), loss);
+        List<Cut> longer = new ArrayList<>(cuts);
+        longer.add(new Cut(from, to));
+        return new LinkFaults(List.copyOf(longer), loss);
     }
 
+    /** The same loss without cuts. */
     LinkFaults withoutCuts() {
         return new LinkFaults(List.of(), loss);
     }
 
+    /** The same cuts with another share of lost datagrams. */
     LinkFaults withLoss(double share) {
         return new LinkFaults(cuts, share);
     }
 
+    /** Whether a cut drops datagrams from the sender to the receiver. */
     boolean isCut(int sender, int receiver) {
         for (Cut cut : cuts) {
             if (cut.covers(sender, receiver)) {
@@ -43,7 +47,7 @@
         return false;
     }
 
-    /** Whether a datagram is lost, by a random number from 0 to 1. */
+    /** Whether a datagram is dropped, given a random number from 0 (inclusive) to 1 (exclusive). */
     boolean drops(int sender, int receiver, double random) {
         return random < loss || isCut(sender, receiver);
     }
--- a/src/test/java/dockshed/scale/Mechanism.java
+++ b/src/test/java/dockshed/scale/Mechanism.java
@@ -6,13 +6,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** How the fleet shares its state: what is compared with what in one run. */
+/** How the fleet shares its state; a run of the benchmark compares them. */
 enum Mechanism {
-    /** Each broker gossips with all others, at the usual budget of bytes. */
+    /** Each broker gossips with all others, at the default byte rate. */
     FULL_MESH,
-    /** Brokers gossip within their zones, and summaries go between these. */
+    /** Brokers gossip within their zone; zones exchange summaries. */
     ZONED;
 
+    /** The brokers' settings in a fleet of this layout. */
     FleetSettings settings(FleetLayout layout) {
         return this == FULL_MESH
                 ? FleetSettings.DEFAULTS
@@ -31,12 +32,12 @@
         return zones;
     }
 
-    /** Whom each broker is to know of. */
+    /** Which subjects each broker is expected to know of. */
     Visibility visibility(FleetLayout layout) {
         return new Visibility(settings(layout).zoneMap(layout.brokers()));
     }
 
-    /** The fleet's part of the operator's file of a real broker. */
+    /** The {@code fleet} section of a real broker's operator file. */
     String operatorFile(FleetLayout layout) {
         StringBuilder file = new StringBuilder("fleet {\n");
         for (Zone zone : settings(layout).zones()) {
@@ -46,11 +47,16 @@
         return file.append("}\n").toString();
     }
 
-    /** As in reports and on the command line. */
+    /** The name in reports and on the command line. */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
+    /**
+     * Reads a label.
+     *
+     * @throws IllegalArgumentException if no mechanism has it
+     */
     static Mechanism of(String label) {
         return valueOf(label.toUpperCase(Locale.ROOT));
     }
--- a/src/test/java/dockshed/scale/Metric.java
+++ b/src/test/java/dockshed/scale/Metric.java
@@ -2,53 +2,54 @@
 
 import java.util.Locale;
 
-/** What a scene yields; the name in lower case is the CSV's column. */
+/** Figures of a scene; the name in lower case is the column of the CSV file. */
 enum Metric {
-    /** Brokers that ran and are counted, at the scene's end. */
+    /** Brokers running at the end of the scene. */
     OBSERVERS,
-    /** Payload bytes sent and received, a second and hollow broker: the mean, and the broker with most. */
+    /** Payload bytes sent and received by a measured broker per second: the mean and the highest. */
     BYTES_S,
     BYTES_S_MAX,
-    /** Of those, sent. */
+    /** Payload bytes sent by a measured broker per second, the mean. */
     SENT_BYTES_S,
-    /** Processor time of the control part's thread, as a share of a core: the mean, and the broker with most. */
+    /** CPU time of the control thread as a share of a core: the mean and the highest. */
     CPU,
     CPU_MAX,
-    /** Heap of the control part alone, kB a broker. */
+    /** Heap of the control code alone, in kB per broker. */
     MEMORY_KB,
-    /** From the fault until a running broker lists a lost one no more, over all pairs, in seconds. */
+    /** Seconds from the fault until a running broker drops a lost one, over all pairs of the two. */
     DETECT_P50_S,
     DETECT_P99_S,
-    /** Until no running broker lists any of the lost ones. */
+    /** Seconds from the fault until no running broker lists any of the lost ones. */
     GONE_S,
-    /** From the end of the fault until all running brokers list all. */
+    /** Seconds from the end of the fault until all running brokers list all. */
     HEAL_S,
-    /** The same for 99 in 100 pairs. */
+    /** The same for 99% of the pairs of brokers. */
     HEAL_P99_S,
-    /** Ages of the figures held of the others of the own scope, in seconds: of all brokers where there are no zones. */
+    /** Ages in seconds of the figures held of other brokers in the own scope; without zones, of all brokers. */
     FIGURE_AGE_MEAN_S,
     FIGURE_AGE_P99_S,
-    /** Ages of the summaries of other zones. */
+    /** Ages in seconds of the summaries of other scopes. */
     SUMMARY_AGE_P99_S,
-    /** Share of both that is not held at all. */
+    /** Figures and summaries that are not held at all, divided by those that are held. */
     FIGURES_MISSING,
-    /** From a change at one broker until another knows it, over all pairs, in seconds; infinite: not within the scene. */
+    /** Seconds from a change at one broker until another knows of it, over all pairs; infinite if not within the scene. */
     CHANGE_P50_S,
     CHANGE_P99_S,
-    /** Share of the pairs of a change and a broker that met within the scene. */
+    /** Share of the pairs of a change and a broker in which the broker learned of the change within the scene. */
     CHANGE_REACHED,
-    /** Brokers that somebody listed no more while they ran and were reachable. */
+    /** Brokers that another broker declared dead while they were running and reachable. */
     FALSE_DEAD,
-    /** Brokers that somebody listed no more shortly after they were back. */
+    /** Brokers that another broker declared dead shortly after their return. */
     LATE_DEAD,
-    /** Zones, or cells of one, of which somebody knew nothing any more while some of their brokers were reachable. */
+    /** Scopes (zones or cells) that a broker lost while one of their brokers was reachable. */
     SCOPES_LOST,
-    /** Pairs of brokers that hold different content under one version, or an older over a newer. */
+    /** Pairs of brokers that hold different content under one version, or have replaced a newer version by an older. */
     DISAGREE,
-    /** Connections held by viewers of real brokers, and the share of a core that a real broker's whole process takes. */
+    /** Open connections of viewers to real brokers, and the share of a core that a real broker's process uses. */
     CONNECTIONS,
     REAL_CPU;
 
+    /** The CSV column. */
     String column() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/test/java/dockshed/scale/Observations.java
+++ b/src/test/java/dockshed/scale/Observations.java
@@ -3,8 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What brokers were seen to know since the last time they were asked, in the order seen by each. */
+/**
+ * Observed changes of the brokers' knowledge since the previous collection, in the order observed for each broker.
+ *
+ * @param membership changes of the subjects that brokers list
+ * @param changes    published changes that brokers learned of
+ */
 record Observations(List<MembershipChange> membership, List<ChangeObservation> changes) {
+    /** No observations yet; the lists can be added to. */
     static Observations empty() {
         return new Observations(new ArrayList<>(), new ArrayList<>());
     }
@@ -13,8 +19,8 @@
         return membership.isEmpty() && changes.isEmpty();
     }
 
-    void add(Observations more) {
-        membership.addAll(more.membership);
-        changes.addAll(more.changes);
+    void add(Observations other) {
+        membership.addAll(other.membership);
+        changes.addAll(other.changes);
     }
 }
--- a/src/test/java/dockshed/scale/Outages.java
+++ b/src/test/java/dockshed/scale/Outages.java
@@ -6,8 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** When brokers did not run and links were cut, by the script: what a broker may rightly be called dead for. */
+/**
+ * When the script had brokers stopped or paused, and links cut: the times in which a broker is rightly declared dead.
+ * Times are milliseconds of the fleet's clock.
+ */
 final class Outages {
+    /** The end of an outage that lasts. */
     private static final long NO_END_MILLIS = Long.MAX_VALUE;
 
     private record Span(long from, long until) {
@@ -17,19 +21,21 @@
     }
 
     private record CutSpan(BitSet from, BitSet to, Span span) {
-        boolean separates(int a, int b) {
-            return from.get(a) && to.get(b) || from.get(b) && to.get(a);
+        /** Whether the cut is between two brokers, in either direction. */
+        boolean separates(int one, int other) {
+            return from.get(one) && to.get(other) || from.get(other) && to.get(one);
         }
     }
 
     private final Map<Integer, List<Span>> brokerOutages = new HashMap<>();
     private final List<CutSpan> cuts = new ArrayList<>();
 
-    /** A broker does not run from now on. */
+    /** A broker stops. */
     void down(int broker, long atMillis) {
-        brokerOutages.computeIfAbsent(broker, x -> new ArrayList<>()).add(new Span(atMillis, NO_END_MILLIS));
+        brokerOutages.computeIfAbsent(broker, number -> new ArrayList<>()).add(new Span(atMillis, NO_END_MILLIS));
     }
 
+    /** A broker starts; nothing if it was not stopped. */
     void up(int broker, long atMillis) {
         List<Span> spans = brokerOutages.getOrDefault(broker, List.of());
         if (!spans.isEmpty()) {
@@ -38,21 +44,24 @@
         }
     }
 
+    /** A broker is paused for a known time. */
     void paused(int broker, long fromMillis, long untilMillis) {
-        brokerOutages.computeIfAbsent(broker, x -> new ArrayList<>()).add(new Span(fromMillis, untilMillis));
+        brokerOutages.computeIfAbsent(broker, number -> new ArrayList<>()).add(new Span(fromMillis, untilMillis));
     }
 
+    /** Links are cut in one direction until {@link #healed}. */
     void cut(BitSet from, BitSet to, long atMillis) {
         cuts.add(new CutSpan(from, to, new Span(atMillis, NO_END_MILLIS)));
     }
 
+    /** All cuts end. */
     void healed(long atMillis) {
         cuts.replaceAll(cut -> cut.span().until() == NO_END_MILLIS
                 ? new CutSpan(cut.from(), cut.to(), new Span(cut.span().from(), atMillis))
                 : cut);
     }
 
-    /** Whether two brokers ran and reached one another all the time between. */
+    /** Whether two brokers ran and could reach each other during the whole interval. */
     boolean reachable(int observer, int subject, long fromMillis, long untilMillis) {
         return ran(observer, fromMillis, untilMillis)
                 && ran(subject, fromMillis, untilMillis)
--- a/src/test/java/dockshed/scale/PausableClock.java
+++ b/src/test/java/dockshed/scale/PausableClock.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Unix time in microseconds that never goes back. While paused, whoever asks for the time is held: an event loop that asks
- * at each turn stands still as a stopped process does, and its datagrams wait in the socket.
+ * Unix time in microseconds that never goes backwards. While paused, a call for the time blocks: an event loop that reads
+ * the clock on each iteration then halts like a stopped process, and its datagrams wait in the socket.
  */
 final class PausableClock implements Clock {
     private static final Instant STARTED = Instant.now();
@@ -15,15 +15,18 @@
 
     private volatile long pausedUntilNanos = STARTED_NANOS;
 
+    /** Blocks calls for the time for so long from now. */
     void pause(long millis) {
         pausedUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     @Override
     public long now() {
-        for (long left = pausedUntilNanos - System.nanoTime(); left > 0; left = pausedUntilNanos - System.nanoTime()) {
+        for (long leftNanos = pausedUntilNanos - System.nanoTime();
+                leftNanos > 0;
+                leftNanos = pausedUntilNanos - System.nanoTime()) {
             try {
-                TimeUnit.NANOSECONDS.sleep(left);
+                TimeUnit.NANOSECONDS.sleep(leftNanos);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 break;
