--- a/src/test/java/dockshed/scale/ProcessFleet.java
+++ b/src/test/java/dockshed/scale/ProcessFleet.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Real and hollow brokers as processes on loopback sockets. */
+/** A fleet of real and hollow brokers, run as processes on loopback sockets. */
 final class ProcessFleet implements ScaleFleet {
     private final FleetLayout layout;
     private final BitSet real;
@@ -21,10 +21,12 @@
     private LinkFaults faults = LinkFaults.NONE;
 
     /**
-     * @param real      how many brokers are real
-     * @param perProcess hollow brokers of a process at most
-     * @param jar       of the program; not read where no broker is real
-     * @param directory for configurations and logs
+     * Starts the hollow processes, but no broker yet.
+     *
+     * @param real       number of real brokers
+     * @param perProcess largest number of hollow brokers in one process
+     * @param jar        the built program; not read if no broker is real
+     * @param directory  where configurations and logs are written
      */
     ProcessFleet(FleetLayout layout, Mechanism mechanism, int real, int perProcess, Path jar, Path directory)
             throws IOException {
@@ -33,14 +35,14 @@
         int[] ports = reservePorts(layout.brokers());
         List<BitSet> parts = splitOverProcesses(BrokerRanges.minus(layout.all(), this.real), perProcess);
         HollowProcessSpec spec = null;
-        for (int i = 0; i < parts.size(); i++) {
+        for (int process = 0; process < parts.size(); process++) {
             spec = new HollowProcessSpec(
                     mechanism.label(),
-                    BrokerRanges.format(parts.get(i)),
+                    BrokerRanges.format(parts.get(process)),
                     BrokerRanges.format(this.real),
                     ports,
-                    System.nanoTime() + i);
-            hollowProcesses.add(new HollowProcessClient("hollow" + i, spec, directory, guard));
+                    System.nanoTime() + process);
+            hollowProcesses.add(new HollowProcessClient("hollow" + process, spec, directory, guard));
         }
         hollowProcesses.forEach(HollowProcessClient::awaitReady);
         realBrokers = real == 0
@@ -55,13 +57,13 @@
                         pid -> hollowProcesses.get(0).call("take " + pid));
     }
 
-    /** Takes a free port for each broker; none of them is given to anybody else until {@link #releasePorts}. */
+    /** Binds a free port for each broker, so that no other process gets it before {@link #releasePorts}. */
     private int[] reservePorts(int count) throws IOException {
         int[] ports = new int[count];
-        for (int i = 0; i < count; i++) {
+        for (int broker = 0; broker < count; broker++) {
             DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
             reservedPorts.add(socket);
-            ports[i] = socket.getLocalPort();
+            ports[broker] = socket.getLocalPort();
         }
         return ports;
     }
@@ -71,11 +73,11 @@
         reservedPorts.clear();
     }
 
-    /** Each part has brokers of all zones, so that no process is a zone. */
-    private static List<BitSet> splitOverProcesses(BitSet brokers, int most) {
-        int count = (brokers.cardinality() + most - 1) / most;
+    /** Deals the brokers out in turn, so that each process runs brokers of all zones and none stands for a zone. */
+    private static List<BitSet> splitOverProcesses(BitSet brokers, int perProcess) {
+        int count = (brokers.cardinality() + perProcess - 1) / perProcess;
         List<BitSet> parts = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
+        for (int process = 0; process < count; process++) {
             parts.add(new BitSet());
         }
         int next = 0;
@@ -183,8 +185,8 @@
     @Override
     public Observations collect() {
         Observations since = Observations.empty();
-        for (HollowProcessClient handle : hollowProcesses) {
-            since.add(handle.call("collect", Observations.class));
+        for (HollowProcessClient client : hollowProcesses) {
+            since.add(client.call("collect", Observations.class));
         }
         if (realBrokers != null) {
             since.add(realBrokers.collect());
@@ -195,24 +197,24 @@
     @Override
     public List<BrokerTotals> totals() {
         return hollowProcesses.parallelStream()
-                .flatMap(handle -> handle.call("totals", HollowProcessTotals.class).totals().stream())
+                .flatMap(client -> client.call("totals", HollowProcessTotals.class).totals().stream())
                 .toList();
     }
 
     @Override
     public Ages figureAges() {
         List<FigureAges> ofProcesses = hollowProcesses.parallelStream()
-                .map(handle -> handle.call("ages", FigureAges.class))
+                .map(client -> client.call("ages", FigureAges.class))
                 .toList();
         Ages ages = new Ages();
-        ofProcesses.forEach(each -> each.addTo(ages));
+        ofProcesses.forEach(reported -> reported.addTo(ages));
         return ages;
     }
 
     @Override
     public double memoryKb() {
         return hollowProcesses.parallelStream()
-                .mapToDouble(handle -> Double.parseDouble(handle.call("memory")))
+                .mapToDouble(client -> Double.parseDouble(client.call("memory")))
                 .average()
                 .orElse(Double.NaN);
     }
@@ -225,12 +227,12 @@
         return layout.brokers() - real.cardinality();
     }
 
-    /** Processes of brokers, the driver not counted. */
+    /** Number of processes that run brokers; the benchmark's own is not counted. */
     int processes() {
         return hollowProcesses.size() + real.cardinality();
     }
 
-    /** The real brokers; null where there are none. */
+    /** The real brokers; null if there are none. */
     RealBrokers realBrokers() {
         return realBrokers;
     }
@@ -239,7 +241,7 @@
         return hollowProcesses;
     }
 
-    /** Processes that still run. */
+    /** Number of processes that still run. */
     long aliveProcesses() {
         return guard.aliveProcesses();
     }
--- a/src/test/java/dockshed/scale/ProcessGuard.java
+++ b/src/test/java/dockshed/scale/ProcessGuard.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Ends every process that was started here, also where the run fails or is interrupted. */
+/** Ends all registered processes, also when the run fails or is interrupted. */
 final class ProcessGuard implements AutoCloseable {
     private final Set<Process> started = ConcurrentHashMap.newKeySet();
     private final Thread hook = new Thread(this::endAll, "process guard");
@@ -12,6 +12,7 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
+    /** Registers a started process and returns it. */
     Process register(Process process) {
         started.add(process);
         return process;
@@ -23,12 +24,12 @@
         }
     }
 
-    /** Processes that still run. */
+    /** Number of registered processes that still run. */
     long aliveProcesses() {
         return started.stream().filter(Process::isAlive).count();
     }
 
-    /** Ends them and waits until they are gone. */
+    /** Ends the registered processes and waits for their exit. */
     @Override
     public void close() {
         endAll();
--- a/src/test/java/dockshed/scale/RealBroker.java
+++ b/src/test/java/dockshed/scale/RealBroker.java
@@ -19,7 +19,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The built jar as a process with the limits of the platform's {@code run} line; its log tells whom it lists. */
+/** The built jar as a process, with the JVM limits of the platform's {@code run} line; its log shows whom it lists. */
 final class RealBroker {
     private static final Pattern MEMBERSHIP_CHANGE = Pattern.compile(
             "(?<time>[0-9:.]{12}) .* present=\\d+ lost=\\[(?<lost>[^]]*)] joined=\\[(?<joined>[^]]*)] .* fleet");
@@ -73,9 +73,9 @@
                 readLine(line);
             }
         } catch (IOException e) {
-            // its end
+            // the process has ended
         }
-        serving.completeExceptionally(new IllegalStateException("broker " + number + " has ended: " + last));
+        serving.completeExceptionally(new IllegalStateException("broker " + number + " ended; last log line: " + last));
     }
 
     private void readLine(String line) {
@@ -102,7 +102,7 @@
         changes.add(new MembershipChange(unixMillis(LocalTime.parse(line.group("time"))), number, lost, found));
     }
 
-    /** The log tells the time of the day: the latest such that is not later than now, but for a little. */
+    /** Unix time of a log line, which has only the time of day: the latest such time that is no more than a minute ahead. */
     private static long unixMillis(LocalTime time) {
         ZoneId zone = ZoneId.systemDefault();
         LocalDateTime at = LocalDate.now(zone).atTime(time);
@@ -113,6 +113,7 @@
                 .toEpochMilli();
     }
 
+    /** A list such as {@code 3, 4, 7} in the form of {@link BrokerRanges}. */
     private static String ranges(String list) {
         BitSet brokers = new BitSet();
         for (String broker : list.split(",")) {
@@ -123,12 +124,16 @@
         return BrokerRanges.format(brokers);
     }
 
-    /** Where viewers can connect, once it serves. */
+    /**
+     * Waits until the broker serves, and returns the address for viewers.
+     *
+     * @throws java.util.concurrent.CompletionException if it ended, or does not serve within the time limit
+     */
     InetSocketAddress awaitServing() {
         return serving.orTimeout(START_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
-    /** What its log has told since the last time. */
+    /** Membership changes logged since the last call. */
     List<MembershipChange> collect() {
         synchronized (changes) {
             List<MembershipChange> since = List.copyOf(changes);
@@ -137,6 +142,7 @@
         }
     }
 
+    /** Lines of level ERROR in its log. */
     int errors() {
         synchronized (changes) {
             return errors;
@@ -147,16 +153,18 @@
         return process.pid();
     }
 
+    /** CPU time of the process; zero if the system does not tell it, as after its end. */
     Duration cpu() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
+    /** Ends the process without notice, and waits for its exit. */
     void kill() {
         process.destroyForcibly();
         process.onExit().join();
     }
 
-    /** TERM, STOP or CONT, to this process only. */
+    /** Sends TERM, STOP or CONT to this process only. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
--- a/src/test/java/dockshed/scale/RealBrokers.java
+++ b/src/test/java/dockshed/scale/RealBrokers.java
@@ -18,8 +18,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * The real brokers of a run with their edge servers and viewers. Datagrams among them go through a fault-injecting network;
- * the faults towards hollow brokers act at those.
+ * The real brokers of a run with their edge servers and viewers. Datagrams between real brokers pass a fault-injecting
+ * network; faults on links to hollow brokers are injected by the hollow brokers.
  */
 final class RealBrokers implements AutoCloseable {
     private static final int MAX_SOCKETS = 1024;
@@ -43,7 +43,10 @@
     private int answersOfEndedBrokers;
     private int errorsOfEndedBrokers;
 
-    /** {@code started}: told the id of each process that begins. */
+    /**
+     * @param addresses addresses of all brokers of the fleet, by number
+     * @param onStarted called with the process id of each broker that is started
+     */
     RealBrokers(
             BitSet real,
             Mechanism mechanism,
@@ -51,31 +54,32 @@
             Path jar,
             Path directory,
             ProcessGuard guard,
-            LongConsumer started)
+            LongConsumer onStarted)
             throws IOException {
         numbers = real.stream().toArray();
         this.addresses = addresses;
         this.jar = jar;
         this.directory = directory;
         this.guard = guard;
-        this.onStarted = started;
+        this.onStarted = onStarted;
         FleetLayout layout = new FleetLayout(addresses.size());
         visibility = mechanism.visibility(layout);
         operatorFile = Files.writeString(directory.resolve("real.conf"), mechanism.operatorFile(layout));
-        InetSocketAddress[] listens = new InetSocketAddress[numbers.length];
-        for (int i = 0; i < numbers.length; i++) {
-            listens[i] = addresses.get(numbers[i]);
+        InetSocketAddress[] listenAddresses = new InetSocketAddress[numbers.length];
+        for (int index = 0; index < numbers.length; index++) {
+            listenAddresses[index] = addresses.get(numbers[index]);
         }
-        network = new LossyNetwork(net, listens);
-        for (int i = 0; i < EDGE_SERVERS; i++) {
+        network = new LossyNetwork(net, listenAddresses);
+        for (int server = 0; server < EDGE_SERVERS; server++) {
             edgeServers.add(new AnsweringEdgeServer());
         }
     }
 
+    /** Starts those of the brokers that are real and do not run, waits until they serve, and connects their viewers. */
     void start(BitSet brokers) {
-        for (int i = 0; i < numbers.length; i++) {
-            if (brokers.get(numbers[i]) && !running.containsKey(numbers[i])) {
-                start(i);
+        for (int index = 0; index < numbers.length; index++) {
+            if (brokers.get(numbers[index]) && !running.containsKey(numbers[index])) {
+                start(index);
             }
         }
         for (int number : numbers) {
@@ -106,6 +110,7 @@
         }
     }
 
+    /** Ends those of the brokers that are real and run, without notice. */
     void kill(BitSet brokers) {
         for (int number : numbers) {
             if (brokers.get(number) && running.containsKey(number)) {
@@ -114,11 +119,12 @@
         }
     }
 
+    /** Takes a broker out of those that run, keeps its counts and stops its viewers' reconnects. */
     private RealBroker remove(int number) {
-        ViewerConnections gone = viewers.remove(number);
-        if (gone != null) {
-            gone.stop();
-            answersOfEndedBrokers += gone.answers();
+        ViewerConnections connections = viewers.remove(number);
+        if (connections != null) {
+            connections.stop();
+            answersOfEndedBrokers += connections.answers();
         }
         RealBroker broker = running.remove(number);
         ofEndedBrokers.membership().addAll(broker.collect());
@@ -126,7 +132,7 @@
         return broker;
     }
 
-    /** A planned end: the process is asked to, and tells the others. */
+    /** Ends those of the brokers that are real and run by a signal, upon which they notify the other brokers. */
     void leave(BitSet brokers) {
         for (int number : numbers) {
             if (brokers.get(number) && running.containsKey(number)) {
@@ -135,7 +141,7 @@
         }
     }
 
-    /** Stops the process and lets it go on after a time. */
+    /** Stops the broker's process, and continues it after the given time. */
     void pause(int number, long millis) {
         RealBroker broker = running.get(number);
         signal(broker, "STOP");
@@ -152,11 +158,13 @@
         }
     }
 
+    /** Replaces the faults on links between real brokers. */
     void setFaults(LinkFaults faults) {
         network.setLoss(faults.loss());
         network.cutWhere((from, to) -> faults.isCut(numbers[from], numbers[to]));
     }
 
+    /** Membership changes that the brokers logged since the last call. */
     Observations collect() {
         Observations since = Observations.empty();
         since.add(ofEndedBrokers);
@@ -167,29 +175,31 @@
         return since;
     }
 
-    /** Connections that viewers hold now. */
+    /** Open connections of viewers to running brokers. */
     int connections() {
         return viewers.values().stream().mapToInt(ViewerConnections::open).sum();
     }
 
+    /** Answers that viewers received, those of brokers that have ended included. */
     int answers() {
         return answersOfEndedBrokers
                 + viewers.values().stream().mapToInt(ViewerConnections::answers).sum();
     }
 
-    /** Internal errors that the brokers logged. */
+    /** Lines of level ERROR that the brokers logged, those of brokers that have ended included. */
     int errors() {
         return errorsOfEndedBrokers
                 + running.values().stream().mapToInt(RealBroker::errors).sum();
     }
 
-    /** Processor time of the whole programs that run, in seconds. */
+    /** CPU time of the processes that run, in seconds. */
     double cpuSeconds() {
         return running.values().stream()
                 .mapToDouble(broker -> broker.cpu().toMillis() / 1e3)
                 .sum();
     }
 
+    /** Number of real brokers, running or not. */
     int count() {
         return numbers.length;
     }
@@ -199,9 +209,9 @@
         viewers.values().forEach(ViewerConnections::stop);
         running.values().forEach(RealBroker::kill);
         net.close();
-        for (AnsweringEdgeServer box : edgeServers) {
+        for (AnsweringEdgeServer server : edgeServers) {
             try {
-                box.close();
+                server.close();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/test/java/dockshed/scale/ScaleBench.java
+++ b/src/test/java/dockshed/scale/ScaleBench.java
@@ -12,17 +12,18 @@
 import java.util.concurrent.Executors;
 
 /**
- * The scale run: plays the script on processes and sockets, and on the simulated network beside it, for each mechanism;
- * prints each scene's figures, how far both are apart, and the last line. Rows go to a file of the raw figures.
+ * Runs the scale benchmark: for each mechanism, plays the script on processes with sockets and then on the simulated
+ * network. Prints the figures of each scene, the comparison of the two and the {@link SummaryLine}s, and writes the figures
+ * to a CSV file, unless the run is a quick one.
  */
 public final class ScaleBench {
     private static final Path JAR = Path.of("target", "dockshed.jar");
     private static final Path CSV = Path.of("docs", "capacity", "scale.csv");
-    /** Configurations and logs of the processes of the last run. */
+    /** Configurations and logs of the processes; each run replaces those of the one before. */
     private static final Path LOGS = Path.of("target", "scale");
 
     private static final long SIMULATION_SEED = 11;
-    /** Simulations beside one another. */
+    /** Simulations that run at the same time, one thread each. */
     private static final int PARALLEL_SIMULATIONS = 4;
 
     private final ScaleOptions options;
@@ -37,7 +38,7 @@
         System.out.println(result);
     }
 
-    /** The socket run first, undisturbed; the simulation's groups of scenes then, beside one another. */
+    /** Plays on sockets first, so that nothing else loads the machine, then runs the simulations in parallel. */
     private SummaryLine play(Mechanism mechanism) throws IOException {
         ScaleRun run = options.sockets()
                 ? playOnSockets(mechanism)
@@ -59,24 +60,27 @@
         return results;
     }
 
-    /** Each simulation starts a fleet of its own; what it plays before a scene differs from the socket run's. */
+    /**
+     * Deals the scenes out to the simulations. Each simulation starts a fleet of its own, so a scene there follows other
+     * scenes than on sockets.
+     */
     private List<List<SceneName>> groups() {
         List<List<SceneName>> groups = new ArrayList<>();
-        for (int i = 0; i < PARALLEL_SIMULATIONS; i++) {
+        for (int group = 0; group < PARALLEL_SIMULATIONS; group++) {
             groups.add(new ArrayList<>());
         }
         List<SceneName> scenes = options.scenes().stream()
                 .filter(scene -> scene != SceneName.START)
                 .toList();
-        for (int i = 0; i < scenes.size(); i++) {
-            groups.get(i % PARALLEL_SIMULATIONS).add(scenes.get(i));
+        for (int index = 0; index < scenes.size(); index++) {
+            groups.get(index % PARALLEL_SIMULATIONS).add(scenes.get(index));
         }
         groups.removeIf(List::isEmpty);
         return groups;
     }
 
-    private static Thread daemon(Runnable what) {
-        Thread thread = new Thread(what, "simulation");
+    private static Thread daemon(Runnable task) {
+        Thread thread = new Thread(task, "simulation");
         thread.setDaemon(true);
         return thread;
     }
@@ -126,6 +130,11 @@
         CapacityCsv.of(CSV.toString(), command, columns, cells).write(CSV);
     }
 
+    /**
+     * Runs the benchmark from the project's folder.
+     *
+     * @throws IllegalArgumentException for an unknown option, see {@link ScaleOptions#USAGE}
+     */
     public static void main(String[] args) throws IOException {
         ScaleOptions options = ScaleOptions.parse(args);
         ScaleBench bench = new ScaleBench(options);
--- a/src/test/java/dockshed/scale/ScaleFleet.java
+++ b/src/test/java/dockshed/scale/ScaleFleet.java
@@ -4,51 +4,54 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A fleet that a script of scenes drives: processes on loopback sockets, or nodes on the simulated network. */
+/** The fleet on which {@link SceneScript} plays: processes on loopback sockets, or nodes on the simulated network. */
 interface ScaleFleet extends AutoCloseable {
+    /** The fleet's zones and regions. */
     FleetLayout layout();
 
-    /** Unix or simulated time. */
+    /** Unix or simulated time, in milliseconds. */
     long nowMillis();
 
-    /** Lets so much time go by. */
+    /** Waits, or advances the simulation by this time. */
     void advance(long millis);
 
+    /** Starts brokers. */
     void start(BitSet brokers);
 
-    /** Without a word to the others. */
+    /** Ends brokers without notice to the others. */
     void kill(BitSet brokers);
 
-    /** A planned end: told to the others. */
+    /** Ends brokers that first notify the others. */
     void leave(BitSet brokers);
 
-    /** The broker stands still for so long, and goes on. */
+    /** Halts a broker for this time, after which it continues; returns at once. */
     void pause(int broker, long millis);
 
-    /** Nothing comes through from one set to the other until {@link #heal}. */
+    /** Drops all datagrams from one set of brokers to the other, until {@link #heal}. */
     void cut(BitSet from, BitSet to);
 
-    /** All cuts are over. */
+    /** Ends all cuts. */
     void heal();
 
-    /** On every link from now on. */
+    /** Sets the share of datagrams lost on every link, 0 to 1. */
     void setLoss(double share);
 
-    /** The broker has something to share with all others; {@link Observations} tell who knows it. */
+    /** Has a broker share a new change with the fleet; {@link Observations} report which brokers know of it. */
     void publishChange(int broker, int change);
 
-    /** Whether {@link ChangeObservation} is told of a broker. */
+    /** Whether a broker can publish changes and its {@link ChangeObservation}s are reported. */
     boolean observesChanges(int broker);
 
+    /** Observations since the last call. */
     Observations collect();
 
-    /** Of the brokers that are measured. */
+    /** Traffic and CPU time of the measured brokers: all simulated ones, or the hollow ones. */
     List<BrokerTotals> totals();
 
-    /** Of all figures held now. */
+    /** Ages of all figures that the measured brokers hold now. */
     Ages figureAges();
 
-    /** Heap of the control part alone, in kB a broker; NaN where it is not measured. */
+    /** Heap of the control code alone, in kB per broker; NaN if it is not measured. */
     double memoryKb();
 
     @Override
--- a/src/test/java/dockshed/scale/ScaleOptions.java
+++ b/src/test/java/dockshed/scale/ScaleOptions.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * The command line of the scale run.
+ * The command line of the scale benchmark.
  *
- * @param quick      the short script
- * @param mechanisms one after another
- * @param brokers    real and hollow
- * @param real       processes of the built jar
- * @param perProcess hollow brokers of a process at most
- * @param sockets    whether processes play the script
- * @param simulation       whether the simulated network does
- * @param scenes       the scenes played; the start is always
+ * @param quick      whether the short script is played and no file written
+ * @param mechanisms the mechanisms, run one after another
+ * @param brokers    number of brokers, real and hollow
+ * @param real       number of real brokers, each a process of the built jar
+ * @param perProcess largest number of hollow brokers in one process
+ * @param sockets    whether the script is played on processes with sockets
+ * @param simulation whether the script is played on the simulated network, the twin
+ * @param scenes     the scenes to play, the start always among them
  */
 record ScaleOptions(
         boolean quick,
@@ -25,7 +25,9 @@
         boolean sockets,
         boolean simulation,
         List<SceneName> scenes) {
+    /** The size that the fleet is to reach. */
     private static final int DEFAULT_BROKERS = 510;
+
     private static final int DEFAULT_REAL_BROKERS = 8;
     private static final int DEFAULT_HOLLOW_PER_PROCESS = 72;
     private static final List<SceneName> QUICK_SCENES =
@@ -34,7 +36,11 @@
     static final String USAGE = "scale.sh [--quick] [--mechanism full_mesh|zoned|both] [--brokers N] [--real N]"
             + " [--per-process N] [--no-twin|--twin-only] [--scenes a,b,..]";
 
-    /** Throws IllegalArgumentException where the line says nothing that is known. */
+    /**
+     * Reads the command line.
+     *
+     * @throws IllegalArgumentException for an unknown option or label, or a value that is missing or not a number
+     */
     static ScaleOptions parse(String... arguments) {
         boolean quick = false;
         boolean sockets = true;
@@ -65,7 +71,7 @@
 
     private static String value(String option, List<String> rest) {
         if (rest.isEmpty()) {
-            throw new IllegalArgumentException(option + " wants a value; " + USAGE);
+            throw new IllegalArgumentException(option + " needs a value; " + USAGE);
         }
         return rest.remove(0);
     }
@@ -87,6 +93,7 @@
         return scenes;
     }
 
+    /** The time limits of the script. */
     ScriptTimes times() {
         return quick ? ScriptTimes.QUICK : ScriptTimes.FULL;
     }
--- a/src/test/java/dockshed/scale/ScaleReportTest.java
+++ b/src/test/java/dockshed/scale/ScaleReportTest.java
@@ -14,7 +14,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Ranges, delays, faults, judgement of deaths, and the lines that a run prints. */
+/**
+ * The parts of the scale benchmark that need no fleet: broker ranges, delays, injected faults, the classification of deaths,
+ * and the printed lines. Guards against figures that are wrong although the run succeeded, such as an unfinished delay that
+ * counts as a short one, or a death counted as false although the script stopped the broker.
+ */
 class ScaleReportTest {
     private static SceneResult scene(String run, SceneName name, double detect, double gone, double heal) {
         Map<Metric, Double> figures = new EnumMap<>(Metric.class);
@@ -27,14 +31,14 @@
     }
 
     @Property(seed = "20261202", tries = 200)
-    void rangesAreReadAsTheyWereWritten(@ForAll List<@IntRange(max = 1023) Integer> numbers) {
+    void rangesParseToTheSetThatWasFormatted(@ForAll List<@IntRange(max = 1023) Integer> numbers) {
         BitSet brokers = new BitSet();
         numbers.forEach(brokers::set);
         assertEquals(brokers, BrokerRanges.parse(BrokerRanges.format(brokers)));
     }
 
     @Test
-    void theWantedSizeHasSixZonesOf73AndOneOf72() {
+    void theTargetSizeHasSixZonesOf73AndOneOf72() {
         FleetLayout layout = new FleetLayout(510);
         for (int zone = 0; zone < 6; zone++) {
             assertEquals(73, layout.zone(zone).cardinality());
@@ -46,10 +50,10 @@
     }
 
     @Test
-    void whatHasNotComeToItsEndMakesAPercentileInfinite() {
+    void anUnfinishedDelayMakesAPercentileInfinite() {
         Delays delays = new Delays();
-        for (int i = 1; i <= 98; i++) {
-            delays.add(i * 1000);
+        for (int seconds = 1; seconds <= 98; seconds++) {
+            delays.add(seconds * 1000);
         }
         delays.addUnfinished();
         delays.addUnfinished();
@@ -60,7 +64,7 @@
     }
 
     @Test
-    void aCutIsOneWayAndLossIsByChance() {
+    void aCutIsOneWayAndLossDependsOnTheRandomNumber() {
         LinkFaults faults = LinkFaults.NONE.withCut(BrokerRanges.of(1), BrokerRanges.of(2));
         assertTrue(faults.drops(1, 2, 0.9));
         assertFalse(faults.drops(2, 1, 0.9));
@@ -69,7 +73,7 @@
         assertFalse(faults.withLoss(0.2).drops(2, 1, 0.2));
     }
 
-    /** Broker 0 calls broker 1 dead at a time; the script had it down from 10 s to 12 s. */
+    /** Counts of false and late deaths if broker 0 declares broker 1 dead, which the script stopped from 10 s to 12 s. */
     private static int[] deathsCounted(long atMillis) {
         FleetRecorder recorder = new FleetRecorder(Mechanism.FULL_MESH.visibility(new FleetLayout(3)), 3);
         recorder.started(BrokerRanges.of(0, 1, 2), 0);
@@ -90,7 +94,7 @@
     }
 
     @Test
-    void aCutExcusesBothOfItsEnds() {
+    void aCutMakesBothOfItsEndsUnreachable() {
         Outages outages = new Outages();
         outages.cut(BrokerRanges.of(0), BrokerRanges.of(1), 10_000);
         assertFalse(outages.reachable(1, 0, 15_000, 16_000));
@@ -100,7 +104,7 @@
     }
 
     @Test
-    void theLastLineIsReadAsItWasPrinted() {
+    void theSummaryLineParsesToWhatWasPrinted() {
         ScaleRun run = new ScaleRun(
                 Mechanism.FULL_MESH,
                 510,
@@ -114,7 +118,7 @@
         assertEquals("21.5", line.values().get("zone_gone_s"));
         assertEquals("nan", line.values().get("heal_s"));
         assertEquals("0", line.values().get("false_dead"));
-        assertEquals("nan", line.values().get("disagree"), "what was not measured is not zero");
+        assertEquals("nan", line.values().get("disagree"), "a sum without measurements is not zero");
         assertEquals("0.9876", line.values().get("r2"));
         assertThrows(IllegalArgumentException.class, () -> SummaryLine.parse("scale brokers"));
         assertThrows(IllegalArgumentException.class, () -> SummaryLine.parse("something else"));
@@ -128,7 +132,7 @@
     }
 
     @Test
-    void theTwinIsComparedSceneByScene() {
+    void theSimulationIsComparedSceneByScene() {
         SimulationComparison comparison = SimulationComparison.of(
                 List.of(
                         scene(SceneResult.SOCKETS, SceneName.ZONE, 10, 20, 30),
@@ -144,7 +148,7 @@
     }
 
     @Test
-    void optionsThatAreNotKnownAreRefused() {
+    void unknownOptionsAreRefused() {
         assertEquals(510, ScaleOptions.parse("--quick").brokers());
         assertEquals(
                 List.of(SceneName.START, SceneName.ZONE),
--- a/src/test/java/dockshed/scale/ScaleRun.java
+++ b/src/test/java/dockshed/scale/ScaleRun.java
@@ -3,9 +3,12 @@
 import java.util.List;
 
 /**
- * What was played of one mechanism on sockets.
+ * The run of one mechanism on sockets.
  *
- * @param processes of brokers, the driver not counted
- * @param results   in the order played
+ * @param brokers   number of brokers in the fleet
+ * @param real      how many of them were real
+ * @param hollow    how many of them were hollow
+ * @param processes number of processes that ran brokers
+ * @param results   the scenes' figures in the order played
  */
 record ScaleRun(Mechanism mechanism, int brokers, int real, int hollow, int processes, List<SceneResult> results) {}
--- a/src/test/java/dockshed/scale/SceneName.java
+++ b/src/test/java/dockshed/scale/SceneName.java
@@ -2,31 +2,32 @@
 
 import java.util.Locale;
 
-/** The scenes, in the order played. */
+/** The scenes of the script, in the order played. */
 enum SceneName {
     /** All brokers are started at once. */
     START,
-    /** Nothing happens; what the control part costs. */
+    /** No faults; measures the cost of the control code. */
     STEADY,
-    /** Two brokers are killed at once, and started again. */
+    /** Two brokers are killed at the same time, and started again. */
     MACHINES,
-    /** Changes of what is shared at thirty times the wanted rate. */
+    /** Brokers publish changes at thirty times the target rate. */
     CHANGES,
-    /** Sixty-two planned restarts in a row. */
+    /** Sixty-two announced restarts, one after another. */
     RESTARTS,
-    /** A broker stands still for five seconds, a hollow and a real one in turn. */
+    /** Two brokers halt for five seconds at the same time: a hollow one, and a real one if the run has enough. */
     PAUSE,
-    /** All brokers of a zone are killed at once, and started again. */
+    /** All brokers of a zone are killed at the same time, and started again. */
     ZONE,
-    /** Nothing comes through from either region to the other, and then all again. */
+    /** The links between the regions are cut in both directions, and healed. */
     REGIONS,
-    /** Nothing comes through from the first region to the second, and then all again. */
+    /** The links are cut from the first region to the second only, and healed. */
     REGIONS_ONE_WAY,
-    /** One datagram in a hundred is lost. */
+    /** 1% of the datagrams are lost. */
     LOSS_1,
-    /** One datagram in five is lost. */
+    /** 20% of the datagrams are lost. */
     LOSS_20;
 
+    /** The name in reports and on the command line. */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/test/java/dockshed/scale/SceneResult.java
+++ b/src/test/java/dockshed/scale/SceneResult.java
@@ -8,25 +8,29 @@
  * The figures of one scene.
  *
  * @param run     {@link #SOCKETS} or {@link #SIMULATED}
- * @param seconds that the scene took, of the run's own clock
- * @param figures those that the scene yields
+ * @param brokers number of brokers in the fleet
+ * @param seconds how long the scene took by the fleet's clock
+ * @param figures the figures that were measured
  */
 record SceneResult(
         String run, Mechanism mechanism, int brokers, SceneName scene, double seconds, Map<Metric, Double> figures) {
     static final String SOCKETS = "sockets";
     static final String SIMULATED = "simulated";
+    /** The cell of a figure that was not measured. */
     private static final String NOT_MEASURED = "-";
+
     private static final int FRACTION_DIGITS = 4;
 
     SceneResult {
         figures = new EnumMap<>(figures);
     }
 
-    /** NaN where the scene does not yield it. */
+    /** A figure; NaN if it was not measured. */
     double figure(Metric metric) {
         return figures.getOrDefault(metric, Double.NaN);
     }
 
+    /** The column names of {@link #csvRow}. */
     static String csvHeader() {
         StringBuilder header = new StringBuilder("run,mechanism,brokers,scene,seconds");
         for (Metric metric : Metric.values()) {
@@ -35,7 +39,7 @@
         return header.toString();
     }
 
-    /** Columns that the scene does not yield hold {@link #NOT_MEASURED}. */
+    /** The row of the CSV file; figures that were not measured are {@link #NOT_MEASURED}. */
     String csvRow() {
         StringBuilder row = new StringBuilder(
                 String.join(",", run, mechanism.label(), Integer.toString(brokers), scene.label(), format(seconds)));
@@ -45,7 +49,7 @@
         return row.toString();
     }
 
-    /** Without a fraction that says nothing; infinity as {@code inf}, what is not a number as {@code nan}. */
+    /** At most four decimals without trailing zeros; infinity as {@code inf}, NaN as {@code nan}. */
     static String format(double value) {
         if (Double.isNaN(value)) {
             return "nan";
--- a/src/test/java/dockshed/scale/SceneScript.java
+++ b/src/test/java/dockshed/scale/SceneScript.java
@@ -9,20 +9,20 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Plays scenes on a fleet, real or simulated, and works out each one's figures. */
+/** Plays scenes on a fleet, on sockets or simulated, and computes the figures of each. */
 final class SceneScript {
-    /** The wanted rate is 460 changes a day; the scene has thirty times that: one each so many milliseconds. */
+    /** Time between two changes: the target rate is 460 changes a day, and the scene has thirty times that. */
     static final long CHANGE_INTERVAL_MILLIS = 24L * 3600 * 1000 / (460 * 30);
 
     static final int RESTART_COUNT = 62;
     static final long PAUSE_MILLIS = 5_000;
     static final double LOW_LOSS_SHARE = 0.01;
     static final double HIGH_LOSS_SHARE = 0.2;
-    /** The zone that is lost: of the first region, with the higher number of brokers. */
+    /** The zone that is killed: in the first region, and one of those with the most brokers. */
     static final int KILLED_ZONE = 1;
 
     private static final long POLL_INTERVAL_MILLIS = 250;
-    /** Changes are numbered from here on. */
+    /** The number of the first change; later ones count up from it. */
     static final int FIRST_CHANGE_NUMBER = 1_000_000;
 
     private final ScaleFleet fleet;
@@ -35,6 +35,10 @@
     private final FleetRecorder recorder;
     private int nextChange = FIRST_CHANGE_NUMBER;
 
+    /**
+     * @param run     {@link SceneResult#SOCKETS} or {@link SceneResult#SIMULATED}
+     * @param results receives the result of each scene
+     */
     SceneScript(ScaleFleet fleet, Mechanism mechanism, String run, ScriptTimes times, Consumer<SceneResult> results) {
         this.fleet = fleet;
         this.mechanism = mechanism;
@@ -46,9 +50,9 @@
         recorder = new FleetRecorder(visibility, layout.brokers());
     }
 
-    /** Plays one scene and hands out its result. */
+    /** Plays one scene and passes its result on. */
     void play(SceneName scene) {
-        long began = fleet.nowMillis();
+        long startMillis = fleet.nowMillis();
         Map<Integer, BrokerTotals> before = totals();
         BitSet runningBefore = recorder.running();
         Map<Metric, Double> figures = new EnumMap<>(Metric.class);
@@ -65,7 +69,7 @@
             case LOSS_1 -> loss(LOW_LOSS_SHARE, figures);
             case LOSS_20 -> loss(HIGH_LOSS_SHARE, figures);
         }
-        double seconds = (fleet.nowMillis() - began) / 1e3;
+        double seconds = (fleet.nowMillis() - startMillis) / 1e3;
         putTraffic(before, runningBefore, seconds, figures);
         finish(scene, figures);
         figures.put(Metric.OBSERVERS, (double) recorder.running().cardinality());
@@ -78,13 +82,13 @@
     // ---- Scenes.
 
     private void start(Map<Metric, Double> figures) {
-        long since = fleet.nowMillis();
+        long startMillis = fleet.nowMillis();
         startBrokers(layout.all());
         awaitAllListed(times.startMaxMillis());
-        putHealDelays(since, figures);
+        putHealDelays(startMillis, figures);
     }
 
-    /** What is read of the brokers at the end, and takes a while itself. */
+    /** Takes the figures whose reading takes time itself, after the scene's time and traffic were measured. */
     private void finish(SceneName scene, Map<Metric, Double> figures) {
         switch (scene) {
             case STEADY -> {
@@ -100,43 +104,47 @@
     }
 
     private void putMemory(Map<Metric, Double> figures) {
-        double memory = fleet.memoryKb();
-        if (!Double.isNaN(memory)) {
-            figures.put(Metric.MEMORY_KB, memory);
+        double memoryKb = fleet.memoryKb();
+        if (!Double.isNaN(memoryKb)) {
+            figures.put(Metric.MEMORY_KB, memoryKb);
         }
     }
 
-    /** Two hollow brokers of different regions: an ordinary day's loss. */
+    /** Two hollow brokers in different regions: as many as are lost on an ordinary day. */
     private BitSet twoMachines() {
-        int inZone = layout.brokers() / FleetLayout.ZONES / 2;
-        return BrokerRanges.of(layout.firstOfZone(2) + inZone, layout.firstOfZone(5) + inZone);
+        int indexInZone = layout.brokers() / FleetLayout.ZONES / 2;
+        return BrokerRanges.of(layout.firstOfZone(2) + indexInZone, layout.firstOfZone(5) + indexInZone);
     }
 
     private void killAndRestart(BitSet brokers, Map<Metric, Double> figures) {
-        long killed = fleet.nowMillis();
-        recorder.stopped(brokers, killed);
+        long killedMillis = fleet.nowMillis();
+        recorder.stopped(brokers, killedMillis);
         fleet.kill(brokers);
         BitSet others = recorder.running();
         BitSet lost = visibility.withScopesCovered(brokers);
         await(() -> recorder.listsMatch(others, lost, false), times.detectMaxMillis());
-        putDetectionDelays(recorder.listingDelays(others, lost, false, killed), figures);
-        long back = fleet.nowMillis();
+        putDetectionDelays(recorder.listingDelays(others, lost, false, killedMillis), figures);
+        long restartedMillis = fleet.nowMillis();
         startBrokers(brokers);
         awaitAllListed(times.healMaxMillis());
-        putHealDelays(back, figures);
+        putHealDelays(restartedMillis, figures);
     }
 
     private void changes(Map<Metric, Double> figures) {
         Delays delays = new Delays();
-        for (int i = 0; i < times.changeCount(); i++) {
-            boolean last = i + 1 == times.changeCount();
+        for (int index = 0; index < times.changeCount(); index++) {
+            boolean last = index + 1 == times.changeCount();
             delays.add(change(last ? times.changeMaxMillis() : CHANGE_INTERVAL_MILLIS, last));
         }
         putChangeDelays(delays, figures);
     }
 
-    /** One change at one broker; waits until all know it, and for the time of the next where there is one. */
-    private Delays change(long most, boolean last) {
+    /**
+     * Publishes one change at one broker and returns the delays until the others knew of it.
+     *
+     * @param maxMillis how long to wait: for the last change, until all know of it at most; for others, in full
+     */
+    private Delays change(long maxMillis, boolean last) {
         int change = nextChange++;
         int owner = layout.firstOfZone(change % FleetLayout.ZONES) + 5 + change % 7;
         while (!fleet.observesChanges(owner)) {
@@ -145,23 +153,23 @@
         BitSet observers = recorder.running();
         observers.and(visibility.brokersInScopeOf(owner));
         observers.stream().filter(broker -> !fleet.observesChanges(broker)).forEach(observers::clear);
-        long at = fleet.nowMillis();
+        long publishedMillis = fleet.nowMillis();
         fleet.publishChange(owner, change);
         BooleanSupplier known =
-                () -> recorder.changeDelays(observers, change, at).finishedShare() == 1;
+                () -> recorder.changeDelays(observers, change, publishedMillis).finishedShare() == 1;
         if (last) {
-            await(known, most);
+            await(known, maxMillis);
         } else {
-            advance(most);
+            advance(maxMillis);
         }
-        return recorder.changeDelays(observers, change, at);
+        return recorder.changeDelays(observers, change, publishedMillis);
     }
 
-    /** Hollow brokers only: how long a real one's planned end takes is its viewers' affair. */
+    /** Restarts hollow brokers only: how long a real broker takes to end depends on its viewers. */
     private void restarts(Map<Metric, Double> figures) {
-        long since = fleet.nowMillis();
-        for (int i = 0; i < Math.min(RESTART_COUNT, layout.brokers() / 2); i++) {
-            int broker = i * layout.brokers() / RESTART_COUNT % layout.brokers();
+        long lastStartMillis = fleet.nowMillis();
+        for (int restart = 0; restart < Math.min(RESTART_COUNT, layout.brokers() / 2); restart++) {
+            int broker = restart * layout.brokers() / RESTART_COUNT % layout.brokers();
             while (!fleet.observesChanges(broker)) {
                 broker++;
             }
@@ -170,47 +178,48 @@
             fleet.leave(one);
             advance(times.restartIntervalMillis() / 2);
             startBrokers(one);
-            since = fleet.nowMillis();
+            lastStartMillis = fleet.nowMillis();
             advance(times.restartIntervalMillis() / 2);
         }
         awaitAllListed(times.healMaxMillis());
-        putHealDelays(since, figures);
+        putHealDelays(lastStartMillis, figures);
     }
 
     private void pause(Map<Metric, Double> figures) {
-        long began = fleet.nowMillis();
-        int inZone = layout.brokers() / FleetLayout.ZONES / 3;
-        for (int broker : new int[] {layout.firstOfZone(3) + inZone, layout.firstOfZone(4)}) { // the second may be real
-            recorder.outages().paused(broker, began, began + PAUSE_MILLIS);
+        long pausedMillis = fleet.nowMillis();
+        int indexInZone = layout.brokers() / FleetLayout.ZONES / 3;
+        for (int broker :
+                new int[] {layout.firstOfZone(3) + indexInZone, layout.firstOfZone(4)}) { // the second may be real
+            recorder.outages().paused(broker, pausedMillis, pausedMillis + PAUSE_MILLIS);
             fleet.pause(broker, PAUSE_MILLIS);
         }
         advance(PAUSE_MILLIS);
         awaitAllListed(times.healMaxMillis());
         advance(POLL_INTERVAL_MILLIS);
-        putHealDelays(began + PAUSE_MILLIS, figures);
+        putHealDelays(pausedMillis + PAUSE_MILLIS, figures);
     }
 
     private void regions(boolean bothWays, Map<Metric, Double> figures) {
         BitSet first = layout.firstRegion();
         BitSet second = layout.secondRegion();
-        long cutAt = fleet.nowMillis();
-        cut(first, second, cutAt);
+        long cutMillis = fleet.nowMillis();
+        cut(first, second, cutMillis);
         if (bothWays) {
-            cut(second, first, cutAt);
+            cut(second, first, cutMillis);
         }
         BitSet ofFirst = visibility.withScopesCovered(first);
         BitSet ofSecond = visibility.withScopesCovered(second);
         await(
                 () -> recorder.listsMatch(first, ofSecond, false) && recorder.listsMatch(second, ofFirst, false),
                 times.detectMaxMillis());
-        Delays delays = recorder.listingDelays(first, ofSecond, false, cutAt);
-        delays.add(recorder.listingDelays(second, ofFirst, false, cutAt));
+        Delays delays = recorder.listingDelays(first, ofSecond, false, cutMillis);
+        delays.add(recorder.listingDelays(second, ofFirst, false, cutMillis));
         putDetectionDelays(delays, figures);
-        long joined = fleet.nowMillis();
+        long healedMillis = fleet.nowMillis();
         fleet.heal();
         recorder.outages().healed(fleet.nowMillis());
         awaitAllListed(times.healMaxMillis());
-        putHealDelays(joined, figures);
+        putHealDelays(healedMillis, figures);
     }
 
     private void cut(BitSet from, BitSet to, long atMillis) {
@@ -235,17 +244,18 @@
         recorder.record(fleet.collect());
     }
 
-    private void await(BooleanSupplier condition, long most) {
-        long until = fleet.nowMillis() + most;
+    /** Polls until the condition holds, or for the given time at most. */
+    private void await(BooleanSupplier condition, long maxMillis) {
+        long untilMillis = fleet.nowMillis() + maxMillis;
         do {
             advance(POLL_INTERVAL_MILLIS);
-        } while (!condition.getAsBoolean() && fleet.nowMillis() < until);
+        } while (!condition.getAsBoolean() && fleet.nowMillis() < untilMillis);
     }
 
-    private void awaitAllListed(long most) {
+    private void awaitAllListed(long maxMillis) {
         BitSet running = recorder.running();
-        BitSet there = visibility.withScopesTouched(running);
-        await(() -> recorder.listsMatch(running, there, true), most);
+        BitSet present = visibility.withScopesTouched(running);
+        await(() -> recorder.listsMatch(running, present, true), maxMillis);
     }
 
     // ---- Figures.
@@ -256,9 +266,9 @@
         figures.put(Metric.GONE_S, delays.longest());
     }
 
-    private void putHealDelays(long since, Map<Metric, Double> figures) {
+    private void putHealDelays(long sinceMillis, Map<Metric, Double> figures) {
         BitSet running = recorder.running();
-        Delays delays = recorder.listingDelays(running, visibility.withScopesTouched(running), true, since);
+        Delays delays = recorder.listingDelays(running, visibility.withScopesTouched(running), true, sinceMillis);
         figures.put(Metric.HEAL_S, delays.longest());
         figures.put(Metric.HEAL_P99_S, delays.percentile(99));
     }
@@ -288,41 +298,41 @@
         return byBroker;
     }
 
-    /** Of brokers that ran at both ends of the scene. */
+    /** Traffic and CPU time of the brokers that ran both before and after the scene. */
     private void putTraffic(
             Map<Integer, BrokerTotals> before, BitSet ranBefore, double seconds, Map<Metric, Double> figures) {
         BitSet running = recorder.running();
         running.and(ranBefore.isEmpty() ? running : ranBefore);
         double bytes = 0;
-        double bytesMost = 0;
-        double sent = 0;
-        double cpu = 0;
-        double cpuMost = 0;
+        double maxBytes = 0;
+        double sentBytes = 0;
+        double cpuNanos = 0;
+        double maxCpuNanos = 0;
         int counted = 0;
         boolean cpuMeasured = true;
         for (BrokerTotals after : fleet.totals()) {
             if (!running.get(after.broker())) {
                 continue;
             }
-            BrokerTotals was = before.get(after.broker());
+            BrokerTotals earlier = before.get(after.broker());
             counted++;
-            bytes += after.bytes() - was.bytes();
-            bytesMost = Math.max(bytesMost, after.bytes() - was.bytes());
-            sent += after.bytesSent() - was.bytesSent();
+            bytes += after.bytes() - earlier.bytes();
+            maxBytes = Math.max(maxBytes, after.bytes() - earlier.bytes());
+            sentBytes += after.bytesSent() - earlier.bytesSent();
             cpuMeasured &= after.cpuNanos() != BrokerTotals.UNMEASURED;
-            cpu += after.cpuNanos() - was.cpuNanos();
-            cpuMost = Math.max(cpuMost, after.cpuNanos() - was.cpuNanos());
+            cpuNanos += after.cpuNanos() - earlier.cpuNanos();
+            maxCpuNanos = Math.max(maxCpuNanos, after.cpuNanos() - earlier.cpuNanos());
         }
         figures.put(Metric.BYTES_S, bytes / counted / seconds);
-        figures.put(Metric.BYTES_S_MAX, bytesMost / seconds);
-        figures.put(Metric.SENT_BYTES_S, sent / counted / seconds);
+        figures.put(Metric.BYTES_S_MAX, maxBytes / seconds);
+        figures.put(Metric.SENT_BYTES_S, sentBytes / counted / seconds);
         if (cpuMeasured) {
-            figures.put(Metric.CPU, cpu / counted / seconds / 1e9);
-            figures.put(Metric.CPU_MAX, cpuMost / seconds / 1e9);
+            figures.put(Metric.CPU, cpuNanos / counted / seconds / 1e9);
+            figures.put(Metric.CPU_MAX, maxCpuNanos / seconds / 1e9);
         }
     }
 
-    /** In the order played; scenes that are left out have no result. */
+    /** All scenes in the order played; a run may leave scenes out. */
     static List<SceneName> allScenes() {
         return List.of(SceneName.values());
     }
--- a/src/test/java/dockshed/scale/SimulatedFleet.java
+++ b/src/test/java/dockshed/scale/SimulatedFleet.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The same control code on the simulated network and clock; one seed replays all. */
+/** A fleet of the brokers' control code on a simulated network and clock; the same seed gives the same run. */
 final class SimulatedFleet implements ScaleFleet {
-    /** As often as a host publishes what it knows. */
+    /** A fleet host publishes its snapshot as often. */
     private static final long OBSERVE_INTERVAL_MILLIS = 100;
 
-    /** As {@link HollowProcess} offers them. */
+    /** {@link HollowProcess} offers load samples as often. */
     private static final long LOAD_SAMPLE_INTERVAL_MILLIS = 250;
 
     private final FleetLayout layout;
@@ -30,9 +30,9 @@
         simulation = new FleetSimulationDriver(layout.brokers(), mechanism.settings(layout), seed);
         listed = new BitSet[layout.brokers()];
         knownChanges = new BitSet[layout.brokers()];
-        for (int i = 0; i < layout.brokers(); i++) {
-            listed[i] = new BitSet();
-            knownChanges[i] = new BitSet();
+        for (int broker = 0; broker < layout.brokers(); broker++) {
+            listed[broker] = new BitSet();
+            knownChanges[broker] = new BitSet();
         }
     }
 
@@ -48,12 +48,12 @@
 
     @Override
     public void advance(long millis) {
-        for (long until = nowMillis() + millis; nowMillis() < until; ) {
+        for (long untilMillis = nowMillis() + millis; nowMillis() < untilMillis; ) {
             if (nowMillis() >= nextLoadSampleMillis) {
                 simulation.offerLoadSamples(LOAD_SAMPLE_INTERVAL_MILLIS);
                 nextLoadSampleMillis = nowMillis() + LOAD_SAMPLE_INTERVAL_MILLIS;
             }
-            simulation.run(Math.min(OBSERVE_INTERVAL_MILLIS, until - nowMillis()));
+            simulation.run(Math.min(OBSERVE_INTERVAL_MILLIS, untilMillis - nowMillis()));
             observe();
         }
     }
--- a/src/test/java/dockshed/scale/SimulationComparison.java
+++ b/src/test/java/dockshed/scale/SimulationComparison.java
@@ -9,13 +9,14 @@
 import java.util.Set;
 
 /**
- * How far the simulated network's figures are from those on sockets, over the scenes that both played.
+ * How far the simulation's figures are from those on sockets, over the scenes that both played.
  *
- * @param pairs         delays compared
- * @param rSquared      of a line through the delays: the share of the sockets' variance that the twin tells; NaN: too few
- * @param delayError    median of the delays' relative differences, in parts of the sockets' figure
- * @param bytesError    largest of the relative differences of bytes a second, in the scenes of a fixed length
- * @param onlyOneEnded  delays that came to an end in one of the two only
+ * @param pairs        number of delays compared
+ * @param rSquared     share of the variance of the delays on sockets that a line through the simulated ones explains; NaN
+ *                     if there are fewer than {@link LinearFit#MIN_POINTS} pairs
+ * @param delayError   median relative error of the simulated delays; NaN if there are none
+ * @param bytesError   largest relative error of the simulated bytes per second, over the scenes of a fixed length
+ * @param onlyOneEnded number of delays that are finite in one of the two and infinite in the other
  */
 record SimulationComparison(int pairs, double rSquared, double delayError, double bytesError, int onlyOneEnded) {
     private static final List<Metric> COMPARED_DELAYS = List.of(
@@ -29,32 +30,33 @@
             Metric.SUMMARY_AGE_P99_S,
             Metric.CHANGE_P50_S,
             Metric.CHANGE_P99_S);
-    /** Scenes of a fixed length, in which processes do not start. */
+    /** Scenes of a fixed length in which no processes start, so that their traffic can be compared. */
     private static final Set<SceneName> SCENES_WITH_COMPARED_BYTES =
             EnumSet.of(SceneName.STEADY, SceneName.LOSS_1, SceneName.LOSS_20);
-    /** Delays under this are the sampling's: their relative difference says nothing. */
+    /** Shorter delays are not compared: they are dominated by the sampling interval. */
     private static final double MIN_COMPARED_SECONDS = 0.2;
 
+    /** Compares the scenes that both played. */
     static SimulationComparison of(List<SceneResult> sockets, List<SceneResult> simulated) {
         List<double[]> delays = new ArrayList<>();
         int onlyOneEnded = 0;
         double bytesError = 0;
-        for (SceneResult real : sockets) {
-            Optional<SceneResult> match = matchOf(real, simulated);
+        for (SceneResult onSockets : sockets) {
+            Optional<SceneResult> match = matchOf(onSockets, simulated);
             if (match.isEmpty()) {
                 continue;
             }
-            SceneResult twin = match.get();
-            if (SCENES_WITH_COMPARED_BYTES.contains(real.scene())) {
-                bytesError =
-                        Math.max(bytesError, relativeError(real.figure(Metric.BYTES_S), twin.figure(Metric.BYTES_S)));
+            SceneResult simulation = match.get();
+            if (SCENES_WITH_COMPARED_BYTES.contains(onSockets.scene())) {
+                bytesError = Math.max(
+                        bytesError, relativeError(onSockets.figure(Metric.BYTES_S), simulation.figure(Metric.BYTES_S)));
             }
             for (Metric metric : COMPARED_DELAYS) {
-                double a = real.figure(metric);
-                double b = twin.figure(metric);
-                if (Double.isFinite(a) && Double.isFinite(b)) {
-                    delays.add(new double[] {a, b});
-                } else if (Double.isInfinite(a) != Double.isInfinite(b)) {
+                double socketDelay = onSockets.figure(metric);
+                double simulatedDelay = simulation.figure(metric);
+                if (Double.isFinite(socketDelay) && Double.isFinite(simulatedDelay)) {
+                    delays.add(new double[] {socketDelay, simulatedDelay});
+                } else if (Double.isInfinite(socketDelay) != Double.isInfinite(simulatedDelay)) {
                     onlyOneEnded++;
                 }
             }
@@ -62,11 +64,11 @@
         return new SimulationComparison(delays.size(), rSquared(delays), medianError(delays), bytesError, onlyOneEnded);
     }
 
-    private static Optional<SceneResult> matchOf(SceneResult real, List<SceneResult> simulated) {
+    private static Optional<SceneResult> matchOf(SceneResult onSockets, List<SceneResult> simulated) {
         return simulated.stream()
-                .filter(twin -> twin.scene() == real.scene()
-                        && twin.mechanism() == real.mechanism()
-                        && twin.brokers() == real.brokers())
+                .filter(simulation -> simulation.scene() == onSockets.scene()
+                        && simulation.mechanism() == onSockets.mechanism()
+                        && simulation.brokers() == onSockets.brokers())
                 .findFirst();
     }
 
--- a/src/test/java/dockshed/scale/SummaryLine.java
+++ b/src/test/java/dockshed/scale/SummaryLine.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * The last line of a run: {@code scale} and pairs of a key and a value.
+ * The line that sums up the run of one mechanism: {@code scale}, followed by {@code key=value} pairs.
  *
- * @param values by key, in the order printed
+ * @param values the values by key, in the order printed
  */
 record SummaryLine(Map<String, String> values) {
     private static final String PREFIX = "scale ";
@@ -17,7 +17,11 @@
         values = new LinkedHashMap<>(values);
     }
 
-    /** Throws IllegalArgumentException where the line is none of these. */
+    /**
+     * Reads a printed line.
+     *
+     * @throws IllegalArgumentException if it does not begin with {@code scale } or a pair has no key or no equals sign
+     */
     static SummaryLine parse(String line) {
         if (!line.startsWith(PREFIX)) {
             throw new IllegalArgumentException("expected a line that begins with 'scale ', got: " + line);
@@ -33,7 +37,11 @@
         return new SummaryLine(values);
     }
 
-    /** Of the socket run's scenes; a figure whose scene was not played is {@code nan}. */
+    /**
+     * Sums up the scenes played on sockets; a figure whose scene was not played is {@code nan}.
+     *
+     * @param rSquared of {@link SimulationComparison}
+     */
     static SummaryLine of(ScaleRun run, double rSquared) {
         List<SceneResult> scenes = run.results();
         Map<String, String> values = new LinkedHashMap<>();
@@ -65,7 +73,7 @@
                 .orElse("nan");
     }
 
-    /** Over all scenes; what no scene has measured is not zero. */
+    /** The sum over all scenes; {@code nan}, not zero, if no scene measured it. */
     private static String sum(List<SceneResult> scenes, Metric metric) {
         double[] measured = scenes.stream()
                 .filter(scene -> scene.figures().containsKey(metric))
--- a/src/test/java/dockshed/scale/Visibility.java
+++ b/src/test/java/dockshed/scale/Visibility.java
@@ -5,9 +5,9 @@
 import java.util.BitSet;
 
 /**
- * Whom a broker is to know of. Subjects are numbers: those of the brokers, and behind them one for each gossip scope of the
- * fleet, which stands for that scope's summary. In a fleet without zones each broker lists all others; in one with zones
- * those of its own scope, and of each other scope whether anything is known.
+ * Which subjects a broker is expected to list. A subject is a number: a broker's, or, above those, one for each gossip scope
+ * of the fleet, which stands for the scope's summary. In a fleet without zones each broker lists all brokers. In one with
+ * zones it lists the brokers of its own scope, and each other scope of which it holds a summary.
  */
 final class Visibility {
     private final int brokers;
@@ -18,6 +18,7 @@
         brokers = zones.brokers();
     }
 
+    /** Number of subjects, brokers and scopes together. */
     int subjectCount() {
         return brokers + zones.scopes().size();
     }
@@ -27,22 +28,23 @@
         return brokers + scope;
     }
 
+    /** Whether a subject stands for a scope. */
     boolean isScope(int subject) {
         return subject >= brokers;
     }
 
-    /** The subjects that a broker knows of while all is well. */
+    /** The subjects that a broker lists in the absence of faults, itself included. */
     BitSet expectedSubjects(int observer) {
         Scope own = zones.scopeOf(observer);
-        BitSet watched = BrokerRanges.between(own.first(), own.first() + own.size());
+        BitSet expected = BrokerRanges.between(own.first(), own.first() + own.size());
         if (zones.zoned()) {
-            watched.set(brokers, subjectCount());
-            watched.clear(subjectOfScope(own.number()));
+            expected.set(brokers, subjectCount());
+            expected.clear(subjectOfScope(own.number()));
         }
-        return watched;
+        return expected;
     }
 
-    /** The brokers that a subject consists of. */
+    /** The brokers of a subject: the broker itself, or those of the scope. */
     BitSet brokersOf(int subject) {
         if (subject < brokers) {
             return BrokerRanges.of(subject);
@@ -51,22 +53,22 @@
         return BrokerRanges.between(scope.first(), scope.first() + scope.size());
     }
 
-    /** Brokers and the scopes that have one of them. */
-    BitSet withScopesTouched(BitSet of) {
-        BitSet subjects = (BitSet) of.clone();
+    /** The subjects of a set of brokers and of the scopes that contain at least one of them. */
+    BitSet withScopesTouched(BitSet set) {
+        BitSet subjects = (BitSet) set.clone();
         for (Scope scope : zones.scopes()) {
-            if (brokersOf(subjectOfScope(scope.number())).intersects(of)) {
+            if (brokersOf(subjectOfScope(scope.number())).intersects(set)) {
                 subjects.set(subjectOfScope(scope.number()));
             }
         }
         return subjects;
     }
 
-    /** Brokers and the scopes that have no other. */
-    BitSet withScopesCovered(BitSet of) {
-        BitSet subjects = (BitSet) of.clone();
+    /** The subjects of a set of brokers and of the scopes all of whose brokers are in the set. */
+    BitSet withScopesCovered(BitSet set) {
+        BitSet subjects = (BitSet) set.clone();
         for (Scope scope : zones.scopes()) {
-            if (BrokerRanges.minus(brokersOf(subjectOfScope(scope.number())), of)
+            if (BrokerRanges.minus(brokersOf(subjectOfScope(scope.number())), set)
                     .isEmpty()) {
                 subjects.set(subjectOfScope(scope.number()));
             }
@@ -74,7 +76,7 @@
         return subjects;
     }
 
-    /** The brokers of the scope that a broker is in. */
+    /** The brokers in the scope of a broker, itself included. */
     BitSet brokersInScopeOf(int broker) {
         Scope scope = zones.scopeOf(broker);
         return BrokerRanges.between(scope.first(), scope.first() + scope.size());
