--- a/src/test/java/dockshed/capacity/CapacityCells.java
+++ b/src/test/java/dockshed/capacity/CapacityCells.java
@@ -4,19 +4,21 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** The computed cells of a row, by column, as the page has to write them. */
+/** Computes the cells of the page's rows. */
 final class CapacityCells {
+    /** The basis of a figure computed from targets, constants and measurements only. */
     static final String WORKED_OUT = "worked out";
+    /** The basis of a figure whose computation includes a guess. */
     static final String ON_A_GUESS = "on a guess";
 
     /**
      * One computed cell.
      *
-     * @param text as the page writer writes it
-     * @param number what the text stands for; empty where it must stand word for word
+     * @param text the text that {@link CapacityPageWriter} writes
+     * @param number the number that the text represents; empty if the page must have exactly this text
      */
     record Cell(String text, OptionalDouble number) {
-        /** Whether the page's text says the same. */
+        /** Whether the text on the page represents the same number, or is the same text. */
         boolean agrees(String written) {
             return number.isPresent() ? Figure.agrees(written, number.getAsDouble()) : written.equals(text);
         }
@@ -28,7 +30,7 @@
         this.model = model;
     }
 
-    /** The cells of a row that are computed; none for targets, constants and guesses. */
+    /** The computed cells of a row, by column; none for targets, constants and guesses. */
     Map<String, Cell> of(CapacityRow row) {
         Map<String, Cell> cells = new LinkedHashMap<>();
         if (row instanceof CapacityRow.Measured) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /** The budget divided by the value: above 1 there is room, below 1 it is missed. */
+    /** The budget divided by the value: above 1 the budget is kept, below 1 it is exceeded. */
     private Cell remains(CapacityRow.Derived row, Resolved resolved) {
         if (row.budget().isEmpty()) {
             return text(CapacityRows.EMPTY);
--- a/src/test/java/dockshed/capacity/CapacityCsv.java
+++ b/src/test/java/dockshed/capacity/CapacityCsv.java
@@ -8,37 +8,41 @@
 import java.util.List;
 
 /**
- * A file of raw figures under {@code docs/capacity}: a first line {@code # } with the command that made
- * it, a header of column names, and rows of plain cells (no quotes; a cell has no comma and no line end).
+ * A CSV file of measurements: a first line of {@code # } and the command that wrote the file, a header of column names,
+ * and rows of cells. There is no quoting: a cell contains neither commas nor line ends, and is not blank.
  *
- * @param name the file's name, for messages
- * @param command the command that made the file
+ * @param name the file's name, used in error messages
+ * @param command the command that wrote the file
  * @param columns the column names, all different
- * @param rows the rows, each with as many cells as there are columns
+ * @param rows the rows, each with one cell for each column
  */
 public record CapacityCsv(String name, String command, List<String> columns, List<Row> rows) {
 
     /**
      * One row.
      *
-     * @param line its line in the file, counted from 1
-     * @param cells its cells, one for each column
+     * @param line the row's line in the file, from 1
+     * @param cells the cells, one for each column
      */
     public record Row(int line, List<String> cells) {
-        /** Takes a copy of the cells. */
+        /** Copies the cells. */
         public Row {
             cells = List.copyOf(cells);
         }
     }
 
-    /** More rows than this are no table of measurements. */
+    /** Guards against reading a file that is not a table of measurements. */
     public static final int MAX_ROWS = 10_000;
 
     private static final String COMMENT = "# ";
     private static final String SEPARATOR = ",";
     private static final int LINES_BEFORE_ROWS = 2;
 
-    /** Checks the table and takes copies of its lists. */
+    /**
+     * Checks the table and copies its lists.
+     *
+     * @throws IllegalArgumentException if the table is malformed; the message names file and line
+     */
     public CapacityCsv {
         requireCommand(name, command);
         requireColumns(name, columns);
@@ -52,7 +56,7 @@
         rows = List.copyOf(rows);
     }
 
-    /** A table of measured rows, not yet written. */
+    /** Makes a table that is not yet written to a file; the rows get the lines that they will have there. */
     public static CapacityCsv of(String name, String command, List<String> columns, List<List<String>> cells) {
         return new CapacityCsv(name, command, columns, numbered(cells));
     }
@@ -73,7 +77,7 @@
      */
     public static CapacityCsv parse(String name, List<String> lines) {
         if (lines.isEmpty() || !lines.get(0).startsWith(COMMENT)) {
-            throw malformed(name, 1, "expected \"# \" and the command that made the file");
+            throw malformed(name, 1, "expected \"# \" and the command that wrote the file");
         }
         if (lines.size() < LINES_BEFORE_ROWS) {
             throw malformed(name, LINES_BEFORE_ROWS, "expected a header of column names");
@@ -85,7 +89,7 @@
         return of(name, lines.get(0).substring(COMMENT.length()), cellsOf(lines.get(1)), rows);
     }
 
-    /** Writes the table, in place of what the file held before. */
+    /** Writes the table, replacing the file if it exists; creates its directory if needed. */
     public void write(Path file) throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add(COMMENT + command);
@@ -100,7 +104,7 @@
     }
 
     /**
-     * A column's cells as they stand.
+     * The cells of a column as text.
      *
      * @throws IllegalArgumentException if there is no such column
      */
@@ -110,7 +114,7 @@
     }
 
     /**
-     * A column's cells as numbers.
+     * The cells of a column as numbers.
      *
      * @throws IllegalArgumentException if there is no such column or a cell is not a finite number; the
      *     message names file and line
@@ -124,7 +128,7 @@
         return numbers;
     }
 
-    /** The rows whose cell in the column is the value, as a table of its own; they keep their lines. */
+    /** A table of the rows whose cell in the column equals the value; they keep their line numbers. */
     public CapacityCsv where(String column, String value) {
         int index = indexOf(column);
         List<Row> kept = rows.stream()
@@ -133,7 +137,7 @@
         return new CapacityCsv(name, command, columns, kept);
     }
 
-    /** The rows whose cell in the column is another than the value, as a table of its own. */
+    /** A table of the rows whose cell in the column differs from the value; they keep their line numbers. */
     public CapacityCsv whereNot(String column, String value) {
         int index = indexOf(column);
         List<Row> kept = rows.stream()
@@ -142,9 +146,9 @@
         return new CapacityCsv(name, command, columns, kept);
     }
 
-    /** The line through two columns of numbers. */
-    public LinearFit fit(String x, String y) {
-        return LinearFit.of(numbers(x), numbers(y));
+    /** Fits a line to two columns of numbers. */
+    public LinearFit fit(String xColumn, String yColumn) {
+        return LinearFit.of(numbers(xColumn), numbers(yColumn));
     }
 
     private int indexOf(String column) {
@@ -171,13 +175,13 @@
 
     private static void requireCommand(String name, String command) {
         if (command.isBlank() || hasLineEnd(command)) {
-            throw malformed(name, 1, "expected the command that made the file, on one line");
+            throw malformed(name, 1, "expected the command that wrote the file, on one line");
         }
     }
 
     private static void requireColumns(String name, List<String> columns) {
         if (new LinkedHashSet<>(columns).size() != columns.size()) {
-            throw malformed(name, LINES_BEFORE_ROWS, "a column name is there twice: " + columns);
+            throw malformed(name, LINES_BEFORE_ROWS, "expected different column names, got " + columns);
         }
         for (String column : columns) {
             requireCell(name, LINES_BEFORE_ROWS, column);
@@ -196,6 +200,7 @@
         }
     }
 
+    /** Numbers the rows by the lines that they will have in the file. */
     private static List<Row> numbered(List<List<String>> cells) {
         List<Row> rows = new ArrayList<>();
         for (List<String> row : cells) {
@@ -209,7 +214,7 @@
             throw malformed(name, line, "a cell is empty");
         }
         if (cell.contains(SEPARATOR) || hasLineEnd(cell)) {
-            throw malformed(name, line, "a cell has a comma or a line end: \"" + cell + "\"");
+            throw malformed(name, line, "expected a cell without comma and line end, got \"" + cell + "\"");
         }
     }
 
--- a/src/test/java/dockshed/capacity/CapacityCsvTest.java
+++ b/src/test/java/dockshed/capacity/CapacityCsvTest.java
@@ -10,14 +10,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files of raw figures: what is written is read again, what is malformed is named by file and line. */
+/**
+ * CSV files of measurements. Guards against files that do not read back as written, and against malformed files, such as
+ * hand-edited ones, that are accepted or whose error names no file and line.
+ */
 class CapacityCsvTest {
 
     private static final List<String> GOOD = List.of("# sh bench/x.sh", "kind,size,cost", "a,1,10", "a,2,20", "a,3,30");
 
     @Test
-    void whatIsWrittenIsReadAgain(@TempDir Path folder) throws IOException {
-        Path file = folder.resolve("capacity").resolve("x.csv");
+    void aWrittenFileReadsBackTheSame(@TempDir Path directory) throws IOException {
+        Path file = directory.resolve("capacity").resolve("x.csv");
         CapacityCsv.parse("x.csv", GOOD).write(file);
         CapacityCsv read = CapacityCsv.read(file);
         assertEquals("sh bench/x.sh", read.command());
@@ -35,7 +38,7 @@
     }
 
     @Test
-    void malformedFilesAreNamedByFileAndLine() {
+    void errorsOfMalformedFilesNameFileAndLine() {
         assertRefused("x.csv, line 1: ", List.of());
         assertRefused("x.csv, line 1: ", List.of("kind,size", "a,1"));
         assertRefused("x.csv, line 1: ", List.of("#  ", "kind,size", "a,1"));
@@ -49,7 +52,7 @@
     }
 
     @Test
-    void aCellThatIsNoNumberIsNamedByLineAndColumn() {
+    void theErrorOfACellThatIsNoNumberNamesLineAndColumn() {
         CapacityCsv table = CapacityCsv.parse("x.csv", List.of("# c", "kind,size", "a,1", "a,many", "a,NaN"));
         IllegalArgumentException refusal = assertThrows(IllegalArgumentException.class, () -> table.numbers("size"));
         assertEquals("x.csv, line 4: size: expected a number, got \"many\"", refusal.getMessage());
--- a/src/test/java/dockshed/capacity/CapacityModel.java
+++ b/src/test/java/dockshed/capacity/CapacityModel.java
@@ -16,7 +16,10 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 
-/** Computes the rows of the page from its targets and the files of measurements. */
+/**
+ * Computes the values of the page's rows from its targets, constants and guesses and the files of measurements. A row that
+ * cannot be computed is a {@link PageFaultException}.
+ */
 final class CapacityModel {
     private final Map<String, CapacityRow> rows;
     private final Path measurements;
@@ -25,29 +28,32 @@
 
     /**
      * @param page the page whose rows are computed
-     * @param measurements the folder of the files of measurements
+     * @param measurements the directory of the files of measurements
      */
     CapacityModel(CapacityPage page, Path measurements) {
         this.rows = page.rows();
         this.measurements = measurements;
     }
 
-    /** The row's value. */
+    /** The value of a row, computed on the first call. */
     Resolved resolve(CapacityRow row) {
-        Resolved found = resolved.get(row.id());
-        if (found == null) {
-            found = compute(row);
-            resolved.put(row.id(), found);
+        Resolved value = resolved.get(row.id());
+        if (value == null) {
+            value = compute(row);
+            resolved.put(row.id(), value);
         }
-        return found;
+        return value;
     }
 
-    /** What the ranking is sorted by: infinity where nothing serves the need, nothing where it is not measured. */
+    /** The sort key of the ranking: infinity if no mechanism serves the need, 0 if the value is not measured. */
     double shortfallOf(CapacityRow.Ranked row) {
         return row.hasMechanism() ? resolve(row).value().orElse(0) : Double.POSITIVE_INFINITY;
     }
 
-    /** The value of an expression over ids, as a row writes it; what needs a delay that was not reached is not reached. */
+    /**
+     * The value of a row's formula or budget, an expression over ids: not measured if one of its terms is not, and infinity
+     * (not reached) if one of its terms is infinite.
+     */
     Resolved evaluate(CapacityRow row, String formula) {
         Map<String, Resolved> terms = termsOf(row, formula);
         boolean onGuess = terms.values().stream().anyMatch(Resolved::onGuess);
@@ -64,7 +70,7 @@
         return new Resolved(OptionalDouble.of(value), margin, OptionalDouble.empty(), onGuess);
     }
 
-    /** The file of measurements, whether it is there or not. */
+    /** The path of a row's file of measurements, which may not exist. */
     Path fileOf(CapacityRow.Measured row) {
         return measurements.resolve(row.file());
     }
@@ -155,7 +161,7 @@
         }
     }
 
-    /** Margins of the terms carried through the formula to first order, as if they were independent. */
+    /** The margin of the result, propagated from those of the terms to first order as if the terms were independent. */
     private static OptionalDouble margin(
             CapacityRow row, String formula, Map<String, Resolved> terms, Map<String, Double> values, double value) {
         double squares = 0;
@@ -163,9 +169,9 @@
         for (Map.Entry<String, Resolved> term : terms.entrySet()) {
             OptionalDouble margin = term.getValue().margin();
             if (margin.isPresent()) {
-                Map<String, Double> moved = new HashMap<>(values);
-                moved.merge(term.getKey(), margin.getAsDouble(), Double::sum);
-                double change = number(row, formula, moved) - value;
+                Map<String, Double> shifted = new HashMap<>(values);
+                shifted.merge(term.getKey(), margin.getAsDouble(), Double::sum);
+                double change = number(row, formula, shifted) - value;
                 squares += change * change;
                 any = true;
             }
--- a/src/test/java/dockshed/capacity/CapacityPage.java
+++ b/src/test/java/dockshed/capacity/CapacityPage.java
@@ -18,17 +18,21 @@
 import org.commonmark.parser.Parser;
 
 /**
- * The capacity page, read: its lines, the rows that have ids, and the prose between them.
+ * The parsed capacity page: its lines, the table rows that have ids, and the prose.
  *
  * @param lines the page's lines
  * @param tables the tables whose rows have ids
- * @param rows those rows by id, in the page's order
- * @param proseLines the lines outside such tables, code blocks and headings; the others as empty lines
+ * @param rows the rows of these tables by id, in the page's order
+ * @param proseLines the page's lines, with those in such tables, code blocks and headings replaced by empty ones
  */
 record CapacityPage(
         List<String> lines, List<PageTable> tables, Map<String, CapacityRow> rows, List<String> proseLines) {
 
-    /** Reads the page's text. */
+    /**
+     * Parses the page's Markdown.
+     *
+     * @throws PageFaultException if a row with an id is malformed or its id is used twice
+     */
     static CapacityPage parse(String text) {
         List<String> lines = List.of(text.split("\n", -1));
         String[] prose = lines.toArray(String[]::new);
@@ -101,12 +105,12 @@
         return rows.values().stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** The prose as one text, line for line as on the page. */
+    /** The prose as one text, with the page's line numbers. */
     String prose() {
         return String.join("\n", proseLines);
     }
 
-    /** The page's text, for a copy of the lines that was changed. */
+    /** Joins a changed copy of the page's lines to its text. */
     static String join(String[] lines) {
         return String.join("\n", Arrays.asList(lines));
     }
--- a/src/test/java/dockshed/capacity/CapacityPageCheck.java
+++ b/src/test/java/dockshed/capacity/CapacityPageCheck.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** Holds the page against its files of measurements; every disagreement is a fault that names the row. */
+/** Checks the capacity page against its files of measurements; each disagreement is a fault that names the row. */
 final class CapacityPageCheck {
     private final CapacityPage page;
     private final Path root;
@@ -28,9 +28,9 @@
      * Checks a page.
      *
      * @param text the page's Markdown
-     * @param root the folder from which constants' files are named
-     * @param measurements the folder of the files of measurements
-     * @return what is wrong, nothing if all agrees
+     * @param root the directory that the file names of constants are relative to
+     * @param measurements the directory of the files of measurements
+     * @return the faults, one text each; empty if the page agrees
      */
     static List<String> faultsOf(String text, Path root, Path measurements) {
         try {
@@ -56,7 +56,7 @@
         return faults;
     }
 
-    /** Runs one check; what it throws is one fault, and the others still run. */
+    /** Runs one check and keeps the fault that it throws, so that the other checks still run. */
     private void collect(Runnable check) {
         try {
             check.run();
@@ -84,10 +84,10 @@
 
     private void checkCommand(CapacityRow.Measured row) {
         if (Files.exists(model.fileOf(row))) {
-            String made = model.read(row).command();
-            if (!made.contains(row.command())) {
+            String actual = model.read(row).command();
+            if (!actual.contains(row.command())) {
                 throw PageFaultException.of(
-                        row, row.file() + " was made by \"" + made + "\", not by \"" + row.command() + "\"");
+                        row, row.file() + " was made by \"" + actual + "\", not by \"" + row.command() + "\"");
             }
         }
     }
@@ -107,20 +107,21 @@
         }
     }
 
-    /** First what has no mechanism, then by how far today misses, last what is not measured. */
+    /** Checks the ranking's order: needs without mechanism, then by shortfall, largest first, then those not measured. */
     private void checkRanking() {
-        double last = Double.POSITIVE_INFINITY;
+        double previous = Double.POSITIVE_INFINITY;
         int rank = 0;
         for (CapacityRow.Ranked row : page.rows(CapacityRow.Ranked.class)) {
             rank++;
             if (row.rank() != rank) {
                 throw PageFaultException.of(row, "rank " + row.rank() + " stands at place " + rank);
             }
-            double miss = model.shortfallOf(row);
-            if (miss > last) {
-                throw PageFaultException.of(row, "misses by " + Figure.format(miss) + ", more than the row before");
+            double shortfall = model.shortfallOf(row);
+            if (shortfall > previous) {
+                throw PageFaultException.of(
+                        row, "misses by " + Figure.format(shortfall) + ", more than the row before");
             }
-            last = miss;
+            previous = shortfall;
         }
     }
 
--- a/src/test/java/dockshed/capacity/CapacityPageTest.java
+++ b/src/test/java/dockshed/capacity/CapacityPageTest.java
@@ -13,10 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The capacity page agrees with its targets and measurements; on a small page, each way to disagree is a fault. */
+/**
+ * The capacity page agrees with its targets and measurements. Guards against a page that was edited by hand, or not updated
+ * after a new measurement, a changed target or a changed constant; on a small page, each kind of disagreement is a fault.
+ */
 class CapacityPageTest {
-    /** The wanted size as the operators gave it; a change here is a change of what the design is to carry. */
-    private static final Map<String, String> WANTED = Map.ofEntries(
+    /** The target size set by the operators; to change it is to change the load that the design has to carry. */
+    private static final Map<String, String> OPERATORS_TARGETS = Map.ofEntries(
             Map.entry("brokers", "510"),
             Map.entry("connections", "21,000,000"),
             Map.entry("shards", "58,000"),
@@ -77,11 +80,11 @@
             """;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @BeforeEach
     void writeTheSmallPagesSources() throws IOException {
-        Files.writeString(folder.resolve("Bounds.java"), "static final int MOST = 24;\n");
+        Files.writeString(directory.resolve("Bounds.java"), "static final int MOST = 24;\n");
         writeHeap(
                 "# sh bench/heap.sh", "state,open,heap", "idle,1000,3000500", "idle,2000,6000500", "idle,3000,9000500");
     }
@@ -98,7 +101,7 @@
         CapacityPage page = CapacityPage.parse(Files.readString(CapacityPageWriter.PAGE));
         Map<String, String> targets = new LinkedHashMap<>();
         page.rows(CapacityRow.Target.class).forEach(target -> targets.put(target.id(), target.value()));
-        assertEquals(WANTED, targets);
+        assertEquals(OPERATORS_TARGETS, targets);
     }
 
     @Test
@@ -132,7 +135,7 @@
     }
 
     @Test
-    void whatIsWrittenWithFewerDigitsAgrees() {
+    void aFigureWrittenWithFewerDigitsAgrees() {
         assertEquals("", faultsOf(SMALL_PAGE.replace("| 41,200 |", "| 41,000 |")));
     }
 
@@ -169,23 +172,23 @@
     }
 
     @Test
-    void notMeasuredStandsOnlyWhileTheFileIsAbsent() throws IOException {
+    void notMeasuredIsRightOnlyWhileTheFileIsAbsent() throws IOException {
         assertFault("row `all_heap`: value: the page says \"not measured\"", "| 124 |", "| not measured |");
         assertFault(
                 "row `pace`: value: the page says \"90\", computed is \"not measured\"",
                 "| not measured | - |",
                 "| 90 | - |");
         assertFault("row `pace`: value: the page says \"unknown\"", "| not measured | - |", "| unknown | - |");
-        Files.write(folder.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "90"));
+        Files.write(directory.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "90"));
         assertTrue(faultsOf(SMALL_PAGE)
                 .contains("row `pace`: value: the page says \"not measured\", computed is \"90.0\""));
     }
 
     @Test
-    void aDelayThatWasNotReachedIsSaidSo() throws IOException {
-        Files.write(folder.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "none"));
+    void aDelayThatWasNotReachedIsWrittenAsNotReached() throws IOException {
+        Files.write(directory.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "none"));
         CapacityPage page = CapacityPage.parse(SMALL_PAGE);
-        String rewritten = CapacityPageWriter.rewritten(page, new CapacityModel(page, folder));
+        String rewritten = CapacityPageWriter.rewritten(page, new CapacityModel(page, directory));
         assertEquals("", faultsOf(rewritten));
         assertTrue(rewritten.contains("its pace is not reached (`pace`)"), rewritten);
         assertTrue(rewritten.contains("| 2 | pace_miss | pace | `1 / pace` | not reached |"), rewritten);
@@ -206,7 +209,7 @@
     }
 
     @Test
-    void anIdThatIsThereTwiceIsAFault() {
+    void anIdThatIsUsedTwiceIsAFault() {
         assertFault("row `each`: the id is there already", "| rack_heap |", "| each |");
     }
 
@@ -218,7 +221,7 @@
     }
 
     @Test
-    void aBudgetThatIsAGuessMakesTheRowRestOnOne() {
+    void aBudgetThatIsAGuessMakesTheRowsBasisAGuess() {
         assertFault(
                 "row `each`: basis: the page says \"worked out\", computed is \"on a guess\"",
                 "| connections | - | - | worked out |",
@@ -226,18 +229,18 @@
     }
 
     @Test
-    void aFigureInTheProseIsHeldAgainstItsRow() {
+    void aFigureInTheProseIsCheckedAgainstItsRow() {
         assertFault("the text says \"41,300\" for `each`, computed is \"41,200\"", "holds 41,200", "holds 41,300");
         assertFault("the figure 125 is followed by no id", "in 124 MB (`all_heap`)", "in 125 MB");
     }
 
     @Test
-    void marginsAreCarriedThroughFormulas() throws IOException {
-        Files.write(folder.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "110"));
+    void marginsArePropagatedThroughFormulas() throws IOException {
+        Files.write(directory.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "110"));
         CapacityPage page = CapacityPage.parse(SMALL_PAGE);
-        CapacityModel model = new CapacityModel(page, folder);
-        // Two values, 20 apart: standard error 10, and 12.706 is the quantile of Student's t with one degree of
-        // freedom.
+        CapacityModel model = new CapacityModel(page, directory);
+        // The two values are 20 apart: their standard error is 10, and 12.706 is the 97.5% quantile of Student's t
+        // distribution with one degree of freedom.
         assertEquals(127.06, model.resolve(page.rows().get("pace")).margin().orElseThrow(), 0.01);
         assertEquals(
                 510 * 127.06,
@@ -246,22 +249,22 @@
     }
 
     @Test
-    void thePageIsWrittenAnewFromOtherMeasurements() throws IOException {
+    void thePageIsRewrittenFromOtherMeasurements() throws IOException {
         writeHeap(
                 "# sh bench/heap.sh", "state,open,heap", "idle,1000,3300500", "idle,2000,6600500", "idle,3000,9900500");
-        Files.write(folder.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "110"));
+        Files.write(directory.resolve("pace.csv"), List.of("# sh bench/pace.sh", "pace", "90", "110"));
         CapacityPage page = CapacityPage.parse(SMALL_PAGE);
-        String rewritten = CapacityPageWriter.rewritten(page, new CapacityModel(page, folder));
+        String rewritten = CapacityPageWriter.rewritten(page, new CapacityModel(page, directory));
         assertEquals("", faultsOf(rewritten));
         assertTrue(rewritten.contains("41,200 connections (`each`) in 136 MB (`all_heap`)"), rewritten);
     }
 
     private void writeHeap(String... lines) throws IOException {
-        Files.write(folder.resolve("heap.csv"), List.of(lines));
+        Files.write(directory.resolve("heap.csv"), List.of(lines));
     }
 
     private String faultsOf(String page) {
-        return String.join("\n", CapacityPageCheck.faultsOf(page, folder, folder));
+        return String.join("\n", CapacityPageCheck.faultsOf(page, directory, directory));
     }
 
     private void assertFault(String expected, String part, String replacement) {
--- a/src/test/java/dockshed/capacity/CapacityPageWriter.java
+++ b/src/test/java/dockshed/capacity/CapacityPageWriter.java
@@ -11,7 +11,10 @@
 import java.util.regex.MatchResult;
 import java.util.regex.Matcher;
 
-/** Prints every computed row of the page; with {@code --write} puts the computed cells and figures into it and sorts the ranking. */
+/**
+ * Prints all computed rows of the capacity page and its faults. With {@code --write}, first writes the computed cells and
+ * figures to the page and sorts its ranking.
+ */
 public final class CapacityPageWriter {
     static final Path PAGE = Path.of("docs/CAPACITY.md");
     static final Path MEASUREMENTS = Path.of("docs/capacity");
@@ -19,7 +22,7 @@
 
     private CapacityPageWriter() {}
 
-    /** Runs from the project's folder; the one option is {@code --write}. */
+    /** Runs in the project's directory; the only option is {@code --write}. */
     public static void main(String[] arguments) throws IOException {
         String text = Files.readString(PAGE);
         CapacityPage page = CapacityPage.parse(text);
@@ -45,15 +48,15 @@
         }
     }
 
-    /** The page's text with all that is computed written anew. */
+    /** The page's text with the computed cells and figures replaced, and the ranking sorted. */
     static String rewritten(CapacityPage page, CapacityModel model) {
         String[] lines = ProseFigure.FORM
                 .matcher(page.prose())
                 .replaceAll(found -> Matcher.quoteReplacement(figure(page, model, found)))
                 .split("\n", -1);
-        for (int i = 0; i < lines.length; i++) {
-            if (page.proseLines().get(i).isEmpty()) {
-                lines[i] = page.lines().get(i);
+        for (int line = 0; line < lines.length; line++) {
+            if (page.proseLines().get(line).isEmpty()) {
+                lines[line] = page.lines().get(line);
             }
         }
         for (PageTable table : page.tables()) {
@@ -62,17 +65,17 @@
         return CapacityPage.join(lines);
     }
 
-    /** Writes a table's rows; those of the ranking in its order, with ranks from 1. */
+    /** Replaces the lines of a table's rows; sorts those of the ranking and numbers them from 1. */
     private static void writeRows(PageTable table, CapacityPage page, CapacityModel model, String[] lines) {
         List<PageRow> rows = new ArrayList<>(table.rows());
         boolean ranking = table.has(CapacityRows.RANK);
         if (ranking) {
-            rows.sort(Comparator.comparingDouble((PageRow row) -> -shortfall(row, page, model)));
+            rows.sort(Comparator.comparingDouble((PageRow ranked) -> -shortfall(ranked, page, model)));
         }
         int first = table.rows().isEmpty() ? 0 : table.rows().get(0).line() - 1;
-        for (int i = 0; i < rows.size(); i++) {
-            String rank = ranking ? Integer.toString(i + 1) : "";
-            lines[first + i] = line(table, rows.get(i), rank, page, model);
+        for (int row = 0; row < rows.size(); row++) {
+            String rank = ranking ? Integer.toString(row + 1) : "";
+            lines[first + row] = line(table, rows.get(row), rank, page, model);
         }
     }
 
@@ -87,8 +90,8 @@
         }
         OptionalDouble value = model.resolve(row).value();
         String text = value.isPresent() ? Figure.format(value.getAsDouble()) : Figure.NOT_MEASURED;
-        boolean stands = value.isPresent() && Figure.agrees(found.group(1), value.getAsDouble());
-        return (stands ? found.group(1) : text) + found.group(2) + found.group(3) + found.group(4);
+        boolean agrees = value.isPresent() && Figure.agrees(found.group(1), value.getAsDouble());
+        return (agrees ? found.group(1) : text) + found.group(2) + found.group(3) + found.group(4);
     }
 
     private static String line(PageTable table, PageRow row, String rank, CapacityPage page, CapacityModel model) {
--- a/src/test/java/dockshed/capacity/CapacityRow.java
+++ b/src/test/java/dockshed/capacity/CapacityRow.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A row of the page that has an id and a value. */
+/** A row of the page that has an id and a value. Texts are those of the page's cells. */
 sealed interface CapacityRow {
     /** The name under which formulas and prose refer to the row. */
     String id();
@@ -10,16 +10,16 @@
     /** The row's line on the page, from 1. */
     int line();
 
-    /** A number of the wanted size, set by the operators. */
+    /** A number of the target size, set by the operators. */
     record Target(String id, int line, String value) implements CapacityRow {}
 
-    /** A number that the program or a deployment file holds: the file and the text in it that says so. */
+    /** A number set in the program or a deployment file; {@code literal} is the text in {@code file} that sets it. */
     record Constant(String id, int line, String value, String file, String literal) implements CapacityRow {}
 
-    /** A number that nobody has measured or told, with the reason why it is taken. */
+    /** A number that was neither measured nor set, with the reason for assuming it. */
     record Guess(String id, int line, String value, String reason) implements CapacityRow {}
 
-    /** A figure taken from a file of measurements. */
+    /** A figure computed by {@code measure} from {@code file}, which {@code command} writes. */
     record Measured(
             String id,
             int line,
@@ -31,7 +31,7 @@
             String command)
             implements CapacityRow {}
 
-    /** A figure worked out from others. */
+    /** A figure computed from others by {@code formula}; {@code budget} is the expression that it must not exceed. */
     record Derived(
             String id,
             int line,
@@ -43,11 +43,12 @@
             String basis)
             implements CapacityRow {}
 
-    /** A mechanism's place in the ranking; {@code formula} is how far today misses the target. */
+    /** A mechanism's place in the ranking; {@code formula} is the factor by which the present program misses the target. */
     record Ranked(String id, int line, int rank, String formula, String value, String basis) implements CapacityRow {
-        /** The formula of a need that nothing in the program serves. */
+        /** The formula of a need that no mechanism of the program serves. */
         static final String NO_MECHANISM = "none";
 
+        /** Whether the program has a mechanism for the need. */
         boolean hasMechanism() {
             return !formula.equals(NO_MECHANISM);
         }
--- a/src/test/java/dockshed/capacity/CapacityRows.java
+++ b/src/test/java/dockshed/capacity/CapacityRows.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Makes typed rows of the tables whose rows have ids; a table's columns tell of what kind its rows are. */
+/** Converts table rows that have ids to {@link CapacityRow}s; a table's columns determine the kind of its rows. */
 final class CapacityRows {
     static final String ID = "id";
     static final String VALUE = "value";
@@ -15,11 +15,11 @@
     static final String RANK = "rank";
     static final String REMAINS = "remains";
     static final String BASIS = "basis";
-    /** A cell without content. */
+    /** The content of an empty cell. */
     static final String EMPTY = "-";
 
     private static final Pattern ID_FORM = Pattern.compile("[a-z][a-z0-9_]*");
-    /** The source of a constant: the file, and the text in it. */
+    /** The source of a constant: the file, and the text in it that sets the constant. */
     private static final Pattern SOURCE = Pattern.compile("`([^`]+)`: `([^`]+)`");
 
     private CapacityRows() {}
@@ -29,7 +29,11 @@
         return table.has(ID);
     }
 
-    /** The table's rows, typed. */
+    /**
+     * The rows of a table that has ids.
+     *
+     * @throws PageFaultException if a row is malformed
+     */
     static List<CapacityRow> of(PageTable table) {
         List<CapacityRow> rows = new ArrayList<>();
         for (PageRow row : table.rows()) {
--- a/src/test/java/dockshed/capacity/Figure.java
+++ b/src/test/java/dockshed/capacity/Figure.java
@@ -9,13 +9,13 @@
 import java.util.OptionalDouble;
 import java.util.regex.Pattern;
 
-/** Figures as the page writes them: two or three significant digits, commas between thousands. */
+/** The page's notation of figures: two or three significant digits, with commas between thousands. */
 final class Figure {
-    /** What the page writes where the file of measurements is not there. */
+    /** Written for a figure whose file of measurements does not exist. */
     static final String NOT_MEASURED = "not measured";
-    /** What the page writes of a delay that was not reached while it was waited for. */
+    /** Written for a delay that did not end within its time limit; its value is infinity. */
     static final String NOT_REACHED = "not reached";
-    /** A figure of the page. */
+    /** Regular expression of a figure on the page. */
     static final String FORM = "-?\\d[\\d,]*(?:\\.\\d+)?";
 
     private static final Pattern PATTERN = Pattern.compile(FORM);
@@ -30,17 +30,21 @@
         return format(value, MAX_SIGNIFICANT_DIGITS);
     }
 
-    /** The figure to two significant digits, as margins and factors are written. */
+    /** The figure to two significant digits, used for margins and factors. */
     static String formatBriefly(double value) {
         return format(value, MIN_SIGNIFICANT_DIGITS);
     }
 
-    /** The exact number that a cell of a target, a constant or a guess holds. */
+    /**
+     * The exact number in a cell of a target, a constant or a guess.
+     *
+     * @throws PageFaultException if the text is not a figure
+     */
     static double exact(CapacityRow row, String text) {
         return parse(text).orElseThrow(() -> PageFaultException.of(row, "\"" + text + "\" is no number"));
     }
 
-    /** Whether the text is the value, rounded to two or three significant digits or not at all. */
+    /** Whether the text represents the value, exactly or rounded to two or three significant digits. */
     static boolean agrees(String text, double value) {
         if (Double.isInfinite(value)) {
             return text.equals(NOT_REACHED);
--- a/src/test/java/dockshed/capacity/LinearFit.java
+++ b/src/test/java/dockshed/capacity/LinearFit.java
@@ -16,9 +16,10 @@
 public record LinearFit(
         double slope, double intercept, double rSquared, double slopeLow, double slopeHigh, int points) {
 
-    /** Two points always lie on a line, so an interval needs a third. */
+    /** Any two points lie on a line, so a confidence interval needs a third. */
     public static final int MIN_POINTS = 3;
 
+    /** Of the 95% confidence interval. */
     private static final double SIGNIFICANCE_LEVEL = 0.05;
 
     /**
@@ -47,7 +48,7 @@
         return intercept + slope * x;
     }
 
-    /** One line for a report: slope with its interval, intercept, r squared and number of points. */
+    /** The fit on one line: slope with its interval, intercept, r squared and number of points. */
     @Override
     public String toString() {
         return String.format(
@@ -75,13 +76,13 @@
         }
     }
 
-    /** Half the interval's width; zero for points that lie on the line exactly. */
+    /** Half the width of the slope's confidence interval; zero if the points lie on the line exactly. */
     private static double marginOf(SimpleRegression regression) {
         double margin = regression.getSlopeConfidenceInterval(SIGNIFICANCE_LEVEL);
         return Double.isNaN(margin) ? 0 : margin;
     }
 
-    /** A level line through equal values explains all of their (absent) variance. */
+    /** R squared; 1 if all y are equal, as the level line explains all of their variance, which is zero. */
     private static double rSquaredOf(SimpleRegression regression) {
         return regression.getTotalSumSquares() == 0 ? 1 : regression.getRSquare();
     }
--- a/src/test/java/dockshed/capacity/LinearFitTest.java
+++ b/src/test/java/dockshed/capacity/LinearFitTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The line against data whose fit is known. */
+/** Guards against a wrong line or interval, by data whose fit is known, and against fits to unusable points. */
 class LinearFitTest {
 
     private static final double TOLERANCE = 1e-9;
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void theReportLineReadsTheSameInEveryLocale() {
+    void theTextOfAFitDoesNotDependOnTheLocale() {
         LinearFit fit = new LinearFit(1.5, 2, 0.25, 1, 2, 4);
         assertEquals(
                 "slope=1.50000 slope_low=1.00000 slope_high=2.00000 intercept=2.00000 r2=0.25000 points=4",
--- a/src/test/java/dockshed/capacity/Measure.java
+++ b/src/test/java/dockshed/capacity/Measure.java
@@ -13,18 +13,18 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * How a figure is taken from a file of measurements, as the page writes it: {@code slope of heap_bytes by
- * connections where state=session}, or {@code intercept}, {@code mean}, {@code max}, {@code min}, {@code
- * value} (of the one row that is left).
+ * How a figure is computed from a file of measurements. The page writes it as in {@code slope of heap_bytes by connections
+ * where state=session}; instead of {@code slope} also {@code intercept}, {@code mean}, {@code max}, {@code min} or {@code
+ * value}, which needs exactly one matching row.
  *
  * @param kind what is computed
- * @param column the column that it is computed of
+ * @param column the column that it is computed from
  * @param by the column of sizes, for a slope or an intercept
- * @param conditions cells that a row must have, by column
+ * @param conditions the cells that matching rows have, by column
  */
 record Measure(Kind kind, String column, Optional<String> by, Map<String, String> conditions) {
 
-    /** What is computed of the rows that are left. */
+    /** What is computed from the matching rows. */
     enum Kind {
         SLOPE,
         INTERCEPT,
@@ -35,43 +35,44 @@
     }
 
     /**
-     * What was found.
+     * A computed figure.
      *
      * @param value the figure
-     * @param margin half of its 95% interval, where there is one
-     * @param rSquared of the line, for a slope or an intercept
+     * @param margin half the width of its 95% confidence interval, if it has one
+     * @param rSquared of the fitted line, for a slope or an intercept
      */
     record Reading(double value, OptionalDouble margin, OptionalDouble rSquared) {}
 
     private static final Pattern FORM = Pattern.compile(
             "(slope|intercept|mean|max|min|value) of (\\w+)(?: by (\\w+))?(?: where (\\w+=\\S+(?: and \\w+=\\S+)*))?");
+    /** Upper end of a two-sided 95% confidence interval. */
     private static final double CONFIDENCE_UPPER_QUANTILE = 0.975;
-    /** Cells of a delay that was not reached while it was waited for. */
+    /** Cells of a delay that did not end within its time limit. */
     private static final Set<String> NOT_REACHED_CELLS = Set.of("inf", "none");
 
     /**
-     * Reads the page's words.
+     * Parses the page's text of a measure.
      *
-     * @throws IllegalArgumentException if they are not of the form above
+     * @throws IllegalArgumentException if the text does not have the form above
      */
-    static Measure parse(String words) {
-        Matcher form = FORM.matcher(words);
+    static Measure parse(String text) {
+        Matcher form = FORM.matcher(text);
         if (!form.matches()) {
-            throw new IllegalArgumentException("no measure: \"" + words + "\"");
+            throw new IllegalArgumentException("no measure: \"" + text + "\"");
         }
         Kind kind = Kind.valueOf(form.group(1).toUpperCase(Locale.ROOT));
         boolean needsSizes = kind == Kind.SLOPE || kind == Kind.INTERCEPT;
         if (needsSizes != (form.group(3) != null)) {
             throw new IllegalArgumentException(
-                    "\"by\" belongs to a slope and to an intercept, and to nothing else: \"" + words + "\"");
+                    "\"by\" belongs to a slope and to an intercept, and to nothing else: \"" + text + "\"");
         }
         return new Measure(kind, form.group(2), Optional.ofNullable(form.group(3)), conditionsOf(form.group(4)));
     }
 
-    private static Map<String, String> conditionsOf(String words) {
+    private static Map<String, String> conditionsOf(String text) {
         Map<String, String> conditions = new LinkedHashMap<>();
-        if (words != null) {
-            for (String condition : words.split(" and ")) {
+        if (text != null) {
+            for (String condition : text.split(" and ")) {
                 String[] sides = condition.split("=", 2);
                 conditions.put(sides[0], sides[1]);
             }
@@ -80,25 +81,26 @@
     }
 
     /**
-     * Computes the figure; infinity where one of its cells says that a delay was not reached.
+     * Computes the figure; infinity if one of its cells is a delay that was not reached.
      *
-     * @throws IllegalArgumentException if the file lacks a column, or no row fits the conditions
+     * @throws IllegalArgumentException if the file lacks a column, a cell is not a number,
+     *     or the number of rows that match the conditions does not suffice
      */
     Reading of(CapacityCsv file) {
-        CapacityCsv kept = file;
+        CapacityCsv matching = file;
         for (Map.Entry<String, String> condition : conditions.entrySet()) {
-            kept = kept.where(condition.getKey(), condition.getValue());
+            matching = matching.where(condition.getKey(), condition.getValue());
         }
-        if (kept.column(column).stream().anyMatch(NOT_REACHED_CELLS::contains)) {
+        if (matching.column(column).stream().anyMatch(NOT_REACHED_CELLS::contains)) {
             return withoutMargin(Double.POSITIVE_INFINITY);
         }
-        double[] numbers = kept.numbers(column);
+        double[] numbers = matching.numbers(column);
         if (numbers.length == 0) {
             throw new IllegalArgumentException(file.name() + ": no row with " + conditions);
         }
         return switch (kind) {
-            case SLOPE -> slope(kept.fit(by.orElseThrow(), column));
-            case INTERCEPT -> intercept(kept.fit(by.orElseThrow(), column));
+            case SLOPE -> slope(matching.fit(by.orElseThrow(), column));
+            case INTERCEPT -> intercept(matching.fit(by.orElseThrow(), column));
             case MEAN -> mean(numbers);
             case MAX -> withoutMargin(Arrays.stream(numbers).max().orElseThrow());
             case MIN -> withoutMargin(Arrays.stream(numbers).min().orElseThrow());
@@ -115,6 +117,7 @@
         return new Reading(fit.intercept(), OptionalDouble.empty(), OptionalDouble.of(fit.rSquared()));
     }
 
+    /** The mean; its margin is by Student's t distribution, and absent for a single value. */
     private static Reading mean(double[] numbers) {
         SummaryStatistics statistics = new SummaryStatistics();
         Arrays.stream(numbers).forEach(statistics::addValue);
--- a/src/test/java/dockshed/capacity/PageFaultException.java
+++ b/src/test/java/dockshed/capacity/PageFaultException.java
@@ -1,6 +1,6 @@
 package dockshed.capacity;
 
-/** Something on the capacity page that cannot be read or computed; the message names the row. */
+/** A part of the capacity page that cannot be read or computed, or is wrong; the message names its line and row. */
 class PageFaultException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/dockshed/capacity/PageRow.java
+++ b/src/test/java/dockshed/capacity/PageRow.java
@@ -15,12 +15,12 @@
         cells = Map.copyOf(cells);
     }
 
-    /** A cell's text; empty where the table has no such column. */
+    /** A cell's text; empty if the table has no such column. */
     String text(String column) {
         return cells.getOrDefault(column, "");
     }
 
-    /** A cell's text without the backticks round it. */
+    /** A cell's text without backticks. */
     String code(String column) {
         return text(column).replace(CODE, "").strip();
     }
--- a/src/test/java/dockshed/capacity/PageTable.java
+++ b/src/test/java/dockshed/capacity/PageTable.java
@@ -7,14 +7,14 @@
 import java.util.regex.Pattern;
 
 /**
- * One Markdown table of the page. A cell holds no vertical bar.
+ * One Markdown table of the page. Cells contain no vertical bars.
  *
  * @param columns the names of the columns
  * @param rows the rows under the header
  */
 record PageTable(List<String> columns, List<PageRow> rows) {
     private static final Pattern BAR = Pattern.compile("\\|");
-    private static final int LINES_OF_HEADER = 2;
+    private static final int HEADER_LINES = 2;
 
     PageTable {
         columns = List.copyOf(columns);
@@ -25,12 +25,13 @@
      * Reads the lines of a table: header, delimiter and rows.
      *
      * @param firstLine the header's line on the page, from 1
+     * @throws PageFaultException if a row has more or fewer cells than the header
      */
     static PageTable parse(int firstLine, List<String> lines) {
         List<String> columns = cellsOf(lines.get(0));
         List<PageRow> rows = new ArrayList<>();
-        for (int i = LINES_OF_HEADER; i < lines.size(); i++) {
-            rows.add(rowOf(firstLine + i, columns, cellsOf(lines.get(i))));
+        for (int line = HEADER_LINES; line < lines.size(); line++) {
+            rows.add(rowOf(firstLine + line, columns, cellsOf(lines.get(line))));
         }
         return new PageTable(columns, rows);
     }
@@ -40,7 +41,7 @@
         return columns.contains(column);
     }
 
-    /** The cells of a line of a table. */
+    /** The cells of a table's line, without white space around them. */
     static List<String> cellsOf(String line) {
         String inner = line.strip();
         inner = inner.startsWith("|") ? inner.substring(1) : inner;
@@ -54,8 +55,8 @@
                     "line " + line + ": expected " + columns.size() + " cells, got " + cells.size());
         }
         Map<String, String> byColumn = new LinkedHashMap<>();
-        for (int i = 0; i < cells.size(); i++) {
-            byColumn.put(columns.get(i), cells.get(i));
+        for (int column = 0; column < cells.size(); column++) {
+            byColumn.put(columns.get(column), cells.get(column));
         }
         return new PageRow(line, byColumn);
     }
--- a/src/test/java/dockshed/capacity/ProseFigure.java
+++ b/src/test/java/dockshed/capacity/ProseFigure.java
@@ -11,19 +11,19 @@
  *
  * @param line its line on the page, from 1
  * @param text the figure as written
- * @param id the row that it is taken from
+ * @param id the id of the row that the figure is taken from
  */
 record ProseFigure(int line, String text, String id) {
-    /** The figure, what stands between, and the id. */
+    /** Groups: the figure, the words up to the id, the id, what closes it. */
     static final Pattern FORM = Pattern.compile("(" + Figure.NOT_MEASURED + "|" + Figure.NOT_REACHED + "|" + Figure.FORM
             + ")([^`\\d(|;.:]{0,60}?\\(`)([a-z][a-z0-9_]*)(`\\))");
 
     private static final Pattern CODE = Pattern.compile("`[^`]*`");
     private static final Pattern LINK_TARGET = Pattern.compile("\\]\\([^)]*\\)");
-    /** Numbers that a reader would take for figures: of two digits or more, or with decimals. */
+    /** Numbers that a reader would take for figures: with two or more digits, or with decimals. */
     private static final Pattern BARE_FIGURE = Pattern.compile("(?<![\\p{L}\\d.,])\\d(?:[\\d,]*\\d|\\.\\d+)");
 
-    /** The figures with ids, in the order of the text. */
+    /** The figures with ids, in the order of the prose. */
     static List<ProseFigure> in(String prose) {
         List<ProseFigure> figures = new ArrayList<>();
         Matcher found = FORM.matcher(prose);
@@ -33,18 +33,19 @@
         return figures;
     }
 
-    /** Faults for figures that no id follows. */
+    /** One fault for each figure that is not followed by an id. */
     static List<String> faultsOfBareFigures(String prose) {
-        String left = blank(LINK_TARGET, blank(CODE, blank(FORM, prose)));
+        String remaining = blank(LINK_TARGET, blank(CODE, blank(FORM, prose)));
         List<String> faults = new ArrayList<>();
-        Matcher found = BARE_FIGURE.matcher(left);
+        Matcher found = BARE_FIGURE.matcher(remaining);
         while (found.find()) {
-            faults.add("line " + lineOf(left, found.start()) + ": the figure " + found.group()
+            faults.add("line " + lineOf(remaining, found.start()) + ": the figure " + found.group()
                     + " is followed by no id of a row");
         }
         return faults;
     }
 
+    /** Replaces matches by spaces and keeps line ends, so that the lines of the rest stay the same. */
     private static String blank(Pattern pattern, String text) {
         return pattern.matcher(text).replaceAll(ProseFigure::spaces);
     }
@@ -55,6 +56,9 @@
 
     private static int lineOf(String text, int offset) {
         return 1
-                + (int) text.substring(0, offset).chars().filter(c -> c == '\n').count();
+                + (int) text.substring(0, offset)
+                        .chars()
+                        .filter(character -> character == '\n')
+                        .count();
     }
 }
--- a/src/test/java/dockshed/capacity/Results.java
+++ b/src/test/java/dockshed/capacity/Results.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows of one file of a measurement, with those of earlier runs where they are wanted; column one is the run. */
+/** Collects the rows of a benchmark's CSV file, with {@code --append} those of earlier runs too; column one is the run. */
 final class Results {
 
     private static final Path DIRECTORY = Path.of("docs/capacity");
@@ -18,12 +18,18 @@
     private final int run;
     private final boolean writes;
 
+    /** Results in {@code docs/capacity}. */
     Results(String name, String command, Arguments arguments, List<String> columns) throws IOException {
         this(DIRECTORY, name, command, arguments, columns);
     }
 
-    Results(Path folder, String name, String command, Arguments arguments, List<String> columns) throws IOException {
-        this.name = folder.resolve(name).toString();
+    /**
+     * Reads the rows of earlier runs if they are kept.
+     *
+     * @throws IllegalArgumentException if the file is malformed or has other columns
+     */
+    Results(Path directory, String name, String command, Arguments arguments, List<String> columns) throws IOException {
+        this.name = directory.resolve(name).toString();
         this.command = command;
         this.columns = columns;
         writes = !arguments.quick();
@@ -33,11 +39,11 @@
         run = lastRun() + 1;
     }
 
-    private void addEarlierRuns(CapacityCsv before) {
-        if (!before.columns().equals(columns)) {
+    private void addEarlierRuns(CapacityCsv earlier) {
+        if (!earlier.columns().equals(columns)) {
             throw new IllegalArgumentException(name + ", line 2: expected the columns " + columns);
         }
-        before.rows().forEach(row -> rows.add(row.cells()));
+        earlier.rows().forEach(row -> rows.add(row.cells()));
     }
 
     private int lastRun() {
@@ -64,16 +70,17 @@
         System.out.println(String.join(",", row));
     }
 
-    /** Prints the columns' names. */
+    /** Prints the file's name and the column names. */
     void header() {
         System.out.println(name + ": " + String.join(",", columns));
     }
 
+    /** All rows so far, those of earlier runs included. */
     CapacityCsv table() {
         return CapacityCsv.of(name, command, columns, rows);
     }
 
-    /** Writes the file, unless the run is a quick one. */
+    /** Writes the file; nothing in a quick run. */
     void write() throws IOException {
         if (writes) {
             table().write(Path.of(name));
--- a/src/test/java/dockshed/capacity/ResultsTest.java
+++ b/src/test/java/dockshed/capacity/ResultsTest.java
@@ -11,20 +11,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Rows of one run beside those of earlier ones, and the options of a measurement's command. */
+/**
+ * Guards against a benchmark that loses the rows of earlier runs, gives two runs the same number, overwrites the file in a
+ * quick run, or ignores a mistyped option.
+ */
 class ResultsTest {
 
     private static final List<String> COLUMNS = List.of("run", "size", "cost");
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private Results results(String... options) throws IOException {
-        return new Results(folder, "x.csv", "sh bench/x.sh", Arguments.of(options), COLUMNS);
+        return new Results(directory, "x.csv", "sh bench/x.sh", Arguments.of(options), COLUMNS);
     }
 
     private CapacityCsv written() throws IOException {
-        return CapacityCsv.read(folder.resolve("x.csv"));
+        return CapacityCsv.read(directory.resolve("x.csv"));
     }
 
     @Test
@@ -37,9 +40,9 @@
         second.write();
         assertEquals(List.of("1", "2"), written().column("run"));
         assertEquals(List.of("1.5", "2.5"), written().column("cost"));
-        Results anew = results();
-        anew.add(30, 3.5);
-        anew.write();
+        Results replacing = results();
+        replacing.add(30, 3.5);
+        replacing.write();
         assertEquals(List.of("1"), written().column("run"));
         assertEquals(List.of("30"), written().column("size"));
     }
@@ -49,12 +52,12 @@
         Results quick = results("--quick");
         quick.add(10, 1.5);
         quick.write();
-        assertFalse(Files.exists(folder.resolve("x.csv")));
+        assertFalse(Files.exists(directory.resolve("x.csv")));
     }
 
     @Test
     void rowsAreNotAddedToAFileWithOtherColumns() throws IOException {
-        Files.write(folder.resolve("x.csv"), List.of("# c", "run,other", "1,2"));
+        Files.write(directory.resolve("x.csv"), List.of("# c", "run,other", "1,2"));
         assertThrows(IllegalArgumentException.class, () -> results("--append"));
     }
 
