--- a/src/test/java/dockshed/capacity/Arguments.java
+++ b/src/test/java/dockshed/capacity/Arguments.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Options of a measurement's command.
+ * Command-line options of a capacity benchmark.
  *
- * @param quick small sizes, nothing written
- * @param append the rows are added to those of earlier runs
+ * @param quick whether to run small sizes only and write no file
+ * @param append whether to keep the file's rows of earlier runs and add to them
  */
 record Arguments(boolean quick, boolean append) {
 
--- a/src/test/java/dockshed/capacity/ClientConnection.java
+++ b/src/test/java/dockshed/capacity/ClientConnection.java
@@ -8,16 +8,18 @@
 import io.netty.channel.ChannelHandlerContext;
 import java.net.InetSocketAddress;
 
-/** A client's connection, RTSP or HTTP: writes requests, hands on whole messages and its end. */
+/** A client connection for RTSP or HTTP: writes requests, and passes received messages and its end to a listener. */
 final class ClientConnection extends ByteHandler {
 
-    /** What the client hears, on its loop's thread. */
+    /** Receives the events of connections, on their event loop's thread. */
     interface Listener {
+        /** The connection is open. */
         void connected(ClientConnection connection);
 
+        /** A whole message was received. */
         void message(ClientConnection connection, HttpStyleMessage message);
 
-        /** It could not be opened, or was closed by either side. */
+        /** The connection could not be opened, or was closed by either side. */
         void closed(ClientConnection connection);
     }
 
@@ -32,7 +34,7 @@
         this.listener = listener;
     }
 
-    /** Begins to connect. */
+    /** Starts to connect; the listener is notified of the result. */
     static ClientConnection open(Net net, InetSocketAddress to, Listener listener) {
         ClientConnection connection = new ClientConnection(listener);
         net.whenDone(net.connect(to, CONNECT_TIMEOUT_MILLIS, () -> connection), done -> {
@@ -43,10 +45,12 @@
         return connection;
     }
 
+    /** Writes a request; only while connected. */
     void write(byte[] request) {
         channel.writeAndFlush(Net.toByteBuf(request));
     }
 
+    /** Closes the connection; nothing if it has not been opened. */
     void close() {
         if (channel != null) {
             channel.close();
--- a/src/test/java/dockshed/capacity/ConnectionBench.java
+++ b/src/test/java/dockshed/capacity/ConnectionBench.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one more connection costs the program: heap, direct memory and descriptors, idle and with a session
- * that plays; and what it costs when all connections drop at once and come again at once.
+ * Measures what one more connection costs the program, idle or with a playing session: heap, direct memory and file
+ * descriptors. Also measures the cost of a reconnect, in which all connections are closed and opened again at the same time.
+ * Run by {@code bench/connection.sh}.
  */
 public final class ConnectionBench {
 
@@ -17,16 +18,16 @@
     private static final int[] CONNECTION_COUNTS = {500, 1000, 2000, 3500, 5000, 7000};
     private static final int[] QUICK_CONNECTION_COUNTS = {200, 400, 600, 800};
     private static final int[] RECONNECT_CONNECTION_COUNTS = {500, 1000, 2000, 3000, 4000};
-    /** Descriptors that the broker may open; three eighths of them are viewers'. */
+    /** File descriptors that the broker may open; three eighths of them are for viewers. */
     private static final int MAX_DESCRIPTORS = 20_000;
 
     private static final int EDGE_SERVERS = 36;
     private static final int MAX_CONCURRENT_OPENS = 200;
     private static final long OPEN_TIMEOUT_SECONDS = 30;
-    /** A reconnect that takes longer is ended, and its row says how many were not served. */
+    /** A longer reconnect is given up, and its row has the number of connections that were not served. */
     private static final long RECONNECT_TIMEOUT_SECONDS = 20;
 
-    /** The broker's own work after the last answer, such as the edge servers' news, is over by then. */
+    /** Time for the broker's work after the last answer, such as messages from edge servers, to finish. */
     private static final long SETTLING_TIME_MILLIS = 300;
 
     private final Arguments arguments;
@@ -73,9 +74,9 @@
                         "unserved"));
     }
 
-    /** Runs the measurement; {@code --quick} for small sizes, {@code --append} to add a run to the files. */
-    public static void main(String[] words) throws Exception {
-        new ConnectionBench(Arguments.of(words)).run();
+    /** Runs the benchmark; {@code --quick} for small sizes, {@code --append} to add a run to the files. */
+    public static void main(String[] arguments) throws Exception {
+        new ConnectionBench(Arguments.of(arguments)).run();
         System.exit(0); // client loops may still be closing
     }
 
@@ -93,7 +94,7 @@
         printFits();
     }
 
-    /** One program, measured at each size on the way up. */
+    /** Measures one broker at each number of connections, as they grow. */
     private void measureGrowth(Kind kind, int[] sizes) throws Exception {
         try (StandInEdgeServers servers = new StandInEdgeServers(EDGE_SERVERS);
                 MeasuredBroker broker = MeasuredBroker.withLargeHeap(config(servers));
@@ -123,7 +124,7 @@
         }
     }
 
-    /** A program of its own for each size: all its viewers leave at once and as many come at once. */
+    /** Measures a reconnect with a broker of its own: all viewers leave at the same time and as many others connect. */
     private void measureReconnect(int size) throws Exception {
         try (StandInEdgeServers servers = new StandInEdgeServers(EDGE_SERVERS);
                 MeasuredBroker broker = MeasuredBroker.withLargeHeap(config(servers));
@@ -184,44 +185,44 @@
                         "fit " + name + " " + figure + " per connection: " + rows.fit("connections", figure));
             }
         }
-        CapacityCsv whole = reconnects.table().where("unserved", "0");
-        if (whole.rows().size() < LinearFit.MIN_POINTS) {
-            System.out.println(
-                    "fit reconnect: none, all were served at " + whole.rows().size() + " sizes only");
+        CapacityCsv allServed = reconnects.table().where("unserved", "0");
+        if (allServed.rows().size() < LinearFit.MIN_POINTS) {
+            System.out.println("fit reconnect: none, all were served at "
+                    + allServed.rows().size() + " sizes only");
             return;
         }
         for (String figure : List.of(
                 "heap_peak_bytes", "heap_after_bytes", "allocated_bytes", "rss_peak_kb", "cpu_s", "served_again_s")) {
-            System.out.println("fit reconnect " + figure + " per connection: " + whole.fit("connections", figure));
+            System.out.println("fit reconnect " + figure + " per connection: " + allServed.fit("connections", figure));
         }
         for (String figure : List.of("allocated_bytes", "cpu_s")) {
-            System.out.println(
-                    "fit reconnect " + figure + " of each connection, per connection: " + growthOfEach(whole, figure));
+            System.out.println("fit reconnect " + figure + " of each connection, per connection: "
+                    + growthPerConnection(allServed, figure));
         }
     }
 
-    /** The line through a figure divided by the connections: its slope is what grows with their square. */
-    private static LinearFit growthOfEach(CapacityCsv rows, String figure) {
+    /** Fits a line to a figure divided by the connections; its slope is the part that grows with their square. */
+    private static LinearFit growthPerConnection(CapacityCsv rows, String figure) {
         double[] connections = rows.numbers("connections");
-        double[] each = rows.numbers(figure);
-        for (int row = 0; row < each.length; row++) {
-            each[row] /= connections[row];
+        double[] perConnection = rows.numbers(figure);
+        for (int row = 0; row < perConnection.length; row++) {
+            perConnection[row] /= connections[row];
         }
-        return LinearFit.of(connections, each);
+        return LinearFit.of(connections, perConnection);
     }
 
     private static void open(RtspViewers viewers, int count, int atOnce, MeasuredBroker broker) throws Exception {
         boolean all = viewers.open(count, atOnce, OPEN_TIMEOUT_SECONDS);
         require(
                 all,
-                "not all of " + count + " were served within " + OPEN_TIMEOUT_SECONDS + " s: refused="
-                        + viewers.refused() + " turned away=" + viewers.turnedAway(),
+                "not all of " + count + " connections were served within " + OPEN_TIMEOUT_SECONDS + " s: refused="
+                        + viewers.refused() + " turned_away=" + viewers.turnedAway(),
                 broker);
     }
 
-    private static void require(boolean holds, String what, MeasuredBroker broker) {
-        if (!holds) {
-            throw new IllegalStateException(what + "; the broker's last lines: " + broker.lastLines());
+    private static void require(boolean condition, String failure, MeasuredBroker broker) {
+        if (!condition) {
+            throw new IllegalStateException(failure + "; the broker's last log lines: " + broker.lastLines());
         }
     }
 
--- a/src/test/java/dockshed/capacity/ControlCapacity.java
+++ b/src/test/java/dockshed/capacity/ControlCapacity.java
@@ -13,8 +13,9 @@
 import java.util.OptionalDouble;
 
 /**
- * What control traffic costs and how late its news is, by brokers, lost datagrams, changes a minute and entries; run by
- * {@code bench/control.sh}. Writes the raw figures and prints lines fitted through each series.
+ * Measures the cost of control traffic and the delay of what it carries, by number of brokers, share of lost datagrams,
+ * changes per minute and entries per broker. Writes the raw figures and prints lines fitted to each series. Run by {@code
+ * bench/control.sh}.
  */
 public final class ControlCapacity {
     static final List<String> COLUMNS = List.of(
@@ -48,24 +49,30 @@
             "false_deaths",
             "basis");
 
-    /** In place of a delay that was not reached within its limit, or of a figure that was not taken. */
+    /** The cell of a delay that did not end within its time limit, or of a figure that was not measured. */
     static final String NONE = "none";
 
     private static final double USUAL_LOSS_SHARE = 0.01;
-    /** The wanted 460 changes a day. */
+    /** The target rate of 460 changes a day. */
     private static final double USUAL_CHANGES_PER_MINUTE = 460.0 / (24 * 60);
 
-    /** Of a fleet that is run first, for the compiler. */
+    /** Size of a fleet that is simulated first, so that the JIT compiler has compiled the code. */
     private static final int WARM_UP_BROKERS = 25;
 
     private static final long FIRST_SEED = 11;
 
     private ControlCapacity() {}
 
-    /** One series of scenarios by name, smallest first. */
+    /**
+     * A series of scenarios that differ in one size.
+     *
+     * @param name the series in the file and on the command line
+     * @param xColumn the column of the size
+     * @param scenarios the scenarios, smallest first
+     */
     record Series(String name, String xColumn, List<ControlScenario> scenarios) {}
 
-    /** Arguments: {@code [--quick] [--append] [SERIES[:SIZE]]...}. */
+    /** Runs the benchmark. Arguments: {@code [--quick] [--append] [SERIES[:BROKERS]]...}; without a series, runs all. */
     public static void main(String[] args) throws IOException {
         List<String> words = new ArrayList<>(Arrays.asList(args));
         List<String> wanted =
@@ -94,6 +101,7 @@
         return wanted.isEmpty() || wanted.contains(series) || wanted.contains(series + ":" + brokers);
     }
 
+    /** The series of a full run. */
     static List<Series> series(long seed) {
         List<Series> all = new ArrayList<>();
         all.add(byBrokers(seed, 5, 25, 100, 255, 510, 1020));
@@ -107,6 +115,7 @@
         return all;
     }
 
+    /** The series of a quick run, with smaller fleets. */
     static List<Series> quickSeries(long seed) {
         return List.of(
                 byBrokers(seed, 5, 10, 20, 30),
@@ -167,6 +176,7 @@
                 ControlMechanism.FULL_MESH, brokers, loss, timesUsual * USUAL_CHANGES_PER_MINUTE, entries, seed);
     }
 
+    /** The cells of a row, in the order of {@link #COLUMNS} but without the run. */
     static Object[] cells(String series, ControlScenario scenario, ControlFigures figures) {
         return new Object[] {
             series,
--- a/src/test/java/dockshed/capacity/ControlCapacityTest.java
+++ b/src/test/java/dockshed/capacity/ControlCapacityTest.java
@@ -8,12 +8,15 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-/** The control figures: rows have the known columns, and series cover four sizes or more. */
+/**
+ * The rows and series of the control benchmark. Guards against cells that shift against their columns, a missing delay that
+ * is written as a number, and a series with too few sizes for a fit.
+ */
 class ControlCapacityTest {
     private static final int MIN_SIZES = 4;
 
     @Test
-    void aRowHasACellForEachColumnAndSaysWhichDelayWasNotReached() {
+    void aRowHasACellForEachColumnAndMarksDelaysThatWereNotReached() {
         ControlScenario scenario = ControlCapacity.series(11).get(0).scenarios().get(0);
         ControlFigures figures = new ControlFigures(
                 1,
@@ -37,7 +40,7 @@
                 OptionalDouble.of(7),
                 0);
         Object[] cells = ControlCapacity.cells("brokers", scenario, figures);
-        assertEquals(ControlCapacity.COLUMNS.size() - 1, cells.length, "all columns but the run");
+        assertEquals(ControlCapacity.COLUMNS.size() - 1, cells.length, "all columns except the run");
         assertEquals("0.250000", cells[ControlCapacity.COLUMNS.indexOf("node_share") - 1]);
         assertEquals("1.25", cells[ControlCapacity.COLUMNS.indexOf("report_99_median_s") - 1]);
         assertEquals(ControlCapacity.NONE, cells[ControlCapacity.COLUMNS.indexOf("report_99_most_s") - 1]);
--- a/src/test/java/dockshed/capacity/DeliveryBench.java
+++ b/src/test/java/dockshed/capacity/DeliveryBench.java
@@ -8,9 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a delivery costs on one core, and how long it takes, at rising rates up to where 99 in 100 leave
- * 200 ms. Two kinds: a live media playlist that a player fetches, and the note to an RTSP viewer that its
- * session is over. The load comes from this process, which must not run on the broker's core.
+ * Measures the CPU cost of a delivery on one core and the time it takes, at rising rates up to those at which the 99th
+ * percentile exceeds 200 ms. There are two kinds of delivery: a live media playlist that a player fetches, and the message
+ * to an RTSP viewer that its session has ended, called a note. This process generates the load and must not run on the
+ * broker's core. Run by {@code bench/delivery.sh}.
  */
 public final class DeliveryBench {
 
@@ -27,11 +28,12 @@
     private static final int PLAYERS = 500;
     private static final int NOTE_CONNECTIONS = 200;
     private static final long READY_TIMEOUT_SECONDS = 30;
-    /** After the last was due: what has not come by then is lost. */
+    /** Time after the last delivery was due; deliveries that have not arrived by then count as lost. */
     private static final long LATE_DELIVERY_TIMEOUT_SECONDS = 3;
-    /** Between steps: the time that is left of what was begun before. */
+    /** Time between steps for the work of the previous step to finish. */
     private static final long SETTLING_TIME_MILLIS = 300;
 
+    /** The target for the time of a delivery. */
     private static final double P99_LIMIT_MS = 200;
 
     private final Arguments arguments;
@@ -62,10 +64,13 @@
                         "served"));
     }
 
-    /** Runs the measurement: the core for the broker, -1 where it cannot be bound to one, then {@code --quick} or {@code --append}. */
-    public static void main(String[] words) throws Exception {
-        int core = Integer.parseInt(words[0]);
-        List<String> options = List.of(words).subList(1, words.length);
+    /**
+     * Runs the benchmark. The first argument is the core to bind the broker to, or -1 to limit it to one core without
+     * binding; the others are {@code --quick} and {@code --append}.
+     */
+    public static void main(String[] arguments) throws Exception {
+        int core = Integer.parseInt(arguments[0]);
+        List<String> options = List.of(arguments).subList(1, arguments.length);
         new DeliveryBench(core, Arguments.of(options.toArray(String[]::new))).run();
         System.exit(0); // client loops may still be closing
     }
@@ -99,10 +104,10 @@
 
     private static Step playlistStep(OpenLoop load, HlsPlayers players, ProcessFigures process) throws Exception {
         players.setLoad(load);
-        double before = process.processorSeconds();
+        double processorBefore = process.processorSeconds();
         load.send(players::fetch);
         double seconds = load.awaitAll(LATE_DELIVERY_TIMEOUT_SECONDS);
-        Step step = new Step(seconds, process.processorSeconds() - before);
+        Step step = new Step(seconds, process.processorSeconds() - processorBefore);
         TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
         return step;
     }
@@ -134,13 +139,13 @@
                 "not all of " + load.count() + " sessions were set up, refused=" + viewers.refused(),
                 broker);
         TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
-        double before = process.processorSeconds();
+        double processorBefore = process.processorSeconds();
         load.send(delivery -> servers.end(sessions.get(delivery)));
         double seconds = load.awaitAll(LATE_DELIVERY_TIMEOUT_SECONDS);
-        return new Step(seconds, process.processorSeconds() - before);
+        return new Step(seconds, process.processorSeconds() - processorBefore);
     }
 
-    /** How long a step took, from the first that was due to the last delivered, and the broker's processor time. */
+    /** The time from the first delivery due to the last delivered, and the CPU time of the broker, both in seconds. */
     private record Step(double seconds, double processorSeconds) {}
 
     private void add(String kind, int rate, OpenLoop load, Step step) {
@@ -167,22 +172,22 @@
         System.out.println("fit " + kind + " cores per delivery a second, all rates: " + fitOf(rows));
         System.out.println(
                 "fit " + kind + " cores per delivery a second, where served: " + fitOf(rows.where("served", "yes")));
-        double mostServed = 0;
+        double highestServed = 0;
         List<Double> notServed = new ArrayList<>();
         List<String> served = rows.column("served");
         double[] rates = rows.numbers("rate");
         for (int row = 0; row < rates.length; row++) {
             if (served.get(row).equals("yes")) {
-                mostServed = Math.max(mostServed, rates[row]);
+                highestServed = Math.max(highestServed, rates[row]);
             } else {
                 notServed.add(rates[row]);
             }
         }
-        String left = notServed.isEmpty()
+        String lowestNotServed = notServed.isEmpty()
                 ? "not reached"
                 : decimals(notServed.stream().mapToDouble(rate -> rate).min().orElseThrow());
-        System.out.println(kind + ": highest rate with 99 in 100 within 200 ms " + decimals(mostServed)
-                + ", lowest rate without " + left);
+        System.out.println(kind + ": highest rate with 99 in 100 within 200 ms " + decimals(highestServed)
+                + ", lowest rate without " + lowestNotServed);
     }
 
     private static String fitOf(CapacityCsv rows) {
@@ -207,9 +212,9 @@
         return Files.writeString(file, text);
     }
 
-    private static void require(boolean holds, String what, MeasuredBroker broker) {
-        if (!holds) {
-            throw new IllegalStateException(what + "; the broker's last lines: " + broker.lastLines());
+    private static void require(boolean condition, String failure, MeasuredBroker broker) {
+        if (!condition) {
+            throw new IllegalStateException(failure + "; the broker's last log lines: " + broker.lastLines());
         }
     }
 
--- a/src/test/java/dockshed/capacity/HlsPlayers.java
+++ b/src/test/java/dockshed/capacity/HlsPlayers.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Players with a connection and a session each, which fetch their live media playlist when they are told to. */
+/** HLS players with one connection and one session each, which fetch their live media playlist on demand. */
 final class HlsPlayers implements AutoCloseable {
 
-    /** Fetches that one player may have open; the broker takes 32 on a connection. */
+    /** Fetches that a player may have open; the broker accepts 32 open requests on a connection. */
     private static final int MAX_OPEN_FETCHES = 30;
 
     private static final int RETRY_DELAY_MILLIS = 500;
@@ -24,6 +24,7 @@
     private final CountDownLatch ready;
     private volatile OpenLoop load;
 
+    /** Connects players to an HLS front; they request their sessions. */
     HlsPlayers(InetSocketAddress broker, int count) {
         this.broker = broker;
         ready = new CountDownLatch(count);
@@ -34,21 +35,21 @@
         }
     }
 
-    /** Waits until all have their sessions. */
+    /** Waits until all players have a session; false if that takes longer. */
     boolean awaitReady(long seconds) throws InterruptedException {
         return ready.await(seconds, TimeUnit.SECONDS);
     }
 
-    /** Deliveries sent from now on are this load's. */
-    void setLoad(OpenLoop current) {
-        load = current;
+    /** Counts deliveries from now on for this load. */
+    void setLoad(OpenLoop newLoad) {
+        load = newLoad;
     }
 
-    /** The player whose turn it is fetches its playlist. */
+    /** Has the next player fetch its playlist, for the delivery with this number; always true. */
     boolean fetch(int delivery) {
         Player player = players.get(delivery % players.size());
-        OpenLoop its = load;
-        net.loop().execute(() -> player.fetch(its, delivery));
+        OpenLoop currentLoad = load;
+        net.loop().execute(() -> player.fetch(currentLoad, delivery));
         return true;
     }
 
@@ -73,11 +74,11 @@
             ClientConnection.open(net, broker, this);
         }
 
-        void fetch(OpenLoop its, int delivery) {
+        void fetch(OpenLoop currentLoad, int delivery) {
             if (connection == null || open.size() >= MAX_OPEN_FETCHES) {
-                return; // counts as lost
+                return; // the delivery counts as lost
             }
-            open.add(new Fetch(its, delivery));
+            open.add(new Fetch(currentLoad, delivery));
             connection.write(request);
         }
 
--- a/src/test/java/dockshed/capacity/JvmProbe.java
+++ b/src/test/java/dockshed/capacity/JvmProbe.java
@@ -17,12 +17,12 @@
 import javax.management.remote.JMXServiceURL;
 
 /**
- * Heap, buffers and allocation of another JVM on this machine, over JMX by attaching to it. The agent
- * takes some heap of its own there, the same at every size: it is in a fit's intercept, not in its slope.
+ * Reads the heap, buffers and allocation of another JVM on this machine through JMX, by attaching to it. The JMX agent uses
+ * some of that JVM's heap, the same at every size, so it adds to the intercept of a fit and not to its slope.
  */
 public final class JvmProbe implements AutoCloseable {
 
-    /** Collections in a row: the first may only find what has references to be cleared. */
+    /** Successive garbage collections: the first may only clear references to objects that the second frees. */
     private static final int COLLECTIONS_PER_READING = 2;
 
     private final JMXConnector connector;
@@ -47,13 +47,13 @@
 
     /** Heap in use after full collections, in bytes. */
     public long heapAfterCollection() {
-        for (int time = 0; time < COLLECTIONS_PER_READING; time++) {
+        for (int collection = 0; collection < COLLECTIONS_PER_READING; collection++) {
             memory.gc();
         }
         return memory.getHeapMemoryUsage().getUsed();
     }
 
-    /** Heap that the JVM holds from the system, in bytes. */
+    /** Heap that the JVM has committed, in bytes. */
     public long heapCommitted() {
         return memory.getHeapMemoryUsage().getCommitted();
     }
@@ -68,7 +68,7 @@
         return bufferBytes("mapped");
     }
 
-    /** Bytes that the broker's event loops have allocated so far, garbage and live. */
+    /** Bytes that the broker's event loop threads have allocated so far, garbage included. */
     public long loopAllocatedBytes() {
         long sum = 0;
         for (long id : threads.getAllThreadIds()) {
@@ -80,14 +80,14 @@
         return sum;
     }
 
-    /** Begins to watch for the heap's peak anew. */
+    /** Resets the peak usage of the memory pools to their present usage. */
     public void resetPeaks() throws IOException {
         for (MemoryPoolMXBean pool : beans(MemoryPoolMXBean.class)) {
             pool.resetPeakUsage();
         }
     }
 
-    /** The heap pools' peaks since the reset, added up: they may not have come at one moment, so an upper bound. */
+    /** Upper bound of the heap's peak since the reset, in bytes: the sum of its pools' peaks, which may differ in time. */
     public long peakHeapBound() throws IOException {
         long sum = 0;
         for (MemoryPoolMXBean pool : beans(MemoryPoolMXBean.class)) {
@@ -96,14 +96,14 @@
         return sum;
     }
 
-    /** Collections so far. */
+    /** Number of garbage collections so far. */
     public long collections() throws IOException {
         return beans(GarbageCollectorMXBean.class).stream()
                 .mapToLong(GarbageCollectorMXBean::getCollectionCount)
                 .sum();
     }
 
-    /** Time spent in collections so far, in milliseconds. */
+    /** Time spent in garbage collections so far, in milliseconds. */
     public long collectionMillis() throws IOException {
         return beans(GarbageCollectorMXBean.class).stream()
                 .mapToLong(GarbageCollectorMXBean::getCollectionTime)
--- a/src/test/java/dockshed/capacity/MeasuredBroker.java
+++ b/src/test/java/dockshed/capacity/MeasuredBroker.java
@@ -12,7 +12,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The built program in a JVM of its own, under measurement; ends with its owner. */
+/** The built program as a process under measurement; it ends with {@link #close} or with this JVM. */
 final class MeasuredBroker implements AutoCloseable {
 
     private static final long START_TIMEOUT_SECONDS = 30;
@@ -25,7 +25,11 @@
     private final CompletableFuture<InetSocketAddress> hls = new CompletableFuture<>();
     private final Thread shutdownHook = new Thread(this::kill);
 
-    /** Starts the program and waits until it serves. */
+    /**
+     * Starts the program and waits until it serves.
+     *
+     * @throws Exception if it cannot be started, ends, or does not serve within the time limit
+     */
     MeasuredBroker(RunLine command, Path config) throws Exception {
         ProcessBuilder builder = new ProcessBuilder(command.words()).redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", config.toString());
@@ -37,36 +41,39 @@
         rtsp.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** The same from the deploy file's run line, with room for many connections. */
+    /** Starts the program with {@link #runLine}, extended by arguments of the program. */
     static MeasuredBroker withLargeHeap(Path config, String... arguments) throws Exception {
         return new MeasuredBroker(runLine().plus(arguments), config);
     }
 
-    /** The deploy file's run line with a heap and direct memory that many connections do not fill. */
+    /** The deploy file's run line, with a heap and direct memory that many connections do not fill. */
     static RunLine runLine() throws IOException {
         return RunLine.read(Path.of("deploy/balancer.toml"))
                 .with("-Xmx", "1g")
                 .with("-XX:MaxDirectMemorySize=", "256m");
     }
 
+    /** The process id. */
     long pid() {
         return process.pid();
     }
 
+    /** The address that the RTSP front listens on. */
     InetSocketAddress rtsp() {
         return rtsp.join();
     }
 
-    /** Where the HLS front listens; only for a program started with one. */
+    /** Waits for the address that the HLS front listens on; only for a program started with {@code --hls}. */
     InetSocketAddress hls() throws Exception {
         return hls.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
+    /** Whether the process still runs. */
     boolean alive() {
         return process.isAlive();
     }
 
-    /** The last lines of its log. */
+    /** The last lines of the program's log. */
     List<String> lastLines() {
         synchronized (lastLines) {
             return List.copyOf(lastLines);
@@ -89,14 +96,15 @@
                 keepLine(line);
                 Matcher listens = LISTEN_ADDRESS.matcher(line);
                 if (listens.find()) {
-                    InetSocketAddress at = new InetSocketAddress(listens.group(1), Integer.parseInt(listens.group(2)));
-                    (line.contains("serving HLS:") ? hls : rtsp).complete(at);
+                    InetSocketAddress address =
+                            new InetSocketAddress(listens.group(1), Integer.parseInt(listens.group(2)));
+                    (line.contains("serving HLS:") ? hls : rtsp).complete(address);
                 }
             }
         } catch (IOException e) {
-            keepLine("log not read on: " + e.getMessage());
+            keepLine("log cannot be read further: " + e.getMessage());
         }
-        rtsp.completeExceptionally(new IllegalStateException("the program ended: " + lastLines()));
+        rtsp.completeExceptionally(new IllegalStateException("the program ended; its last log lines: " + lastLines()));
     }
 
     private void keepLine(String line) {
--- a/src/test/java/dockshed/capacity/NotifiedViewers.java
+++ b/src/test/java/dockshed/capacity/NotifiedViewers.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 
-/** RTSP viewers with some sessions on each connection, who wait for the note that a session is over. */
+/** RTSP viewers with several sessions on each connection, which wait for the broker's TEARDOWN at the end of a session. */
 final class NotifiedViewers implements AutoCloseable {
 
-    /** Set-ups that wait for an answer on one connection at a time. */
+    /** Set-ups that may be unanswered on one connection. */
     private static final int MAX_OPEN_SETUPS_PER_CONNECTION = 4;
 
     private static final int DEFAULT_RETRY_DELAY_MILLIS = 200;
 
     private final Net net = new Net("noted viewers");
     private final InetSocketAddress broker;
-    private final Map<String, Integer> deliveries = new HashMap<>(); // of the loop's thread
+    private final Map<String, Integer> deliveries = new HashMap<>(); // by session; used on the loop's thread only
     private final AtomicInteger refused = new AtomicInteger();
     private int namesUsed;
     private volatile OpenLoop load;
@@ -30,11 +30,15 @@
         this.broker = broker;
     }
 
-    /** Sets sessions up for a load, one for each delivery; null if they were not all set up in time. */
-    List<String> setUp(OpenLoop current, int connections, long seconds) throws InterruptedException {
-        load = current;
+    /**
+     * Sets up one session for each delivery of a load.
+     *
+     * @return the sessions' names by number of delivery; null if not all were set up within the time limit
+     */
+    List<String> setUp(OpenLoop newLoad, int connections, long seconds) throws InterruptedException {
+        load = newLoad;
         int first = namesUsed;
-        namesUsed += current.count();
+        namesUsed += newLoad.count();
         List<String> names = IntStream.range(first, namesUsed)
                 .mapToObj(number -> String.format("%016x", number + 1))
                 .toList();
@@ -45,15 +49,15 @@
             }
             return null;
         });
-        int each = (names.size() + connections - 1) / connections;
-        for (int from = 0; from < names.size(); from += each) {
-            Viewer viewer = new Viewer(names.subList(from, Math.min(names.size(), from + each)), ready);
+        int perConnection = (names.size() + connections - 1) / connections;
+        for (int from = 0; from < names.size(); from += perConnection) {
+            Viewer viewer = new Viewer(names.subList(from, Math.min(names.size(), from + perConnection)), ready);
             ClientConnection.open(net, broker, viewer);
         }
         return ready.await(seconds, TimeUnit.SECONDS) ? names : null;
     }
 
-    /** Set-ups that were refused and asked for again. */
+    /** Number of refusals so far; a refused set-up is repeated. */
     int refused() {
         return refused.get();
     }
@@ -81,7 +85,7 @@
 
         @Override
         public void connected(ClientConnection to) {
-            for (int first = 0; first < MAX_OPEN_SETUPS_PER_CONNECTION; first++) {
+            for (int setup = 0; setup < MAX_OPEN_SETUPS_PER_CONNECTION; setup++) {
                 sendNextSetup(to);
             }
         }
@@ -100,8 +104,9 @@
                 sendNextSetup(from);
             } else if (message.status() > 0) {
                 refused.incrementAndGet();
-                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
-                net.loop().schedule(() -> from.write(RtspRequests.setup(session)), wait, TimeUnit.MILLISECONDS);
+                long delayMillis =
+                        Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
+                net.loop().schedule(() -> from.write(RtspRequests.setup(session)), delayMillis, TimeUnit.MILLISECONDS);
             }
         }
 
--- a/src/test/java/dockshed/capacity/OpenLoop.java
+++ b/src/test/java/dockshed/capacity/OpenLoop.java
@@ -7,37 +7,40 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Load at a fixed rate, whether or not answers come: a delivery's time counts from the moment at which it was
- * due, so that a stall counts against all that was due in it. What never comes counts with the longest time.
+ * Open-loop load: sends deliveries at a fixed rate whether or not earlier ones have arrived. A delivery's time counts from
+ * when it was due, so that a stall counts against all deliveries due during it. A lost delivery counts as the longest time.
  */
 final class OpenLoop {
 
-    /** The longest time that is told apart, and what a lost delivery counts. */
+    /** Longer times are recorded as this one; also the time of a lost delivery. */
     static final long MAX_RECORDED_MICROS = 10_000_000;
 
     private static final int SIGNIFICANT_DIGITS = 3;
+    /** The last part of a wait, which is spent spinning for precision. */
     private static final long SPIN_WAIT_NANOS = 100_000;
+
     private static final double MEDIAN_PERCENT = 50;
     private static final double TAIL_PERCENT = 99;
 
     private final int rate;
     private final int count;
     private final ConcurrentHistogram micros = new ConcurrentHistogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
-    private long startNanos;
+    private long startNanos; // when the first delivery was due
     private volatile long lastDeliveredNanos;
-    private long maxSendDelayNanos; // the most that a delivery was sent late
+    private long maxSendDelayNanos; // the longest time by which a delivery was sent late
 
+    /** A load of so many deliveries per second for a number of seconds. */
     OpenLoop(int rate, double seconds) {
         this.rate = rate;
         count = (int) Math.round(rate * seconds);
     }
 
-    /** Deliveries that are due in all. */
+    /** Number of deliveries. */
     int count() {
         return count;
     }
 
-    /** Sends each delivery when it is due; the sender gets its number and says whether it could be sent. */
+    /** Sends each delivery when it is due: calls the sender with its number, from 0. The sender's result is not used. */
     void send(IntPredicate sender) {
         startNanos = System.nanoTime();
         lastDeliveredNanos = startNanos;
@@ -48,47 +51,47 @@
         }
     }
 
-    /** A delivery has come to its client; on any thread. */
+    /** Records that a delivery has arrived; on any thread. */
     void delivered(int delivery) {
-        long taken = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueNanos(delivery));
-        micros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, taken)));
+        long elapsedMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueNanos(delivery));
+        micros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, elapsedMicros)));
         lastDeliveredNanos = System.nanoTime();
     }
 
-    /** Waits until all have been delivered or so long has passed; returns the seconds from the first due to the last. */
+    /** Waits until all have arrived, or for the time limit; returns the seconds from the first due to the last arrival. */
     double awaitAll(long seconds) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        while (micros.getTotalCount() < count && System.nanoTime() < until) {
+        long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        while (micros.getTotalCount() < count && System.nanoTime() < untilNanos) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
         }
         return Math.max(0, lastDeliveredNanos - startNanos) / 1e9;
     }
 
-    /** The times of all that were due, the lost ones at the longest time. */
+    /** The times of all deliveries, lost ones included. */
     Times times() {
-        Histogram whole = micros.copy();
-        int delivered = (int) whole.getTotalCount();
+        Histogram all = micros.copy();
+        int delivered = (int) all.getTotalCount();
         if (delivered < count) {
-            whole.recordValueWithCount(MAX_RECORDED_MICROS, count - delivered);
+            all.recordValueWithCount(MAX_RECORDED_MICROS, count - delivered);
         }
         return new Times(
                 delivered,
                 count - delivered,
-                whole.getValueAtPercentile(MEDIAN_PERCENT) / 1e3,
-                whole.getValueAtPercentile(TAIL_PERCENT) / 1e3,
-                whole.getMaxValue() / 1e3,
+                all.getValueAtPercentile(MEDIAN_PERCENT) / 1e3,
+                all.getValueAtPercentile(TAIL_PERCENT) / 1e3,
+                all.getMaxValue() / 1e3,
                 maxSendDelayNanos / 1e6);
     }
 
     /**
-     * What became of the deliveries of a step.
+     * The result of a load, times in milliseconds.
      *
-     * @param delivered how many came
-     * @param lost how many had not come when the step ended
-     * @param medianMs the median time from due to delivered
-     * @param p99Ms the time within which 99 in 100 came
+     * @param delivered number of deliveries that arrived
+     * @param lost number of deliveries that had not arrived
+     * @param medianMs median time from due to arrival
+     * @param p99Ms 99th percentile of the times
      * @param maxMs the longest time
-     * @param sentLateMs the most that the load itself was late; times under it say little of the broker
+     * @param sentLateMs the longest time by which a delivery was sent late; times below it say little about the broker
      */
     record Times(int delivered, int lost, double medianMs, double p99Ms, double maxMs, double sentLateMs) {}
 
@@ -96,10 +99,10 @@
         return startNanos + delivery * 1_000_000_000L / rate;
     }
 
-    private static void awaitTime(long due) {
-        for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
-            if (left > SPIN_WAIT_NANOS) {
-                LockSupport.parkNanos(left - SPIN_WAIT_NANOS / 2);
+    private static void awaitTime(long dueNanos) {
+        for (long leftNanos = dueNanos - System.nanoTime(); leftNanos > 0; leftNanos = dueNanos - System.nanoTime()) {
+            if (leftNanos > SPIN_WAIT_NANOS) {
+                LockSupport.parkNanos(leftNanos - SPIN_WAIT_NANOS / 2);
             } else {
                 Thread.onSpinWait();
             }
--- a/src/test/java/dockshed/capacity/OpenLoopTest.java
+++ b/src/test/java/dockshed/capacity/OpenLoopTest.java
@@ -7,14 +7,17 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The load's bookkeeping; no times are asserted but that of what never came. */
+/**
+ * Guards against a load that sends a delivery twice or not at all, and against lost deliveries that drop out of the
+ * percentiles, which then look better the more is lost. No other times are asserted, as they depend on the machine.
+ */
 class OpenLoopTest {
 
-    private static final int RATE = 100_000;
+    private static final int RATE_PER_SECOND = 100_000;
 
     @Test
-    void eachDeliveryIsSentOnceInItsOrder() {
-        OpenLoop load = new OpenLoop(RATE, 0.001);
+    void eachDeliveryIsSentOnceAndInOrder() {
+        OpenLoop load = new OpenLoop(RATE_PER_SECOND, 0.001);
         List<Integer> sent = new ArrayList<>();
         load.send(sent::add);
         assertEquals(100, load.count());
@@ -22,8 +25,8 @@
     }
 
     @Test
-    void whatNeverCameCountsWithTheLongestTime() {
-        OpenLoop load = new OpenLoop(RATE, 0.001);
+    void aLostDeliveryCountsAsTheLongestTime() {
+        OpenLoop load = new OpenLoop(RATE_PER_SECOND, 0.001);
         load.send(delivery -> {
             if (delivery % 10 != 0) {
                 load.delivered(delivery);
--- a/src/test/java/dockshed/capacity/RtspRequests.java
+++ b/src/test/java/dockshed/capacity/RtspRequests.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Requests of an RTSP viewer. */
+/** Messages of an RTSP viewer, encoded. */
 final class RtspRequests {
 
     private static final byte[] DESCRIPTION = "v=0\r\n".getBytes(StandardCharsets.UTF_8);
@@ -13,12 +13,12 @@
 
     private RtspRequests() {}
 
-    /** A request that is answered at once; after it a connection may stay open without a word. */
+    /** An OPTIONS request, which is answered at once; afterwards the connection may stay open and idle. */
     static byte[] options() {
         return HttpStyleMessage.encode("OPTIONS rtsp://media/ping RTSP/1.0", Map.of("CSeq", "3"), EMPTY_BODY);
     }
 
-    /** A set-up of a lesson under a session's name. */
+    /** A SETUP request for a lesson, with the name of the session. */
     static byte[] setup(String session) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "1");
@@ -29,7 +29,7 @@
         return HttpStyleMessage.encode("SETUP rtsp://media/lesson RTSP/1.0", headers, DESCRIPTION);
     }
 
-    /** The answer to a note of the broker's that a session is over. */
+    /** The answer to the broker's TEARDOWN of a session. */
     static byte[] teardownAnswer(String session) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("CSeq", "2");
--- a/src/test/java/dockshed/capacity/RtspViewers.java
+++ b/src/test/java/dockshed/capacity/RtspViewers.java
@@ -10,12 +10,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Viewers with a connection each, all on one loop: idle after an answered OPTIONS, or with a session that
- * plays. A refused one asks again when it was told to, one that was turned away connects again.
+ * RTSP viewers with one connection each, all on one event loop: idle after an answered OPTIONS, or with a playing session. A
+ * viewer repeats a refused request after the delay that the broker asked for, and reconnects if its connection is closed
+ * before it was served.
  */
 final class RtspViewers implements AutoCloseable {
 
-    /** What each viewer wants. */
+    /** What each viewer does with its connection. */
     enum Kind {
         IDLE,
         SESSION
@@ -26,7 +27,7 @@
     private final Net net = new Net("viewers");
     private final InetSocketAddress broker;
     private final Kind kind;
-    private final Set<Viewer> open = new HashSet<>(); // of the loop's thread
+    private final Set<Viewer> open = new HashSet<>(); // served connections; used on the loop's thread only
     private final AtomicInteger sessionsNamed = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger turnedAway = new AtomicInteger();
@@ -38,20 +39,25 @@
         this.kind = kind;
     }
 
-    /** Opens so many more, at most {@code atOnce} not served yet at a time; false if they are not served in time. */
+    /**
+     * Opens more connections and waits until they are served.
+     *
+     * @param atOnce the most connections that are not served yet at a time
+     * @return whether all were served within the time limit
+     */
     boolean open(int count, int atOnce, long seconds) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         int first = Math.min(count, atOnce);
         for (int viewer = 0; viewer < count; viewer++) {
-            if (viewer >= first && !awaitServed(1, until)) {
+            if (viewer >= first && !awaitServed(1, untilNanos)) {
                 return false;
             }
             net.loop().execute(() -> new Viewer().connect());
         }
-        return awaitServed(first, until);
+        return awaitServed(first, untilNanos);
     }
 
-    /** Closes all of them at once, and does not wait. */
+    /** Closes all served connections; does not wait until they are closed. */
     void drop() {
         net.loop().execute(() -> {
             Set<Viewer> all = Set.copyOf(open);
@@ -60,21 +66,22 @@
         });
     }
 
-    /** Connections that are open and served. */
+    /** Number of connections that are open and served. */
     int opened() {
         return net.callOnLoop(() -> open.size());
     }
 
+    /** Number of refused requests so far. */
     int refused() {
         return refused.get();
     }
 
-    /** Connections that came up and were closed by the broker. */
+    /** Number of connections so far that were opened and then closed by the broker. */
     int turnedAway() {
         return turnedAway.get();
     }
 
-    /** Connections that did not come up. */
+    /** Number of connections so far that could not be opened. */
     int notConnected() {
         return notConnected.get();
     }
@@ -84,17 +91,17 @@
         net.close();
     }
 
-    private boolean awaitServed(int count, long until) throws InterruptedException {
-        return served.tryAcquire(count, until - System.nanoTime(), TimeUnit.NANOSECONDS);
+    private boolean awaitServed(int count, long untilNanos) throws InterruptedException {
+        return served.tryAcquire(count, untilNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
     private final class Viewer implements ClientConnection.Listener {
         private ClientConnection connection;
         private boolean left;
-        private boolean up;
+        private boolean isConnected;
 
         void connect() {
-            up = false;
+            isConnected = false;
             connection = ClientConnection.open(net, broker, this);
         }
 
@@ -112,7 +119,7 @@
 
         @Override
         public void connected(ClientConnection to) {
-            up = true;
+            isConnected = true;
             sendRequest(to);
         }
 
@@ -123,8 +130,9 @@
                 served.release();
             } else if (message.status() > 0) {
                 refused.incrementAndGet();
-                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
-                net.loop().schedule(() -> sendRequest(from), wait, TimeUnit.MILLISECONDS);
+                long delayMillis =
+                        Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
+                net.loop().schedule(() -> sendRequest(from), delayMillis, TimeUnit.MILLISECONDS);
             }
         }
 
@@ -133,7 +141,7 @@
             if (left) {
                 return;
             }
-            (up ? turnedAway : notConnected).incrementAndGet();
+            (isConnected ? turnedAway : notConnected).incrementAndGet();
             if (!open.remove(this)) {
                 net.loop().schedule(this::connect, DEFAULT_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
--- a/src/test/java/dockshed/capacity/RunLine.java
+++ b/src/test/java/dockshed/capacity/RunLine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * The platform's command for one broker, from the deploy file, and variants of it for a measurement.
+ * The command with which the platform starts a broker, from the deploy file, and its variants for benchmarks.
  *
  * @param words the command, program first
  */
@@ -16,12 +16,16 @@
     private static final String KEY = "run = \"";
     private static final String EXEC = "exec ";
 
-    /** Takes a copy of the words. */
+    /** Copies the words. */
     public RunLine {
         words = List.copyOf(words);
     }
 
-    /** Reads the {@code run} key of a deploy file. */
+    /**
+     * Reads the {@code run} key of a deploy file.
+     *
+     * @throws IllegalArgumentException if there is none; the message names the file
+     */
     public static RunLine read(Path file) throws IOException {
         return parse(file.toString(), Files.readAllLines(file));
     }
@@ -40,7 +44,11 @@
         throw new IllegalArgumentException(file + ": key 'run' is missing");
     }
 
-    /** The same with another value for an option such as {@code -Xmx}, which must be there. */
+    /**
+     * The command with another value for an option such as {@code -Xmx}.
+     *
+     * @throws IllegalArgumentException if the command does not have the option
+     */
     public RunLine with(String option, String value) {
         List<String> changed = new ArrayList<>();
         for (String word : words) {
@@ -52,21 +60,21 @@
         return new RunLine(changed);
     }
 
-    /** The same with one more option of the JVM. */
+    /** The command with one more JVM option. */
     public RunLine plusOption(String option) {
         List<String> longer = new ArrayList<>(words);
         longer.add(1, option);
         return new RunLine(longer);
     }
 
-    /** The same bound to one core by taskset. */
+    /** The command bound to one core by {@code taskset}. */
     public RunLine onCore(int core) {
         List<String> bound = new ArrayList<>(List.of("taskset", "-c", Integer.toString(core)));
         bound.addAll(words);
         return new RunLine(bound);
     }
 
-    /** The same with more arguments of the program at its end. */
+    /** The command with more arguments for the program. */
     public RunLine plus(String... arguments) {
         List<String> longer = new ArrayList<>(words);
         longer.addAll(List.of(arguments));
--- a/src/test/java/dockshed/capacity/RunLineTest.java
+++ b/src/test/java/dockshed/capacity/RunLineTest.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The platform's command as a measurement starts it. */
+/**
+ * Guards against a benchmark that starts the broker with another command than the platform's: a misread deploy file, or a
+ * variant that changes more than it should.
+ */
 class RunLineTest {
 
     private static final RunLine LINE =
@@ -21,7 +24,7 @@
     }
 
     @Test
-    void variantsChangeWhatTheyNameAndNothingElse() {
+    void variantsChangeOnlyWhatTheyName() {
         assertEquals(
                 List.of("java", "-Xmx1g", "-jar", "x.jar", "serve"),
                 LINE.with("-Xmx", "1g").words());
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void whatIsNotThereIsNamed() {
+    void errorsNameWhatIsMissing() {
         assertThrows(IllegalArgumentException.class, () -> LINE.with("-Xss", "1m"));
         IllegalArgumentException missing =
                 assertThrows(IllegalArgumentException.class, () -> RunLine.parse("x.toml", List.of("build = \"b\"")));
@@ -47,9 +50,9 @@
         assertEquals("x.toml, line 2: key 'run' has no closing quote", open.getMessage());
     }
 
-    /** The options that the measurements replace are on the platform's own line. */
+    /** The deploy file has the options that the benchmarks replace. */
     @Test
-    void theDeployFileHasWhatTheMeasurementsReplace() throws IOException {
+    void theDeployFileHasTheOptionsThatBenchmarksReplace() throws IOException {
         RunLine line = MeasuredBroker.runLine();
         assertEquals("java", line.words().get(0));
         assertTrue(line.words().contains("-Xmx1g"));
--- a/src/test/java/dockshed/capacity/SetupCapacity.java
+++ b/src/test/java/dockshed/capacity/SetupCapacity.java
@@ -11,8 +11,8 @@
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
 
 /**
- * What a set-up costs in the decision module, by edge servers, by lessons and by sessions that play; run by {@code
- * bench/setup.sh}. Writes the raw figures and prints a line fitted through each series.
+ * Measures the cost of a set-up in the decision module, by number of edge servers, lessons and playing sessions. Writes the
+ * raw figures and prints lines fitted to each series. Run by {@code bench/setup.sh}.
  */
 public final class SetupCapacity {
     static final List<String> COLUMNS = List.of(
@@ -34,7 +34,13 @@
             "refused_share",
             "basis");
 
-    /** How much is measured: batches before and during a measurement, and sizes of each series from the smallest. */
+    /**
+     * How much is measured.
+     *
+     * @param warmUpBatches batches before each measurement
+     * @param batches measured batches
+     * @param sizes the most sizes of each series, the smallest first
+     */
     record Extent(int warmUpBatches, int batches, int sizes) {
         static final Extent FULL = new Extent(6, 15, Integer.MAX_VALUE);
         static final Extent QUICK = new Extent(2, 5, 4);
@@ -50,7 +56,7 @@
 
     private SetupCapacity() {}
 
-    /** Arguments: {@code [--quick] [--append]}. */
+    /** Runs the benchmark. Arguments: {@code [--quick] [--append]}. */
     public static void main(String[] args) throws IOException {
         Arguments arguments = Arguments.of(args);
         Extent extent = arguments.quick() ? Extent.QUICK : Extent.FULL;
@@ -95,22 +101,27 @@
         return Arrays.copyOf(sizes, Math.min(sizes.length, extent.sizes()));
     }
 
-    /** One row of the table: a module of its own, warmed up, then the medians of its batches. */
+    /**
+     * Measures one size with a decision module of its own, after a warm-up.
+     *
+     * @return the cells of the row in the order of {@link #COLUMNS} but without the run: medians over the batches
+     * @throws IllegalStateException if not as many sessions play as the size says
+     */
     static Object[] measure(String series, Size size, Extent extent, ThreadCost cost) {
-        long before = ThreadCost.usedHeap();
+        long heapBefore = ThreadCost.usedHeap();
         SetupFixture fixture = new SetupFixture(size, cost);
-        for (int i = 0; i < extent.warmUpBatches(); i++) {
+        for (int batch = 0; batch < extent.warmUpBatches(); batch++) {
             fixture.batch();
         }
         fixture.drainSweepMicros();
         List<BatchCost> batches = new ArrayList<>();
-        for (int i = 0; i < extent.batches(); i++) {
+        for (int batch = 0; batch < extent.batches(); batch++) {
             batches.add(fixture.batch());
         }
         List<Double> sweeps = fixture.drainSweepMicros();
-        long heap = ThreadCost.usedHeap() - before;
+        long heap = ThreadCost.usedHeap() - heapBefore;
         if (fixture.playing() != size.sessions()) {
-            throw new IllegalStateException(fixture.playing() + " sessions play, not " + size.sessions());
+            throw new IllegalStateException(fixture.playing() + " sessions play, expected " + size.sessions());
         }
         return new Object[] {
             series,
@@ -124,7 +135,7 @@
             oneDecimal(median(batches, BatchCost::requestNanos)),
             oneDecimal(median(batches, BatchCost::playNanos)),
             oneDecimal(median(batches, BatchCost::endNanos)),
-            oneDecimal(median(sweeps, x -> x)),
+            oneDecimal(median(sweeps, micros -> micros)),
             oneDecimal(median(batches, BatchCost::allocatedBytes)),
             oneDecimal(heap),
             String.format(Locale.ROOT, "%.4f", fixture.refusedShare()),
@@ -132,9 +143,9 @@
         };
     }
 
-    private static void printFit(CapacityCsv table, String series, String x, String column) {
+    private static void printFit(CapacityCsv table, String series, String xColumn, String column) {
         System.out.println("fit " + column + " by " + series + ": "
-                + table.where("series", series).fit(x, column));
+                + table.where("series", series).fit(xColumn, column));
     }
 
     private static <T> double median(List<T> values, ToDoubleFunction<T> of) {
--- a/src/test/java/dockshed/capacity/SetupFixture.java
+++ b/src/test/java/dockshed/capacity/SetupFixture.java
@@ -23,29 +23,41 @@
 import java.util.List;
 
 /**
- * The decision module with a steady load: so many edge servers, lessons and playing sessions. Each set-up that is
- * begun ends the oldest session, virtual time goes on by {@link #SETUP_INTERVAL_US}, and sweeps run when they are due. Each
- * lesson is held by every server, the most that can be asked of the module; a rack has {@link #SERVERS_PER_RACK}.
+ * The decision module under a steady load, with a given number of edge servers, lessons and playing sessions. Each new
+ * session ends the oldest one. Virtual time advances by {@link #SETUP_INTERVAL_US} per set-up, and sweeps run when they are
+ * due. Every server holds every lesson, which is the most work for the module.
  */
 final class SetupFixture {
-    /** Sizes of one measurement; {@code uplinkTold}: edge servers report how full their rack's uplink is. */
+    /**
+     * The sizes of one measurement.
+     *
+     * @param servers number of edge servers
+     * @param lessons number of lessons
+     * @param sessions number of playing sessions
+     * @param uplinkReported whether edge servers report the load of their rack's uplink
+     */
     record Size(int servers, int lessons, int sessions, boolean uplinkReported) {}
 
-    /** What one batch of set-ups cost on the calling thread. */
+    /** Mean cost of a set-up in one batch on the calling thread: CPU time in nanoseconds, and bytes allocated. */
     record BatchCost(double requestNanos, double playNanos, double endNanos, double allocatedBytes) {
+        /** CPU time of a whole set-up: request, start and end of the session. */
         double setupNanos() {
             return requestNanos + playNanos + endNanos;
         }
     }
 
+    /** A second of virtual time, in microseconds. */
     static final long SECOND_US = 1_000_000;
-    /** Microseconds of virtual time from one set-up to the next. */
+    /** Virtual time from one set-up to the next. */
     static final long SETUP_INTERVAL_US = 10_000;
 
-    /** Set-ups that are timed together, as a clock read costs as much as a part of one. */
+    /** Set-ups that are timed together, because reading the clock costs a noticeable part of one. */
     static final int SETUPS_PER_BATCH = 20;
 
-    /** One broker alone has all of the headroom: with many, its part is refused at rates that no broker sees. */
+    /**
+     * A single broker has all of the headroom. One of several would have only its share, and would refuse requests, because
+     * they come at a rate here that no broker sees.
+     */
     private static final int BROKERS = 1;
 
     private static final int SERVERS_PER_RACK = 9;
@@ -57,9 +69,10 @@
     private static final String CLASS = "film";
     private static final long SEED = 42;
 
+    /** A playing session, by the id of its request. */
     private record Playing(String request, String server) {}
 
-    /** Keeps what a measurement needs of the module's actions. */
+    /** Records those actions of the module that a measurement needs. */
     private static final class Recorder implements Director.Actions {
         String sentTo;
         long refused;
@@ -67,12 +80,12 @@
         String timerKey;
 
         @Override
-        public void send(String request, String server, long allow) {
+        public void send(String request, String server, long timeLimit) {
             sentTo = server;
         }
 
         @Override
-        public void refuse(String request, long comeBack) {
+        public void refuse(String request, long retryAfter) {
             refused++;
         }
 
@@ -82,7 +95,7 @@
         }
 
         @Override
-        public void setRendition(String request, int rung) {}
+        public void setRendition(String request, int rendition) {}
 
         @Override
         public void move(String request) {}
@@ -109,6 +122,7 @@
     private long nowMicros = 1000 * SECOND_US;
     private long requests;
 
+    /** Makes a module in which all sessions of the size play. */
     SetupFixture(Size size, ThreadCost cost) {
         this.size = size;
         this.cost = cost;
@@ -145,8 +159,8 @@
 
     private static List<Server> servers(int count) {
         List<Server> servers = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            servers.add(new Server(serverId(i), "here", "box", i % racks(count), State.UP, 1, 0));
+        for (int number = 0; number < count; number++) {
+            servers.add(new Server(serverId(number), "here", "box", number % racks(count), State.UP, 1, 0));
         }
         return servers;
     }
@@ -178,12 +192,12 @@
                 false);
     }
 
-    /** Sets {@link #SETUPS_PER_BATCH} sessions up, lets them play and ends as many of the oldest. */
+    /** Requests and starts {@link #SETUPS_PER_BATCH} sessions and ends as many of the oldest. */
     BatchCost batch() {
-        Request[] wanted = new Request[SETUPS_PER_BATCH];
+        Request[] requested = new Request[SETUPS_PER_BATCH];
         String[] sentTo = new String[SETUPS_PER_BATCH];
-        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
-            wanted[i] = nextRequest();
+        for (int setup = 0; setup < SETUPS_PER_BATCH; setup++) {
+            requested[setup] = nextRequest();
         }
         long bytes = 0;
         long requestNanos = 0;
@@ -192,30 +206,31 @@
 
         runDueTimers();
         cost.start();
-        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
+        for (int setup = 0; setup < SETUPS_PER_BATCH; setup++) {
             recorder.sentTo = null;
-            director.request(nowMicros, wanted[i]);
-            sentTo[i] = recorder.sentTo;
+            director.request(nowMicros, requested[setup]);
+            sentTo[setup] = recorder.sentTo;
         }
         requestNanos += cost.nanos();
         bytes += cost.bytes();
 
         cost.start();
-        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
-            if (sentTo[i] != null) {
-                director.sessionStarted(nowMicros, wanted[i].id(), 0, sentTo[i]);
-                director.metricReceived(nowMicros, wanted[i].id(), sentTo[i], Metric.LINK, LINK_LOAD_SHARE);
+        for (int setup = 0; setup < SETUPS_PER_BATCH; setup++) {
+            if (sentTo[setup] != null) {
+                director.sessionStarted(nowMicros, requested[setup].id(), 0, sentTo[setup]);
+                director.metricReceived(nowMicros, requested[setup].id(), sentTo[setup], Metric.LINK, LINK_LOAD_SHARE);
                 if (size.uplinkReported()) {
-                    director.metricReceived(nowMicros, wanted[i].id(), sentTo[i], Metric.UPLINK, LINK_LOAD_SHARE);
+                    director.metricReceived(
+                            nowMicros, requested[setup].id(), sentTo[setup], Metric.UPLINK, LINK_LOAD_SHARE);
                 }
             }
         }
         playNanos += cost.nanos();
         bytes += cost.bytes();
 
-        for (int i = 0; i < SETUPS_PER_BATCH; i++) {
-            if (sentTo[i] != null) {
-                playing.add(new Playing(wanted[i].id(), sentTo[i]));
+        for (int setup = 0; setup < SETUPS_PER_BATCH; setup++) {
+            if (sentTo[setup] != null) {
+                playing.add(new Playing(requested[setup].id(), sentTo[setup]));
             }
         }
         nowMicros += SETUPS_PER_BATCH * SETUP_INTERVAL_US;
@@ -246,19 +261,20 @@
         }
     }
 
-    /** Microseconds of each sweep since the last call. */
+    /** CPU time of each sweep since the last call, in microseconds. */
     List<Double> drainSweepMicros() {
-        List<Double> taken = List.copyOf(sweepMicros);
+        List<Double> drained = List.copyOf(sweepMicros);
         sweepMicros.clear();
-        return taken;
+        return drained;
     }
 
-    /** Requests that were refused or failed since the start, of all that were made. */
+    /** The share of requests so far that were refused or failed, 0 to 1. */
     double refusedShare() {
-        long made = requests - size.sessions();
-        return made == 0 ? 0 : recorder.refused / (double) made;
+        long answered = requests - size.sessions();
+        return answered == 0 ? 0 : recorder.refused / (double) answered;
     }
 
+    /** Number of playing sessions. */
     int playing() {
         return playing.size();
     }
--- a/src/test/java/dockshed/capacity/SetupFixtureTest.java
+++ b/src/test/java/dockshed/capacity/SetupFixtureTest.java
@@ -7,7 +7,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The load that the set-up figures are taken under: steady, and nobody refused. */
+/**
+ * Guards against set-up figures measured under another load than stated: sessions that accumulate, or requests that
+ * are refused.
+ */
 class SetupFixtureTest {
     private static final int BATCHES = 5;
 
@@ -15,7 +18,7 @@
     void asManySessionsEndAsAreSetUpAndNoneIsRefused() {
         for (boolean uplinkTold : new boolean[] {false, true}) {
             SetupFixture fixture = new SetupFixture(new Size(36, 10, 100, uplinkTold), new ThreadCost());
-            for (int i = 0; i < BATCHES; i++) {
+            for (int batch = 0; batch < BATCHES; batch++) {
                 fixture.batch();
                 assertEquals(100, fixture.playing());
             }
@@ -24,7 +27,7 @@
     }
 
     @Test
-    void theFileThatIsKeptHasTheKnownColumnsAndOnlyMeasuredRowsWithoutRefusals() throws IOException {
+    void theCommittedFileHasTheKnownColumnsAndOnlyMeasuredRowsWithoutRefusals() throws IOException {
         CapacityCsv table = CapacityCsv.read(Path.of("docs/capacity/setup.csv"));
         assertEquals(SetupCapacity.COLUMNS, table.columns());
         assertEquals(
--- a/src/test/java/dockshed/capacity/StandInEdgeServers.java
+++ b/src/test/java/dockshed/capacity/StandInEdgeServers.java
@@ -17,15 +17,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Edge servers on loopback that accept every set-up at once, report their load each second, and end a session when
- * they are told to.
+ * Stand-ins for edge servers on loopback: they accept every set-up at once, report the load of their link every second, and
+ * end a session on demand.
  */
 final class StandInEdgeServers implements AutoCloseable {
 
     private static final String DESCRIPTION = "v=0\\r\\n";
+    /** The cause in a release that says that the session has played to its end. */
     private static final int CAUSE_PLAYED_TO_END = 16;
+
     private static final int REPORT_INTERVAL_MILLIS = 1000;
-    /** The share of its link that each reports: far from full. */
+    /** The load that each server reports for its link, as a share: far from full. */
     private static final String REPORTED_LINK_SHARE = "0.05";
 
     private final Net net = new Net("edge servers");
@@ -41,16 +43,17 @@
                         this::report, REPORT_INTERVAL_MILLIS, REPORT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
+    /** The servers' addresses. */
     List<InetSocketAddress> addresses() {
         return servers.stream().map(server -> server.address).toList();
     }
 
-    /** Sessions that play. */
+    /** Number of playing sessions. */
     int playing() {
         return playing.size();
     }
 
-    /** Tells the broker that a session has played to its end; false if no such session plays. */
+    /** Notifies the broker that a session has played to its end; false if no such session plays. */
     boolean end(String session) {
         EdgeServer server = playing.remove(session);
         if (server == null) {
@@ -71,11 +74,11 @@
         servers.forEach(EdgeServer::report);
     }
 
-    /** One edge server; but for its address all of it belongs to the loop's thread. */
+    /** One edge server; all of it except its address is used on the event loop's thread only. */
     private final class EdgeServer {
         private final InetSocketAddress address;
         private final List<Channel> connections = new ArrayList<>();
-        private String latestSession; // the session set up last; null: none yet
+        private String latestSession; // the session set up last; null if there is none
 
         EdgeServer() {
             address = (InetSocketAddress)
@@ -85,7 +88,7 @@
                             .localAddress();
         }
 
-        /** Writes on the newest connection that the broker has open; without one nothing can be told. */
+        /** Writes to the broker's newest open connection; drops the message if there is none. */
         void write(String message) {
             if (!connections.isEmpty()) {
                 write(connections.get(connections.size() - 1), message);
@@ -96,6 +99,7 @@
             channel.writeAndFlush(Net.toByteBuf((message + "\n").getBytes(StandardCharsets.UTF_8)));
         }
 
+        /** Reports the load in a note of the newest session, if there is one. */
         void report() {
             if (latestSession != null) {
                 write("{\"type\":\"note\",\"id\":\"" + latestSession + "\",\"fields\":{\"note\":\"local\",\"value\":\""
@@ -114,17 +118,17 @@
                             "{\"type\":\"answer\",\"id\":\"" + session + "\",\"fields\":{},\"sdp\":\"" + DESCRIPTION
                                     + "\"}");
                 }
-                case "release" -> playing.remove(session, this); // it may play at another by now
+                case "release" -> playing.remove(session, this); // not if another server has taken the session over
                 case "ping" ->
                     write(channel, "{\"type\":\"pong\",\"id\":\"" + session + "\",\"fields\":{},\"cause\":1}");
-                default -> {} // ratings mean nothing here
+                default -> {} // other messages, such as ratings, need no answer
             }
         }
     }
 
     private static final class Connection extends ByteHandler {
         private final EdgeServer server;
-        private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+        private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
         Connection(EdgeServer server) {
             this.server = server;
@@ -137,13 +141,13 @@
 
         @Override
         protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
-            for (byte b : bytes) {
-                if (b != '\n') {
-                    line.write(b);
+            for (byte next : bytes) {
+                if (next != '\n') {
+                    partialLine.write(next);
                     continue;
                 }
-                String text = line.toString(StandardCharsets.UTF_8);
-                line.reset();
+                String text = partialLine.toString(StandardCharsets.UTF_8);
+                partialLine.reset();
                 server.message(ctx.channel(), JsonParser.parseString(text).getAsJsonObject());
             }
         }
--- a/src/test/java/dockshed/capacity/StandInPlaylistServers.java
+++ b/src/test/java/dockshed/capacity/StandInPlaylistServers.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Edge servers on loopback that answer each GET at once: a multivariant playlist, or a live media playlist. */
+/** Stand-ins for HLS edge servers on loopback: they answer each GET at once with a multivariant or a live media playlist. */
 final class StandInPlaylistServers implements AutoCloseable {
 
     private static final int MAX_REQUEST_BYTES = 1 << 16;
@@ -41,6 +41,7 @@
         }
     }
 
+    /** The servers' addresses. */
     List<InetSocketAddress> addresses() {
         return addresses;
     }
@@ -50,7 +51,7 @@
         net.close();
     }
 
-    /** A live window of a few segments: no end tag, so a player fetches it again and again. */
+    /** A live media playlist: without an end tag, so that a player keeps fetching it. */
     static String livePlaylist() {
         StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:2\n");
         text.append("#EXT-X-MEDIA-SEQUENCE:4711\n");
--- a/src/test/java/dockshed/capacity/TestbedFiles.java
+++ b/src/test/java/dockshed/capacity/TestbedFiles.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Configuration files of a broker under measurement: room for all, so that no answer is a refusal for want of slots. */
+/** Configuration files of a broker under measurement, with so many slots that no request is refused for lack of them. */
 final class TestbedFiles {
 
-    /** The one session class. */
+    /** The only session class. */
     static final String SESSION_CLASS = "refresher";
 
     private static final String CONFIG = """
@@ -37,21 +37,26 @@
 
     private TestbedFiles() {}
 
-    /** The broker's file: {@code descriptors} it may open, and the edge servers that it knows from the start. */
-    static String config(int descriptors, List<InetSocketAddress> edgeServers) {
-        return String.format(Locale.ROOT, CONFIG, descriptors, members(edgeServers));
+    /**
+     * The text of the broker's configuration file.
+     *
+     * @param maxDescriptors file descriptors that the broker may open
+     * @param edgeServers addresses of the edge servers that it knows from the start
+     */
+    static String config(int maxDescriptors, List<InetSocketAddress> edgeServers) {
+        return String.format(Locale.ROOT, CONFIG, maxDescriptors, members(edgeServers));
     }
 
-    /** The HLS front's file, with the edge servers that serve playlists. */
+    /** The text of the HLS front's file, with the addresses of the edge servers that serve playlists. */
     static String hls(List<InetSocketAddress> edgeServers) {
         return String.format(Locale.ROOT, HLS, members(edgeServers));
     }
 
     private static String members(List<InetSocketAddress> edgeServers) {
         List<String> members = new ArrayList<>();
-        for (InetSocketAddress at : edgeServers) {
+        for (InetSocketAddress address : edgeServers) {
             int number = members.size();
-            members.add(String.format(Locale.ROOT, MEMBER, number, at.getPort(), number % CELLS));
+            members.add(String.format(Locale.ROOT, MEMBER, number, address.getPort(), number % CELLS));
         }
         return String.join(",", members);
     }
--- a/src/test/java/dockshed/capacity/ThreadCost.java
+++ b/src/test/java/dockshed/capacity/ThreadCost.java
@@ -2,20 +2,20 @@
 
 import java.lang.management.ManagementFactory;
 
-/** Processor time and bytes allocated of the calling thread between {@link #start} and a reading. */
+/** Measures the CPU time and allocation of the calling thread since {@link #start}. */
 public final class ThreadCost {
     private final com.sun.management.ThreadMXBean threads =
             (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
     private long startNanos;
     private long startBytes;
 
-    /** Begins a measurement. */
+    /** Starts a measurement. */
     public void start() {
         startBytes = threads.getCurrentThreadAllocatedBytes();
         startNanos = threads.getCurrentThreadCpuTime();
     }
 
-    /** Nanoseconds of processor time since the start. */
+    /** CPU time since the start, in nanoseconds. */
     public long nanos() {
         return threads.getCurrentThreadCpuTime() - startNanos;
     }
@@ -25,10 +25,10 @@
         return threads.getCurrentThreadAllocatedBytes() - startBytes;
     }
 
-    /** The serial collector leaves small dead objects where they are in all but each fourth full collection. */
+    /** The serial collector leaves small dead objects in place in all but every fourth full collection. */
     private static final int COLLECTIONS_PER_READING = 4;
 
-    /** Bytes of the heap in use once garbage is collected. */
+    /** Heap in use after garbage collections, in bytes. */
     public static long usedHeap() {
         for (int pass = 0; pass < COLLECTIONS_PER_READING; pass++) {
             System.gc();
--- a/src/test/java/dockshed/scale/FleetLayout.java
+++ b/src/test/java/dockshed/scale/FleetLayout.java
@@ -37,8 +37,8 @@
     /** Chooses brokers zone by zone: the first of each zone, then the second of each, and so on. */
     BitSet spreadOverZones(int count) {
         BitSet chosen = new BitSet();
-        for (int i = 0; i < count; i++) {
-            chosen.set(firstOfZone(i % ZONES) + i / ZONES);
+        for (int index = 0; index < count; index++) {
+            chosen.set(firstOfZone(index % ZONES) + index / ZONES);
         }
         return chosen;
     }
--- a/src/test/java/dockshed/scale/FleetRecorder.java
+++ b/src/test/java/dockshed/scale/FleetRecorder.java
@@ -33,8 +33,8 @@
         listed = new BitSet[brokers];
         changedAt = new long[brokers][visibility.subjectCount()];
         startedAt = new long[brokers];
-        for (int i = 0; i < brokers; i++) {
-            listed[i] = new BitSet();
+        for (int broker = 0; broker < brokers; broker++) {
+            listed[broker] = new BitSet();
         }
     }
 
