--- a/src/test/java/dockshed/capacity/CapacityCsv.java
+++ b/src/test/java/dockshed/capacity/CapacityCsv.java
@@ -47,7 +47,7 @@
         requireCommand(name, command);
         requireColumns(name, columns);
         if (rows.size() > MAX_ROWS) {
-            throw new IllegalArgumentException(name + ": " + rows.size() + " rows, at most " + MAX_ROWS);
+            throw new IllegalArgumentException(name + ": expected at most " + MAX_ROWS + " rows, got " + rows.size());
         }
         for (Row row : rows) {
             requireRow(name, columns, row);
--- a/src/test/java/dockshed/capacity/ConnectionBench.java
+++ b/src/test/java/dockshed/capacity/ConnectionBench.java
@@ -135,18 +135,18 @@
             TimeUnit.MILLISECONDS.sleep(SETTLING_TIME_MILLIS);
             long heapBefore = jvm.heapAfterCollection();
             long residentBefore = process.residentKb();
-            long collections = jvm.collections();
-            long collectionMillis = jvm.collectionMillis();
-            long allocated = jvm.loopAllocatedBytes();
-            double processor = process.processorSeconds();
-            int refused = viewers.refused();
-            int turnedAway = viewers.turnedAway();
-            int notConnected = viewers.notConnected();
+            long collectionsBefore = jvm.collections();
+            long collectionMillisBefore = jvm.collectionMillis();
+            long allocatedBefore = jvm.loopAllocatedBytes();
+            double processorBefore = process.processorSeconds();
+            int refusedBefore = viewers.refused();
+            int turnedAwayBefore = viewers.turnedAway();
+            int notConnectedBefore = viewers.notConnected();
             jvm.resetPeaks();
-            long begin = System.nanoTime();
+            long startNanos = System.nanoTime();
             viewers.drop();
             viewers.open(size, size, RECONNECT_TIMEOUT_SECONDS);
-            double seconds = (System.nanoTime() - begin) / 1e9;
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
             double processorAfter = process.processorSeconds();
             long allocatedAfter = jvm.loopAllocatedBytes();
             long peak = jvm.peakHeapBound();
@@ -162,16 +162,16 @@
                     jvm.heapAfterCollection(),
                     committed,
                     direct,
-                    allocatedAfter - allocated,
-                    collectionsAfter - collections,
-                    collectionMillisAfter - collectionMillis,
+                    allocatedAfter - allocatedBefore,
+                    collectionsAfter - collectionsBefore,
+                    collectionMillisAfter - collectionMillisBefore,
                     residentBefore,
                     process.peakResidentKb(),
-                    decimals(processorAfter - processor),
+                    decimals(processorAfter - processorBefore),
                     decimals(seconds),
-                    viewers.refused() - refused,
-                    viewers.turnedAway() - turnedAway,
-                    viewers.notConnected() - notConnected,
+                    viewers.refused() - refusedBefore,
+                    viewers.turnedAway() - turnedAwayBefore,
+                    viewers.notConnected() - notConnectedBefore,
                     size - viewers.opened());
         }
     }
--- a/src/test/java/dockshed/capacity/SetupFixtureTest.java
+++ b/src/test/java/dockshed/capacity/SetupFixtureTest.java
@@ -16,8 +16,8 @@
 
     @Test
     void asManySessionsEndAsAreSetUpAndNoneIsRefused() {
-        for (boolean uplinkTold : new boolean[] {false, true}) {
-            SetupFixture fixture = new SetupFixture(new Size(36, 10, 100, uplinkTold), new ThreadCost());
+        for (boolean uplinkReported : new boolean[] {false, true}) {
+            SetupFixture fixture = new SetupFixture(new Size(36, 10, 100, uplinkReported), new ThreadCost());
             for (int batch = 0; batch < BATCHES; batch++) {
                 fixture.batch();
                 assertEquals(100, fixture.playing());
--- a/src/test/java/dockshed/scale/Delays.java
+++ b/src/test/java/dockshed/scale/Delays.java
@@ -20,11 +20,13 @@
         unfinished++;
     }
 
+    /** Adds all delays of another collection. */
     void add(Delays other) {
         finished.add(other.finished);
         unfinished += other.unfinished;
     }
 
+    /** Number of delays, finished or not. */
     long count() {
         return finished.getTotalCount() + unfinished;
     }
--- a/src/test/java/dockshed/scale/FaultyPeers.java
+++ b/src/test/java/dockshed/scale/FaultyPeers.java
@@ -33,7 +33,7 @@
      * @param real   numbers of the fleet's real brokers
      * @param faults the faults in force now
      * @param counts counters that outlive this object
-     * @param seed   of the random losses
+     * @param seed   seed of the random losses
      */
     FaultyPeers(int me, DatagramPeers peers, BitSet real, Supplier<LinkFaults> faults, Counts counts, long seed) {
         this.me = me;
--- a/src/test/java/dockshed/scale/HollowProcess.java
+++ b/src/test/java/dockshed/scale/HollowProcess.java
@@ -114,6 +114,7 @@
 
     // ---- Commands.
 
+    /** Executes one command and returns its answer. */
     private String execute(String line) throws InterruptedException {
         if (failure != null) {
             return FAILED + failure;
@@ -161,7 +162,7 @@
         return workers.get(broker.number % WORKER_THREADS);
     }
 
-    /** Keeps the failure of a background task, which is the answer to the next command. */
+    /** Keeps the failure of a background task, which is the answer to all further commands. */
     private void runKeepingFailure(Runnable task) {
         try {
             task.run();
@@ -221,6 +222,7 @@
         return GSON.toJson(since);
     }
 
+    /** Adds a broker's CPU time to that of its earlier starts, while its thread still runs. */
     private synchronized void saveCpu(HollowBroker broker) {
         cpuBeforeRestart.merge(broker.number, cpuSinceStart(broker), Long::sum);
     }
@@ -249,6 +251,7 @@
         return GSON.toJson(FigureAges.of(ages));
     }
 
+    /** Heap in use after a garbage collection, in kB. */
     private static int heapKb() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
--- a/src/test/java/dockshed/scale/ProcessFleet.java
+++ b/src/test/java/dockshed/scale/ProcessFleet.java
@@ -73,7 +73,7 @@
         reservedPorts.clear();
     }
 
-    /** Deals the brokers out in turn, so that each process runs brokers of all zones and none is a zone. */
+    /** Assigns brokers round robin, so that each process runs brokers of all zones and none coincides with a zone. */
     private static List<BitSet> splitOverProcesses(BitSet brokers, int perProcess) {
         int count = (brokers.cardinality() + perProcess - 1) / perProcess;
         List<BitSet> parts = new ArrayList<>();
--- a/src/test/java/dockshed/scale/ScaleBench.java
+++ b/src/test/java/dockshed/scale/ScaleBench.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Deals the scenes out to the simulations. Each simulation starts a fleet of its own, so a scene there follows other
-     * scenes than on sockets.
+     * Assigns the scenes round robin to the simulations. Each simulation starts a fleet of its own, so a scene there follows
+     * other scenes than on sockets.
      */
     private List<List<SceneName>> groups() {
         List<List<SceneName>> groups = new ArrayList<>();
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Runs the benchmark from the project's folder.
+     * Runs the benchmark in the project's directory.
      *
      * @throws IllegalArgumentException for an unknown option, see {@link ScaleOptions#USAGE}
      */
--- a/src/test/java/dockshed/scale/ScaleOptions.java
+++ b/src/test/java/dockshed/scale/ScaleOptions.java
@@ -44,29 +44,29 @@
     static ScaleOptions parse(String... arguments) {
         boolean quick = false;
         boolean sockets = true;
-        boolean twin = true;
+        boolean simulation = true;
         int brokers = DEFAULT_BROKERS;
         int real = DEFAULT_REAL_BROKERS;
         int perProcess = DEFAULT_HOLLOW_PER_PROCESS;
         List<Mechanism> mechanisms = List.of(Mechanism.values());
-        List<SceneName> only = null;
+        List<SceneName> chosen = null;
         List<String> rest = new ArrayList<>(List.of(arguments));
         while (!rest.isEmpty()) {
             String option = rest.remove(0);
             switch (option) {
                 case "--quick" -> quick = true;
-                case "--no-twin" -> twin = false;
+                case "--no-twin" -> simulation = false;
                 case "--twin-only" -> sockets = false;
                 case "--brokers" -> brokers = number(option, rest);
                 case "--real" -> real = number(option, rest);
                 case "--per-process" -> perProcess = number(option, rest);
                 case "--mechanism" -> mechanisms = mechanisms(value(option, rest));
-                case "--scenes" -> only = scenes(value(option, rest));
+                case "--scenes" -> chosen = scenes(value(option, rest));
                 default -> throw new IllegalArgumentException("unknown option " + option + "; " + USAGE);
             }
         }
-        List<SceneName> scenes = only != null ? only : quick ? QUICK_SCENES : SceneScript.allScenes();
-        return new ScaleOptions(quick, mechanisms, brokers, real, perProcess, sockets, twin, scenes);
+        List<SceneName> scenes = chosen != null ? chosen : quick ? QUICK_SCENES : SceneScript.allScenes();
+        return new ScaleOptions(quick, mechanisms, brokers, real, perProcess, sockets, simulation, scenes);
     }
 
     private static String value(String option, List<String> rest) {
--- a/src/test/java/dockshed/scale/SceneName.java
+++ b/src/test/java/dockshed/scale/SceneName.java
@@ -14,7 +14,7 @@
     CHANGES,
     /** Sixty-two announced restarts, one after another. */
     RESTARTS,
-    /** Two brokers halt for five seconds at the same time: a hollow one, and a real one if the run has enough. */
+    /** Two brokers halt for five seconds at the same time: a hollow one, and a real one if the run has five or more. */
     PAUSE,
     /** All brokers of a zone are killed at the same time, and started again. */
     ZONE,
--- a/src/test/java/dockshed/scale/SimulatedFleet.java
+++ b/src/test/java/dockshed/scale/SimulatedFleet.java
@@ -9,10 +9,10 @@
 
 /** A fleet of the brokers' control code on a simulated network and clock; the same seed gives the same run. */
 final class SimulatedFleet implements ScaleFleet {
-    /** A fleet host publishes its snapshot as often. */
+    /** The interval at which a fleet host publishes its snapshot. */
     private static final long OBSERVE_INTERVAL_MILLIS = 100;
 
-    /** {@link HollowProcess} offers load samples as often. */
+    /** The interval at which {@link HollowProcess} offers load samples. */
     private static final long LOAD_SAMPLE_INTERVAL_MILLIS = 250;
 
     private final FleetLayout layout;
--- a/src/test/java/dockshed/scale/SimulationComparison.java
+++ b/src/test/java/dockshed/scale/SimulationComparison.java
@@ -14,7 +14,8 @@
  * @param pairs        number of delays compared
  * @param rSquared     share of the variance of the delays on sockets that a line through the simulated ones explains; NaN
  *                     if there are fewer than {@link LinearFit#MIN_POINTS} pairs
- * @param delayError   median relative error of the simulated delays; NaN if there are none
+ * @param delayError   median relative error of the simulated delays, of those that are 0.2 s or longer on sockets; NaN if
+ *                     there are none
  * @param bytesError   largest relative error of the simulated bytes per second, over the scenes of a fixed length
  * @param onlyOneEnded number of delays that are finite in one of the two and infinite in the other
  */
@@ -33,8 +34,8 @@
     /** Scenes of a fixed length in which no processes start, so that their traffic can be compared. */
     private static final Set<SceneName> SCENES_WITH_COMPARED_BYTES =
             EnumSet.of(SceneName.STEADY, SceneName.LOSS_1, SceneName.LOSS_20);
-    /** Shorter delays are not compared: they are dominated by the sampling interval. */
-    private static final double MIN_COMPARED_SECONDS = 0.2;
+    /** Shorter delays do not count in the median error, as the sampling interval dominates them. */
+    private static final double MIN_DELAY_FOR_ERROR_SECONDS = 0.2;
 
     /** Compares the scenes that both played. */
     static SimulationComparison of(List<SceneResult> sockets, List<SceneResult> simulated) {
@@ -83,7 +84,7 @@
 
     private static double medianError(List<double[]> delays) {
         double[] errors = delays.stream()
-                .filter(pair -> pair[0] >= MIN_COMPARED_SECONDS)
+                .filter(pair -> pair[0] >= MIN_DELAY_FOR_ERROR_SECONDS)
                 .mapToDouble(pair -> relativeError(pair[0], pair[1]))
                 .sorted()
                 .toArray();
