--- a/src/test/java/dockshed/capacity/CapacityCells.java
+++ b/src/test/java/dockshed/capacity/CapacityCells.java
@@ -4,19 +4,21 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** The computed cells of a row, by column, as the page has to write them. */
+/** Computes the cells of the page's rows. */
 final class CapacityCells {
+    /** The basis of a figure computed from targets, constants and measurements only. */
     static final String WORKED_OUT = "worked out";
+    /** The basis of a figure whose computation includes a guess. */
     static final String ON_A_GUESS = "on a guess";
 
     /**
      * One computed cell.
      *
-     * @param text as the page writer writes it
-     * @param number what the text stands for; empty where it must stand word for word
+     * @param text the text that {@link CapacityPageWriter} writes
+     * @param number the number that the text represents; empty if the page must have exactly this text
      */
     record Cell(String text, OptionalDouble number) {
-        /** Whether the page's text says the same. */
+        /** Whether the text on the page represents the same number, or is the same text. */
         boolean agrees(String written) {
             return number.isPresent() ? Figure.agrees(written, number.getAsDouble()) : written.equals(text);
         }
@@ -28,7 +30,7 @@
         this.model = model;
     }
 
-    /** The cells of a row that are computed; none for targets, constants and guesses. */
+    /** The computed cells of a row, by column; none for targets, constants and guesses. */
     Map<String, Cell> of(CapacityRow row) {
         Map<String, Cell> cells = new LinkedHashMap<>();
         if (row instanceof CapacityRow.Measured) {
@@ -43,14 +45,14 @@
 
     private static void addMeasured(Map<String, Cell> cells, Resolved resolved) {
         cells.put(CapacityRows.VALUE, value(resolved));
-        cells.put(CapacityRows.MARGIN, brief(resolved.margin()));
+        cells.put(CapacityRows.MARGIN, twoDigits(resolved.margin()));
         cells.put(CapacityRows.R_SQUARED, figure(resolved.rSquared(), CapacityRows.EMPTY));
     }
 
     private void addDerived(Map<String, Cell> cells, CapacityRow.Derived row) {
         Resolved resolved = model.resolve(row);
         cells.put(CapacityRows.VALUE, value(resolved));
-        cells.put(CapacityRows.MARGIN, brief(resolved.margin()));
+        cells.put(CapacityRows.MARGIN, twoDigits(resolved.margin()));
         cells.put(CapacityRows.REMAINS, remains(row, resolved));
         cells.put(CapacityRows.BASIS, basis(resolved.onGuess() || budgetIsOnGuess(row)));
     }
@@ -65,26 +67,26 @@
             cells.put(CapacityRows.VALUE, value(resolved));
             cells.put(CapacityRows.BASIS, basis(resolved.onGuess()));
         } else {
-            cells.put(CapacityRows.VALUE, words("no mechanism"));
-            cells.put(CapacityRows.BASIS, words(CapacityRows.EMPTY));
+            cells.put(CapacityRows.VALUE, text("no mechanism"));
+            cells.put(CapacityRows.BASIS, text(CapacityRows.EMPTY));
         }
     }
 
-    /** The budget divided by the value: above 1 there is room, below 1 it is missed. */
+    /** The budget divided by the value: above 1 the budget is kept, below 1 it is exceeded. */
     private Cell remains(CapacityRow.Derived row, Resolved resolved) {
         if (row.budget().isEmpty()) {
-            return words(CapacityRows.EMPTY);
+            return text(CapacityRows.EMPTY);
         }
         Resolved budget = model.evaluate(row, row.budget().orElseThrow());
         if (!budget.isMeasured() || !resolved.isMeasured()) {
-            return words(Figure.NOT_MEASURED);
+            return text(Figure.NOT_MEASURED);
         }
-        return brief(OptionalDouble.of(
+        return twoDigits(OptionalDouble.of(
                 budget.value().getAsDouble() / resolved.value().getAsDouble()));
     }
 
     private static Cell basis(boolean onGuess) {
-        return words(onGuess ? ON_A_GUESS : WORKED_OUT);
+        return text(onGuess ? ON_A_GUESS : WORKED_OUT);
     }
 
     private static Cell value(Resolved resolved) {
@@ -92,16 +94,16 @@
     }
 
     private static Cell figure(OptionalDouble number, String otherwise) {
-        return number.isPresent() ? new Cell(Figure.format(number.getAsDouble()), number) : words(otherwise);
+        return number.isPresent() ? new Cell(Figure.format(number.getAsDouble()), number) : text(otherwise);
     }
 
-    private static Cell brief(OptionalDouble number) {
+    private static Cell twoDigits(OptionalDouble number) {
         return number.isPresent()
                 ? new Cell(Figure.formatBriefly(number.getAsDouble()), number)
-                : words(CapacityRows.EMPTY);
+                : text(CapacityRows.EMPTY);
     }
 
-    private static Cell words(String text) {
+    private static Cell text(String text) {
         return new Cell(text, OptionalDouble.empty());
     }
 }
--- a/src/test/java/dockshed/capacity/ClientConnection.java
+++ b/src/test/java/dockshed/capacity/ClientConnection.java
@@ -8,34 +8,36 @@
 import io.netty.channel.ChannelHandlerContext;
 import java.net.InetSocketAddress;
 
-/** A client's connection, RTSP or HTTP: writes requests, hands on whole messages and its end. */
+/** A client connection for RTSP or HTTP: writes requests, and passes received messages and its end to a listener. */
 final class ClientConnection extends ByteHandler {
 
-    /** What the client hears, on its loop's thread. */
+    /** Receives the events of connections, on their event loop's thread. */
     interface Listener {
-        void up(ClientConnection connection);
+        /** The connection is open. */
+        void connected(ClientConnection connection);
 
+        /** A whole message was received. */
         void message(ClientConnection connection, HttpStyleMessage message);
 
-        /** It could not be opened, or was closed by either side. */
+        /** The connection could not be opened, or was closed by either side. */
         void closed(ClientConnection connection);
     }
 
-    private static final int MESSAGE_LIMIT = 1 << 16;
-    private static final int CONNECT_MILLIS = 10_000;
+    private static final int MAX_MESSAGE_BYTES = 1 << 16;
+    private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
 
     private final Listener listener;
-    private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MESSAGE_LIMIT);
+    private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_MESSAGE_BYTES);
     private Channel channel;
 
     private ClientConnection(Listener listener) {
         this.listener = listener;
     }
 
-    /** Begins to connect. */
+    /** Starts to connect; the listener is notified of the result. */
     static ClientConnection open(Net net, InetSocketAddress to, Listener listener) {
         ClientConnection connection = new ClientConnection(listener);
-        net.whenDone(net.connect(to, CONNECT_MILLIS, () -> connection), done -> {
+        net.whenDone(net.connect(to, CONNECT_TIMEOUT_MILLIS, () -> connection), done -> {
             if (!done.isSuccess()) {
                 listener.closed(connection);
             }
@@ -43,10 +45,12 @@
         return connection;
     }
 
+    /** Writes a request; only while connected. */
     void write(byte[] request) {
         channel.writeAndFlush(Net.toByteBuf(request));
     }
 
+    /** Closes the connection; nothing if it has not been opened. */
     void close() {
         if (channel != null) {
             channel.close();
@@ -56,7 +60,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        listener.up(this);
+        listener.connected(this);
     }
 
     @Override
--- a/src/test/java/dockshed/capacity/ControlCapacity.java
+++ b/src/test/java/dockshed/capacity/ControlCapacity.java
@@ -13,8 +13,9 @@
 import java.util.OptionalDouble;
 
 /**
- * What control traffic costs and how late its news is, by brokers, lost datagrams, changes a minute and entries; run by
- * {@code bench/control.sh}. Writes the raw figures and prints lines fitted through each series.
+ * Measures the cost of control traffic and the delay of what it carries, by number of brokers, share of lost datagrams,
+ * changes per minute and entries per broker. Writes the raw figures and prints lines fitted to each series. Run by {@code
+ * bench/control.sh}.
  */
 public final class ControlCapacity {
     static final List<String> COLUMNS = List.of(
@@ -48,24 +49,30 @@
             "false_deaths",
             "basis");
 
-    /** In place of a delay that was not reached within its limit, or of a figure that was not taken. */
+    /** The cell of a delay that did not end within its time limit, or of a figure that was not measured. */
     static final String NONE = "none";
 
-    private static final double USUAL_LOSS = 0.01;
-    /** The wanted 460 changes a day. */
-    private static final double USUAL_CHANGES = 460.0 / (24 * 60);
+    private static final double USUAL_LOSS_SHARE = 0.01;
+    /** The target rate of 460 changes a day. */
+    private static final double USUAL_CHANGES_PER_MINUTE = 460.0 / (24 * 60);
 
-    /** Of a fleet that is run first, for the compiler. */
+    /** Size of a fleet that is simulated first, so that the JIT compiler has compiled the code. */
     private static final int WARM_UP_BROKERS = 25;
 
     private static final long FIRST_SEED = 11;
 
     private ControlCapacity() {}
 
-    /** One series of scenarios by name, smallest first. */
-    record Series(String name, String x, List<ControlScenario> scenarios) {}
+    /**
+     * A series of scenarios that differ in one size.
+     *
+     * @param name the series in the file and on the command line
+     * @param xColumn the column of the size
+     * @param scenarios the scenarios, smallest first
+     */
+    record Series(String name, String xColumn, List<ControlScenario> scenarios) {}
 
-    /** Arguments: {@code [--quick] [--append] [SERIES[:SIZE]]...}. */
+    /** Runs the benchmark. Arguments: {@code [--quick] [--append] [SERIES[:BROKERS]]...}; without a series, runs all. */
     public static void main(String[] args) throws IOException {
         List<String> words = new ArrayList<>(Arrays.asList(args));
         List<String> wanted =
@@ -77,7 +84,7 @@
         long seed = FIRST_SEED + results.run() - 1;
         List<Series> all = arguments.quick() ? quickSeries(seed) : series(seed);
         ControlDurations durations = arguments.quick() ? ControlDurations.QUICK : ControlDurations.FULL;
-        ControlMeasurement.of(scenario(WARM_UP_BROKERS, USUAL_LOSS, 1, 0, seed), durations);
+        ControlMeasurement.of(scenario(WARM_UP_BROKERS, USUAL_LOSS_SHARE, 1, 0, seed), durations);
         for (Series series : all) {
             for (ControlScenario scenario : series.scenarios()) {
                 if (isWanted(series.name(), scenario.brokers(), wanted)) {
@@ -94,6 +101,7 @@
         return wanted.isEmpty() || wanted.contains(series) || wanted.contains(series + ":" + brokers);
     }
 
+    /** The series of a full run. */
     static List<Series> series(long seed) {
         List<Series> all = new ArrayList<>();
         all.add(byBrokers(seed, 5, 25, 100, 255, 510, 1020));
@@ -107,6 +115,7 @@
         return all;
     }
 
+    /** The series of a quick run, with smaller fleets. */
     static List<Series> quickSeries(long seed) {
         return List.of(
                 byBrokers(seed, 5, 10, 20, 30),
@@ -121,7 +130,7 @@
                 "brokers",
                 "brokers",
                 Arrays.stream(sizes)
-                        .mapToObj(brokers -> scenario(brokers, USUAL_LOSS, 1, 0, seed))
+                        .mapToObj(brokers -> scenario(brokers, USUAL_LOSS_SHARE, 1, 0, seed))
                         .toList());
     }
 
@@ -131,7 +140,7 @@
                 "brokers",
                 Arrays.stream(sizes)
                         .mapToObj(brokers -> new ControlScenario(
-                                ControlMechanism.ZONED, brokers, USUAL_LOSS, USUAL_CHANGES, 0, seed))
+                                ControlMechanism.ZONED, brokers, USUAL_LOSS_SHARE, USUAL_CHANGES_PER_MINUTE, 0, seed))
                         .toList());
     }
 
@@ -149,7 +158,7 @@
                 "changes_at_" + brokers,
                 "changes_per_minute",
                 Arrays.stream(timesUsual)
-                        .mapToObj(times -> scenario(brokers, USUAL_LOSS, times, 0, seed))
+                        .mapToObj(times -> scenario(brokers, USUAL_LOSS_SHARE, times, 0, seed))
                         .toList());
     }
 
@@ -158,15 +167,16 @@
                 "entries_at_" + brokers,
                 "entries_held",
                 Arrays.stream(entries)
-                        .mapToObj(count -> scenario(brokers, USUAL_LOSS, 1, count, seed))
+                        .mapToObj(count -> scenario(brokers, USUAL_LOSS_SHARE, 1, count, seed))
                         .toList());
     }
 
     private static ControlScenario scenario(int brokers, double loss, double timesUsual, int entries, long seed) {
         return new ControlScenario(
-                ControlMechanism.FULL_MESH, brokers, loss, timesUsual * USUAL_CHANGES, entries, seed);
+                ControlMechanism.FULL_MESH, brokers, loss, timesUsual * USUAL_CHANGES_PER_MINUTE, entries, seed);
     }
 
+    /** The cells of a row, in the order of {@link #COLUMNS} but without the run. */
     static Object[] cells(String series, ControlScenario scenario, ControlFigures figures) {
         return new Object[] {
             series,
@@ -221,9 +231,9 @@
                 "report_99_median_s",
                 "failure_known_s")) {
             CapacityCsv reached = rows.whereNot(column, NONE);
-            if (reached.rows().size() >= LinearFit.LEAST_POINTS) {
-                System.out.println("fit " + column + " by " + series.x() + " in " + series.name() + ": "
-                        + reached.fit(series.x(), column));
+            if (reached.rows().size() >= LinearFit.MIN_POINTS) {
+                System.out.println("fit " + column + " by " + series.xColumn() + " in " + series.name() + ": "
+                        + reached.fit(series.xColumn(), column));
             }
         }
     }
--- a/src/test/java/dockshed/capacity/NotedViewers.java
+++ b/src/test/java/dockshed/capacity/NotifiedViewers.java
@@ -11,31 +11,35 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 
-/** RTSP viewers with some sessions on each connection, who wait for the note that a session is over. */
-final class NotedViewers implements AutoCloseable {
+/** RTSP viewers with several sessions on each connection, which wait for the broker's TEARDOWN at the end of a session. */
+final class NotifiedViewers implements AutoCloseable {
 
-    /** Set-ups that wait for an answer on one connection at a time. */
-    private static final int OPEN_SET_UPS = 4;
+    /** Set-ups that may be unanswered on one connection. */
+    private static final int MAX_OPEN_SETUPS_PER_CONNECTION = 4;
 
-    private static final int AGAIN_MILLIS = 200;
+    private static final int DEFAULT_RETRY_DELAY_MILLIS = 200;
 
     private final Net net = new Net("noted viewers");
     private final InetSocketAddress broker;
-    private final Map<String, Integer> deliveries = new HashMap<>(); // of the loop's thread
+    private final Map<String, Integer> deliveries = new HashMap<>(); // by session; used on the loop's thread only
     private final AtomicInteger refused = new AtomicInteger();
-    private int named;
+    private int namesUsed;
     private volatile OpenLoop load;
 
-    NotedViewers(InetSocketAddress broker) {
+    NotifiedViewers(InetSocketAddress broker) {
         this.broker = broker;
     }
 
-    /** Sets sessions up for a load, one for each delivery; null if they were not all set up in time. */
-    List<String> setUp(OpenLoop current, int connections, long seconds) throws InterruptedException {
-        load = current;
-        int first = named;
-        named += current.count();
-        List<String> names = IntStream.range(first, named)
+    /**
+     * Sets up one session for each delivery of a load.
+     *
+     * @return the sessions' names by number of delivery; null if not all were set up within the time limit
+     */
+    List<String> setUp(OpenLoop newLoad, int connections, long seconds) throws InterruptedException {
+        load = newLoad;
+        int first = namesUsed;
+        namesUsed += newLoad.count();
+        List<String> names = IntStream.range(first, namesUsed)
                 .mapToObj(number -> String.format("%016x", number + 1))
                 .toList();
         CountDownLatch ready = new CountDownLatch(names.size());
@@ -45,15 +49,15 @@
             }
             return null;
         });
-        int each = (names.size() + connections - 1) / connections;
-        for (int from = 0; from < names.size(); from += each) {
-            Viewer viewer = new Viewer(names.subList(from, Math.min(names.size(), from + each)), ready);
+        int perConnection = (names.size() + connections - 1) / connections;
+        for (int from = 0; from < names.size(); from += perConnection) {
+            Viewer viewer = new Viewer(names.subList(from, Math.min(names.size(), from + perConnection)), ready);
             ClientConnection.open(net, broker, viewer);
         }
         return ready.await(seconds, TimeUnit.SECONDS) ? names : null;
     }
 
-    /** Set-ups that were refused and asked for again. */
+    /** Number of refusals so far; a refused set-up is repeated. */
     int refused() {
         return refused.get();
     }
@@ -66,23 +70,23 @@
     private final class Viewer implements ClientConnection.Listener {
         private final List<String> sessions;
         private final CountDownLatch ready;
-        private int asked;
+        private int setupsSent;
 
         Viewer(List<String> sessions, CountDownLatch ready) {
             this.sessions = sessions;
             this.ready = ready;
         }
 
-        private void ask(ClientConnection to) {
-            if (asked < sessions.size()) {
-                to.write(RtspRequests.setUp(sessions.get(asked++)));
+        private void sendNextSetup(ClientConnection to) {
+            if (setupsSent < sessions.size()) {
+                to.write(RtspRequests.setup(sessions.get(setupsSent++)));
             }
         }
 
         @Override
-        public void up(ClientConnection to) {
-            for (int first = 0; first < OPEN_SET_UPS; first++) {
-                ask(to);
+        public void connected(ClientConnection to) {
+            for (int setup = 0; setup < MAX_OPEN_SETUPS_PER_CONNECTION; setup++) {
+                sendNextSetup(to);
             }
         }
 
@@ -94,14 +98,15 @@
                 if (delivery != null) {
                     load.delivered(delivery);
                 }
-                from.write(RtspRequests.heard(session));
+                from.write(RtspRequests.teardownAnswer(session));
             } else if (message.status() == 200) {
                 ready.countDown();
-                ask(from);
+                sendNextSetup(from);
             } else if (message.status() > 0) {
                 refused.incrementAndGet();
-                long wait = Long.parseLong(message.header("p-back-off", Integer.toString(AGAIN_MILLIS)));
-                net.loop().schedule(() -> from.write(RtspRequests.setUp(session)), wait, TimeUnit.MILLISECONDS);
+                long delayMillis =
+                        Long.parseLong(message.header("p-back-off", Integer.toString(DEFAULT_RETRY_DELAY_MILLIS)));
+                net.loop().schedule(() -> from.write(RtspRequests.setup(session)), delayMillis, TimeUnit.MILLISECONDS);
             }
         }
 
--- a/src/test/java/dockshed/capacity/StandInEdgeServers.java
+++ b/src/test/java/dockshed/capacity/StandInEdgeServers.java
@@ -17,16 +17,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Edge servers on loopback that accept every set-up at once, report their load each second, and end a session when
- * they are told to.
+ * Stand-ins for edge servers on loopback: they accept every set-up at once, report the load of their link every second, and
+ * end a session on demand.
  */
 final class StandInEdgeServers implements AutoCloseable {
 
     private static final String DESCRIPTION = "v=0\\r\\n";
-    private static final int CAUSE_OVER = 16;
-    private static final int REPORT_MILLIS = 1000;
-    /** The share of its link that each reports: far from full. */
-    private static final String LOAD = "0.05";
+    /** The cause in a release that says that the session has played to its end. */
+    private static final int CAUSE_PLAYED_TO_END = 16;
+
+    private static final int REPORT_INTERVAL_MILLIS = 1000;
+    /** The load that each server reports for its link, as a share: far from full. */
+    private static final String REPORTED_LINK_SHARE = "0.05";
 
     private final Net net = new Net("edge servers");
     private final List<EdgeServer> servers = new ArrayList<>();
@@ -36,19 +38,22 @@
         for (int number = 0; number < count; number++) {
             servers.add(new EdgeServer());
         }
-        net.loop().scheduleAtFixedRate(this::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
+        net.loop()
+                .scheduleAtFixedRate(
+                        this::report, REPORT_INTERVAL_MILLIS, REPORT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
+    /** The servers' addresses. */
     List<InetSocketAddress> addresses() {
         return servers.stream().map(server -> server.address).toList();
     }
 
-    /** Sessions that play. */
+    /** Number of playing sessions. */
     int playing() {
         return playing.size();
     }
 
-    /** Tells the broker that a session has played to its end; false if no such session plays. */
+    /** Notifies the broker that a session has played to its end; false if no such session plays. */
     boolean end(String session) {
         EdgeServer server = playing.remove(session);
         if (server == null) {
@@ -56,7 +61,7 @@
         }
         net.loop()
                 .execute(() -> server.write("{\"type\":\"release\",\"id\":\"" + session + "\",\"fields\":{},\"cause\":"
-                        + CAUSE_OVER + "}"));
+                        + CAUSE_PLAYED_TO_END + "}"));
         return true;
     }
 
@@ -69,11 +74,11 @@
         servers.forEach(EdgeServer::report);
     }
 
-    /** One edge server; but for its address all of it belongs to the loop's thread. */
+    /** One edge server; all of it except its address is used on the event loop's thread only. */
     private final class EdgeServer {
         private final InetSocketAddress address;
-        private final List<Channel> lines = new ArrayList<>();
-        private String latest; // the session set up last; null: none yet
+        private final List<Channel> connections = new ArrayList<>();
+        private String latestSession; // the session set up last; null if there is none
 
         EdgeServer() {
             address = (InetSocketAddress)
@@ -83,10 +88,10 @@
                             .localAddress();
         }
 
-        /** Writes on the newest connection that the broker has open; without one nothing can be told. */
+        /** Writes to the broker's newest open connection; drops the message if there is none. */
         void write(String message) {
-            if (!lines.isEmpty()) {
-                write(lines.get(lines.size() - 1), message);
+            if (!connections.isEmpty()) {
+                write(connections.get(connections.size() - 1), message);
             }
         }
 
@@ -94,10 +99,11 @@
             channel.writeAndFlush(Net.toByteBuf((message + "\n").getBytes(StandardCharsets.UTF_8)));
         }
 
+        /** Reports the load in a note of the newest session, if there is one. */
         void report() {
-            if (latest != null) {
-                write("{\"type\":\"note\",\"id\":\"" + latest + "\",\"fields\":{\"note\":\"local\",\"value\":\"" + LOAD
-                        + "\"}}");
+            if (latestSession != null) {
+                write("{\"type\":\"note\",\"id\":\"" + latestSession + "\",\"fields\":{\"note\":\"local\",\"value\":\""
+                        + REPORTED_LINK_SHARE + "\"}}");
             }
         }
 
@@ -106,23 +112,23 @@
             switch (message.get("type").getAsString()) {
                 case "setup" -> {
                     playing.put(session, this);
-                    latest = session;
+                    latestSession = session;
                     write(
                             channel,
                             "{\"type\":\"answer\",\"id\":\"" + session + "\",\"fields\":{},\"sdp\":\"" + DESCRIPTION
                                     + "\"}");
                 }
-                case "release" -> playing.remove(session, this); // it may play at another by now
+                case "release" -> playing.remove(session, this); // not if another server has taken the session over
                 case "ping" ->
                     write(channel, "{\"type\":\"pong\",\"id\":\"" + session + "\",\"fields\":{},\"cause\":1}");
-                default -> {} // ratings mean nothing here
+                default -> {} // other messages, such as ratings, need no answer
             }
         }
     }
 
     private static final class Connection extends ByteHandler {
         private final EdgeServer server;
-        private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+        private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
         Connection(EdgeServer server) {
             this.server = server;
@@ -130,25 +136,25 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            server.lines.add(ctx.channel());
+            server.connections.add(ctx.channel());
         }
 
         @Override
         protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
-            for (byte b : bytes) {
-                if (b != '\n') {
-                    line.write(b);
+            for (byte next : bytes) {
+                if (next != '\n') {
+                    partialLine.write(next);
                     continue;
                 }
-                String text = line.toString(StandardCharsets.UTF_8);
-                line.reset();
+                String text = partialLine.toString(StandardCharsets.UTF_8);
+                partialLine.reset();
                 server.message(ctx.channel(), JsonParser.parseString(text).getAsJsonObject());
             }
         }
 
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
-            server.lines.remove(ctx.channel());
+            server.connections.remove(ctx.channel());
         }
     }
 }
--- a/src/test/java/dockshed/capacity/StandInPlaylistServers.java
+++ b/src/test/java/dockshed/capacity/StandInPlaylistServers.java
@@ -12,11 +12,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Edge servers on loopback that answer each GET at once: a multivariant playlist, or a live media playlist. */
+/** Stand-ins for HLS edge servers on loopback: they answer each GET at once with a multivariant or a live media playlist. */
 final class StandInPlaylistServers implements AutoCloseable {
 
-    private static final int REQUEST_LIMIT = 1 << 16;
-    private static final int SEGMENTS = 6;
+    private static final int MAX_REQUEST_BYTES = 1 << 16;
+    private static final int SEGMENTS_PER_PLAYLIST = 6;
     private static final String MULTIVARIANT = """
             #EXTM3U
             #EXT-X-STREAM-INF:BANDWIDTH=2040000
@@ -41,6 +41,7 @@
         }
     }
 
+    /** The servers' addresses. */
     List<InetSocketAddress> addresses() {
         return addresses;
     }
@@ -50,11 +51,11 @@
         net.close();
     }
 
-    /** A live window of a few segments: no end tag, so a player fetches it again and again. */
+    /** A live media playlist: without an end tag, so that a player keeps fetching it. */
     static String livePlaylist() {
         StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:2\n");
         text.append("#EXT-X-MEDIA-SEQUENCE:4711\n");
-        for (int segment = 0; segment < SEGMENTS; segment++) {
+        for (int segment = 0; segment < SEGMENTS_PER_PLAYLIST; segment++) {
             text.append("#EXTINF:2.000,\nsegment-").append(4711 + segment).append(".ts\n");
         }
         return text.toString();
@@ -67,7 +68,7 @@
     }
 
     private final class Connection extends ByteHandler {
-        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(REQUEST_LIMIT);
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_REQUEST_BYTES);
 
         @Override
         protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
--- a/src/test/java/dockshed/scale/FaultyPeers.java
+++ b/src/test/java/dockshed/scale/FaultyPeers.java
@@ -9,11 +9,11 @@
 import java.util.function.Supplier;
 
 /**
- * Counts a hollow broker's datagrams and lets the faults of its links act on them: on those that it sends, and on those
- * that it receives from real brokers, which have no such layer of their own.
+ * Counts a hollow broker's datagrams and applies the injected faults to its links: to every datagram it sends, and to those
+ * it receives from real brokers, which have no fault layer of their own.
  */
 final class FaultyPeers implements DatagramPeers {
-    /** Counts over all lives of a broker. */
+    /** Payload bytes of a broker, its restarts included. */
     static final class Counts {
         final AtomicLong bytesSent = new AtomicLong();
         final AtomicLong bytesReceived = new AtomicLong();
@@ -25,8 +25,16 @@
     private final Supplier<LinkFaults> faults;
     private final Counts counts;
     private final SplittableRandom random;
-    private volatile boolean dead;
+    private volatile boolean stopped;
 
+    /**
+     * @param me     the broker's number
+     * @param peers  the sockets
+     * @param real   numbers of the fleet's real brokers
+     * @param faults the faults in force now
+     * @param counts counters that outlive this object
+     * @param seed   seed of the random losses
+     */
     FaultyPeers(int me, DatagramPeers peers, BitSet real, Supplier<LinkFaults> faults, Counts counts, long seed) {
         this.me = me;
         this.peers = peers;
@@ -36,15 +44,15 @@
         random = new SplittableRandom(seed);
     }
 
-    /** From now on nothing goes out or comes in, though the loop may turn a little longer. */
-    void die() {
-        dead = true;
+    /** Drops all datagrams from now on, although the event loop may run a little longer. */
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void listen(Net net, InetSocketAddress at, Receiver receiver) {
         peers.listen(net, at, (from, message) -> {
-            if (dead || real.get(from) && faults.get().drops(from, me, random.nextDouble())) {
+            if (stopped || real.get(from) && faults.get().drops(from, me, random.nextDouble())) {
                 return;
             }
             counts.bytesReceived.addAndGet(message.length);
@@ -54,7 +62,7 @@
 
     @Override
     public void send(int to, byte[] message) {
-        if (dead) {
+        if (stopped) {
             return;
         }
         counts.bytesSent.addAndGet(message.length);
--- a/src/test/java/dockshed/scale/FleetRecorder.java
+++ b/src/test/java/dockshed/scale/FleetRecorder.java
@@ -9,42 +9,46 @@
 import java.util.Set;
 
 /**
- * Whom each broker lists, since when, and which changes it knows: put together from what was observed and held against
- * what the script did. Times are milliseconds of the fleet's clock.
+ * Records which subjects each broker lists as present, since when, and which changes it knows of. Compares the listings
+ * with the outages that the script caused to find false deaths. Times are milliseconds of the fleet's clock; subjects are
+ * numbered as {@link Visibility} describes.
  */
 final class FleetRecorder {
-    /** Whoever is called dead so soon after it was back was not given up anew: an older suspicion ran out. */
-    static final long SETTLING_MILLIS = 5_000;
+    /** A broker declared dead this soon after it returned counts as late, not false: an earlier suspicion timed out. */
+    static final long SETTLING_TIME_MILLIS = 5_000;
 
     private final Visibility visibility;
     private final BitSet running = new BitSet();
     private final BitSet[] listed;
-    private final long[][] changedAt; // [observer][subject]: when it was last listed or listed no more
+    private final long[][] changedAt; // [observer][subject]: when the listing last changed
     private final long[] startedAt;
     private final Outages outages = new Outages();
-    private final Set<Integer> falselyDead = new HashSet<>();
-    private final Set<Integer> falselyLostScopes = new HashSet<>();
-    private final Set<Integer> latelyDead = new HashSet<>();
+    private final Set<Integer> falseDeaths = new HashSet<>();
+    private final Set<Integer> falseScopeLosses = new HashSet<>();
+    private final Set<Integer> lateDeaths = new HashSet<>();
     private final Map<Integer, Map<Integer, Long>> knownAt = new HashMap<>(); // by change, then observer
 
     FleetRecorder(Visibility visibility, int brokers) {
         this.visibility = visibility;
         listed = new BitSet[brokers];
-        changedAt = new long[brokers][visibility.subjects()];
+        changedAt = new long[brokers][visibility.subjectCount()];
         startedAt = new long[brokers];
-        for (int i = 0; i < brokers; i++) {
-            listed[i] = new BitSet();
+        for (int broker = 0; broker < brokers; broker++) {
+            listed[broker] = new BitSet();
         }
     }
 
+    /** The outages that the script has caused so far. */
     Outages outages() {
         return outages;
     }
 
+    /** The brokers that the script has running, as a copy. */
     BitSet running() {
         return (BitSet) running.clone();
     }
 
+    /** The script starts brokers; observations from before this time no longer count for them. */
     void started(BitSet brokers, long atMillis) {
         brokers.stream().forEach(broker -> {
             running.set(broker);
@@ -54,6 +58,7 @@
         });
     }
 
+    /** The script stops brokers. */
     void stopped(BitSet brokers, long atMillis) {
         brokers.stream().forEach(broker -> {
             running.clear(broker);
@@ -61,24 +66,26 @@
         });
     }
 
-    void take(Observations observations) {
+    /** Applies observations in the order of their times. */
+    void record(Observations observations) {
         List<MembershipChange> ordered = new ArrayList<>(observations.membership());
-        ordered.sort((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
-        ordered.forEach(this::take);
-        for (ChangeSeen seen : observations.changes()) {
-            knownAt.computeIfAbsent(seen.change(), x -> new HashMap<>()).putIfAbsent(seen.observer(), seen.atMillis());
+        ordered.sort((one, other) -> Long.compare(one.atMillis(), other.atMillis()));
+        ordered.forEach(this::record);
+        for (ChangeObservation seen : observations.changes()) {
+            knownAt.computeIfAbsent(seen.change(), change -> new HashMap<>())
+                    .putIfAbsent(seen.observer(), seen.atMillis());
         }
     }
 
-    private void take(MembershipChange change) {
+    private void record(MembershipChange change) {
         int observer = change.observer();
         if (!running.get(observer) || change.atMillis() < startedAt[observer]) {
-            return; // of an earlier life
+            return; // from before the observer stopped or restarted
         }
         BrokerRanges.parse(change.lost()).stream().forEach(subject -> {
             listed[observer].clear(subject);
             changedAt[observer][subject] = change.atMillis();
-            judge(observer, subject, change.atMillis());
+            classifyLoss(observer, subject, change.atMillis());
         });
         BrokerRanges.parse(change.found()).stream().forEach(subject -> {
             listed[observer].set(subject);
@@ -86,42 +93,44 @@
         });
     }
 
-    /** A scope is there as long as one of its brokers is. */
-    private void judge(int observer, int subject, long atMillis) {
+    /** Counts a subject that left a listing as a false or late death; a scope is reachable while one of its brokers is. */
+    private void classifyLoss(int observer, int subject, long atMillis) {
         boolean isScope = visibility.isScope(subject);
-        if (reachable(observer, subject, atMillis - SETTLING_MILLIS, atMillis)) {
-            (isScope ? falselyLostScopes : falselyDead).add(subject);
+        if (reachable(observer, subject, atMillis - SETTLING_TIME_MILLIS, atMillis)) {
+            (isScope ? falseScopeLosses : falseDeaths).add(subject);
         } else if (!isScope && reachable(observer, subject, atMillis, atMillis)) {
-            latelyDead.add(subject);
+            lateDeaths.add(subject);
         }
     }
 
     private boolean reachable(int observer, int subject, long fromMillis, long untilMillis) {
-        return visibility.members(subject).stream()
+        return visibility.brokersOf(subject).stream()
                 .anyMatch(member -> outages.reachable(observer, member, fromMillis, untilMillis));
     }
 
-    /** Brokers called dead falsely since the last time they were asked for. */
-    int takeFalselyDead() {
-        return take(falselyDead);
+    /** Number of brokers that were declared dead while running and reachable, since the last call. */
+    int drainFalseDeaths() {
+        return drain(falseDeaths);
     }
 
-    int takeLatelyDead() {
-        return take(latelyDead);
+    /** Number of brokers that were declared dead soon after their return, since the last call. */
+    int drainLateDeaths() {
+        return drain(lateDeaths);
     }
 
-    int takeFalselyLostScopes() {
-        return take(falselyLostScopes);
+    /** Number of scopes that an observer lost while one of their brokers was reachable, since the last call. */
+    int drainFalseScopeLosses() {
+        return drain(falseScopeLosses);
     }
 
-    private static int take(Set<Integer> subjects) {
+    private static int drain(Set<Integer> subjects) {
         int count = subjects.size();
         subjects.clear();
         return count;
     }
 
-    /** Whether each of some observers lists all, or none, of those subjects that it is to know of. */
-    boolean all(BitSet observers, BitSet subjects, boolean present) {
+    /** Whether each observer lists all ({@code present}) or none of the subjects that it is expected to know of. */
+    boolean listsMatch(BitSet observers, BitSet subjects, boolean present) {
         return observers.stream().allMatch(observer -> {
             BitSet expected = expected(observer, subjects);
             BitSet matching = (BitSet) listed[observer].clone();
@@ -131,13 +140,13 @@
     }
 
     private BitSet expected(int observer, BitSet subjects) {
-        BitSet expected = visibility.watched(observer);
+        BitSet expected = visibility.expectedSubjects(observer);
         expected.and(subjects);
         return expected;
     }
 
-    /** From a time until each of some observers listed each subject, or listed it no more; infinite where it does not yet. */
-    Delays listing(BitSet observers, BitSet subjects, boolean present, long sinceMillis) {
+    /** Delays from a time until each observer listed ({@code present}) or dropped each subject; unfinished if it has not. */
+    Delays listingDelays(BitSet observers, BitSet subjects, boolean present, long sinceMillis) {
         Delays delays = new Delays();
         observers.stream()
                 .forEach(observer -> expected(observer, subjects).stream()
@@ -146,21 +155,21 @@
                             if (listed[observer].get(subject) == present) {
                                 delays.add(Math.max(0, changedAt[observer][subject] - sinceMillis));
                             } else {
-                                delays.addNever();
+                                delays.addUnfinished();
                             }
                         }));
         return delays;
     }
 
-    /** From a time until each of some observers knew a change. */
-    Delays knowing(BitSet observers, int change, long sinceMillis) {
+    /** Delays from a time until each observer knew of a change; unfinished if it does not. */
+    Delays changeDelays(BitSet observers, int change, long sinceMillis) {
         Delays delays = new Delays();
         Map<Integer, Long> known = knownAt.getOrDefault(change, Map.of());
         observers.stream().forEach(observer -> {
             if (known.containsKey(observer)) {
                 delays.add(Math.max(0, known.get(observer) - sinceMillis));
             } else {
-                delays.addNever();
+                delays.addUnfinished();
             }
         });
         return delays;
--- a/src/test/java/dockshed/scale/HollowHandle.java
+++ b/src/test/java/dockshed/scale/HollowProcessClient.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The driver's end of a {@link HollowProcess}: commands go out, and each is answered by one line. */
-final class HollowHandle {
-    private static final long PATIENCE_SECONDS = 60;
-    private static final String HEAP = "-Xmx384m";
-    /** In place of an answer: the process's output has ended. */
-    private static final String ENDED = "failed process has ended";
+/** Starts a {@link HollowProcess} and sends it commands, each of which is answered by one line. */
+final class HollowProcessClient {
+    private static final long ANSWER_TIMEOUT_SECONDS = 60;
+    private static final String HEAP_OPTION = "-Xmx384m";
+    /** Queued as an answer when the process's output has ended. */
+    private static final String END_OF_OUTPUT = "failed process has ended";
 
     private static final Gson GSON = new Gson();
 
@@ -28,14 +28,14 @@
     private final Writer in;
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
 
-    /** Starts a process; its specification and its log are kept in a directory. */
-    HollowHandle(String name, HollowSpec spec, Path directory, ProcessGuard guard) throws IOException {
+    /** Starts a process; writes its specification and its log to {@code directory}. */
+    HollowProcessClient(String name, HollowProcessSpec spec, Path directory, ProcessGuard guard) throws IOException {
         this.name = name;
         Path specFile = Files.writeString(directory.resolve(name + ".json"), GSON.toJson(spec));
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
-                HEAP,
+                HEAP_OPTION,
                 "-Xss512k",
                 "-Djava.net.preferIPv4Stack=true",
                 "-Dorg.slf4j.simpleLogger.defaultLogLevel=error",
@@ -45,31 +45,39 @@
                 HollowProcess.class.getName(),
                 specFile.toString());
         builder.redirectError(directory.resolve(name + ".log").toFile());
-        process = guard.watch(builder.start());
+        process = guard.register(builder.start());
         in = process.outputWriter(StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "answers of " + name);
+        Thread reader = new Thread(this::readAnswers, "answers of " + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readAnswers() {
         try (BufferedReader out =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = out.readLine(); line != null; line = out.readLine()) {
                 answers.add(line);
             }
         } catch (IOException e) {
-            // its end, told below
+            // the process has ended, which is queued below
         }
-        answers.add(ENDED);
+        answers.add(END_OF_OUTPUT);
     }
 
-    /** Waits until the process is ready for commands. */
+    /**
+     * Waits until the process is ready for commands.
+     *
+     * @throws IllegalStateException if it ended, or is not ready within the time limit
+     */
     void awaitReady() {
-        answer("start of the process");
+        awaitAnswer("start of the process");
     }
 
-    /** Sends a command and returns the answer. Throws IllegalStateException where it failed. */
+    /**
+     * Sends a command and returns the answer.
+     *
+     * @throws IllegalStateException if the command failed, the process ended or no answer came in time
+     */
     synchronized String call(String command) {
         try {
             in.write(command + "\n");
@@ -77,16 +85,17 @@
         } catch (IOException e) {
             throw new UncheckedIOException(name + ": " + command, e);
         }
-        return answer(command);
+        return awaitAnswer(command);
     }
 
+    /** Sends a command and reads its answer from JSON. */
     <T> T call(String command, Class<T> type) {
         return GSON.fromJson(call(command), type);
     }
 
-    private String answer(String command) {
+    private String awaitAnswer(String command) {
         try {
-            String answer = answers.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            String answer = answers.poll(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (answer == null || answer.startsWith(HollowProcess.FAILED)) {
                 throw new IllegalStateException(name + ": " + command + ": " + answer);
             }
@@ -97,20 +106,21 @@
         }
     }
 
-    /** Whose brokers get it; those of other processes are passed over there. */
-    static void callAll(List<HollowHandle> handles, String command) {
-        handles.parallelStream().forEach(handle -> handle.call(command));
+    /** Sends a command to all processes; each ignores the brokers that are not its own. */
+    static void callAll(List<HollowProcessClient> clients, String command) {
+        clients.parallelStream().forEach(client -> client.call(command));
     }
 
     Process process() {
         return process;
     }
 
-    /** Ends the process by the end of its input, and waits for it. */
+    /** Closes the process's input, which ends it, and returns its exit status. */
     int end() throws IOException, InterruptedException {
         in.close();
-        if (!process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
-            throw new IllegalStateException(name + " did not end");
+        if (!process.waitFor(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IllegalStateException(
+                    name + " still runs " + ANSWER_TIMEOUT_SECONDS + " s after the end of its input");
         }
         return process.exitValue();
     }
--- a/src/test/java/dockshed/scale/HollowProcessTest.java
+++ b/src/test/java/dockshed/scale/HollowProcessTest.java
@@ -11,11 +11,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of four hollow brokers each: they find one another, notice a death and a change, and end. */
+/**
+ * Two processes of four hollow brokers each. Guards against a benchmark whose brokers do not share state across processes,
+ * whose failures go unnoticed, or which leaves processes behind.
+ */
 class HollowProcessTest {
     private static final int BROKERS = 8;
-    private static final int PER_PROCESS = 4;
-    private static final int CHANGE = SceneScript.FIRST_CHANGE;
+    private static final int BROKERS_PER_PROCESS = 4;
+    private static final int CHANGE = SceneScript.FIRST_CHANGE_NUMBER;
     private static final BitSet KILLED = BrokerRanges.of(5);
 
     @TempDir
@@ -25,14 +28,14 @@
     private final FleetRecorder recorder = new FleetRecorder(Mechanism.FULL_MESH.visibility(layout), BROKERS);
 
     private ProcessFleet fleet() throws Exception {
-        return new ProcessFleet(layout, Mechanism.FULL_MESH, 0, PER_PROCESS, null, directory);
+        return new ProcessFleet(layout, Mechanism.FULL_MESH, 0, BROKERS_PER_PROCESS, null, directory);
     }
 
-    /** Each process answers as soon as it has something to tell. */
+    /** Polls the processes until the condition holds; each answers as soon as it has an observation. */
     private void awaitUntil(ProcessFleet fleet, BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
-            for (HollowHandle handle : fleet.hollowProcesses()) {
-                recorder.take(handle.call("collect 1000", Observations.class));
+            for (HollowProcessClient client : fleet.hollowProcesses()) {
+                recorder.record(client.call("collect 1000", Observations.class));
             }
         }
     }
@@ -40,38 +43,40 @@
     private void startAll(ProcessFleet fleet) {
         recorder.started(layout.all(), fleet.nowMillis());
         fleet.start(layout.all());
-        awaitUntil(fleet, () -> recorder.all(layout.all(), layout.all(), true));
+        awaitUntil(fleet, () -> recorder.listsMatch(layout.all(), layout.all(), true));
     }
 
     @Test
-    @Timeout(120) // only a failure takes so long
-    void brokersOfTwoProcessesFindOneAnotherNoticeADeathAndShareAChange() throws Exception {
+    @Timeout(120) // seconds; reached only by a failure
+    void brokersOfTwoProcessesFindOneAnotherDetectADeathAndShareAChange() throws Exception {
         try (ProcessFleet fleet = fleet()) {
             startAll(fleet);
-            fleet.change(0, CHANGE);
-            awaitUntil(fleet, () -> recorder.knowing(layout.all(), CHANGE, 0).endedShare() == 1);
+            fleet.publishChange(0, CHANGE);
+            awaitUntil(
+                    fleet, () -> recorder.changeDelays(layout.all(), CHANGE, 0).finishedShare() == 1);
             recorder.stopped(KILLED, fleet.nowMillis());
             fleet.kill(KILLED);
             BitSet others = recorder.running();
-            awaitUntil(fleet, () -> recorder.all(others, KILLED, false));
-            assertEquals(0, recorder.takeFalselyDead());
-            assertTrue(fleet.totals().stream().allMatch(each -> each.bytesSent() > 0 && each.bytesReceived() > 0));
-            for (HollowHandle handle : fleet.hollowProcesses()) {
-                assertEquals(0, handle.end());
+            awaitUntil(fleet, () -> recorder.listsMatch(others, KILLED, false));
+            assertEquals(0, recorder.drainFalseDeaths());
+            assertTrue(
+                    fleet.totals().stream().allMatch(broker -> broker.bytesSent() > 0 && broker.bytesReceived() > 0));
+            for (HollowProcessClient client : fleet.hollowProcesses()) {
+                assertEquals(0, client.end());
             }
-            assertEquals(0, fleet.alive());
+            assertEquals(0, fleet.aliveProcesses());
         }
     }
 
     @Test
     @Timeout(120)
-    void aFailureIsToldAndEverythingEnds() throws Exception {
+    void aFailedCommandIsReportedAndAllProcessesEnd() throws Exception {
         ProcessFleet fleet = fleet();
         try (fleet) {
-            HollowHandle handle = fleet.hollowProcesses().get(0);
-            assertThrows(IllegalStateException.class, () -> handle.call("nonsense"));
-            assertEquals(2, fleet.alive());
+            HollowProcessClient client = fleet.hollowProcesses().get(0);
+            assertThrows(IllegalStateException.class, () -> client.call("nonsense"));
+            assertEquals(2, fleet.aliveProcesses());
         }
-        assertEquals(0, fleet.alive());
+        assertEquals(0, fleet.aliveProcesses());
     }
 }
--- a/src/test/java/dockshed/scale/HollowReport.java
+++ /dev/null
@@ -1,6 +0,0 @@
-package dockshed.scale;
-
-import java.util.List;
-
-/** A hollow process's totals: one entry for each of its brokers. */
-record HollowReport(List<BrokerTotals> totals) {}
--- a/src/test/java/dockshed/scale/ProcessFleet.java
+++ b/src/test/java/dockshed/scale/ProcessFleet.java
@@ -10,39 +10,41 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Real and hollow brokers as processes on loopback sockets. */
+/** A fleet of real and hollow brokers, run as processes on loopback sockets. */
 final class ProcessFleet implements ScaleFleet {
     private final FleetLayout layout;
     private final BitSet real;
     private final ProcessGuard guard = new ProcessGuard();
-    private final List<HollowHandle> hollow = new ArrayList<>();
-    private final List<DatagramSocket> heldPorts = new ArrayList<>();
+    private final List<HollowProcessClient> hollowProcesses = new ArrayList<>();
+    private final List<DatagramSocket> reservedPorts = new ArrayList<>();
     private final RealBrokers realBrokers;
     private LinkFaults faults = LinkFaults.NONE;
 
     /**
-     * @param real      how many brokers are real
-     * @param perProcess hollow brokers of a process at most
-     * @param jar       of the program; not read where no broker is real
-     * @param directory for configurations and logs
+     * Starts the hollow processes, but no broker yet.
+     *
+     * @param real       number of real brokers
+     * @param perProcess largest number of hollow brokers in one process
+     * @param jar        the built program; not read if no broker is real
+     * @param directory  where configurations and logs are written
      */
     ProcessFleet(FleetLayout layout, Mechanism mechanism, int real, int perProcess, Path jar, Path directory)
             throws IOException {
         this.layout = layout;
-        this.real = layout.spread(real);
-        int[] ports = takePorts(layout.brokers());
-        List<BitSet> parts = parts(BrokerRanges.minus(layout.all(), this.real), perProcess);
-        HollowSpec spec = null;
-        for (int i = 0; i < parts.size(); i++) {
-            spec = new HollowSpec(
+        this.real = layout.spreadOverZones(real);
+        int[] ports = reservePorts(layout.brokers());
+        List<BitSet> parts = splitOverProcesses(BrokerRanges.minus(layout.all(), this.real), perProcess);
+        HollowProcessSpec spec = null;
+        for (int process = 0; process < parts.size(); process++) {
+            spec = new HollowProcessSpec(
                     mechanism.label(),
-                    BrokerRanges.format(parts.get(i)),
+                    BrokerRanges.format(parts.get(process)),
                     BrokerRanges.format(this.real),
                     ports,
-                    System.nanoTime() + i);
-            hollow.add(new HollowHandle("hollow" + i, spec, directory, guard));
+                    System.nanoTime() + process);
+            hollowProcesses.add(new HollowProcessClient("hollow" + process, spec, directory, guard));
         }
-        hollow.forEach(HollowHandle::awaitReady);
+        hollowProcesses.forEach(HollowProcessClient::awaitReady);
         realBrokers = real == 0
                 ? null
                 : new RealBrokers(
@@ -52,30 +54,30 @@
                         jar,
                         directory,
                         guard,
-                        pid -> hollow.get(0).call("take " + pid));
+                        pid -> hollowProcesses.get(0).call("take " + pid));
     }
 
-    /** Takes a free port for each broker; none of them is given to anybody else until {@link #releasePorts}. */
-    private int[] takePorts(int count) throws IOException {
+    /** Binds a free port for each broker, so that no other process gets it before {@link #releasePorts}. */
+    private int[] reservePorts(int count) throws IOException {
         int[] ports = new int[count];
-        for (int i = 0; i < count; i++) {
+        for (int broker = 0; broker < count; broker++) {
             DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-            heldPorts.add(socket);
-            ports[i] = socket.getLocalPort();
+            reservedPorts.add(socket);
+            ports[broker] = socket.getLocalPort();
         }
         return ports;
     }
 
     private void releasePorts() {
-        heldPorts.forEach(DatagramSocket::close);
-        heldPorts.clear();
+        reservedPorts.forEach(DatagramSocket::close);
+        reservedPorts.clear();
     }
 
-    /** Each part has brokers of all zones, so that no process is a zone. */
-    private static List<BitSet> parts(BitSet brokers, int most) {
-        int count = (brokers.cardinality() + most - 1) / most;
+    /** Assigns brokers round robin, so that each process runs brokers of all zones and none coincides with a zone. */
+    private static List<BitSet> splitOverProcesses(BitSet brokers, int perProcess) {
+        int count = (brokers.cardinality() + perProcess - 1) / perProcess;
         List<BitSet> parts = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
+        for (int process = 0; process < count; process++) {
             parts.add(new BitSet());
         }
         int next = 0;
@@ -105,14 +107,14 @@
         }
     }
 
-    private void call(String command) {
-        HollowHandle.callAll(hollow, command);
+    private void callHollow(String command) {
+        HollowProcessClient.callAll(hollowProcesses, command);
     }
 
     @Override
     public void start(BitSet brokers) {
         releasePorts();
-        call("start " + BrokerRanges.format(brokers));
+        callHollow("start " + BrokerRanges.format(brokers));
         if (realBrokers != null) {
             realBrokers.start(brokers);
         }
@@ -120,7 +122,7 @@
 
     @Override
     public void kill(BitSet brokers) {
-        call("kill " + BrokerRanges.format(brokers));
+        callHollow("kill " + BrokerRanges.format(brokers));
         if (realBrokers != null) {
             realBrokers.kill(brokers);
         }
@@ -128,7 +130,7 @@
 
     @Override
     public void leave(BitSet brokers) {
-        call("leave " + BrokerRanges.format(brokers));
+        callHollow("leave " + BrokerRanges.format(brokers));
         if (realBrokers != null) {
             realBrokers.leave(brokers);
         }
@@ -139,52 +141,52 @@
         if (real.get(broker)) {
             realBrokers.pause(broker, millis);
         } else {
-            call("pause " + broker + " " + millis);
+            callHollow("pause " + broker + " " + millis);
         }
     }
 
     @Override
     public void cut(BitSet from, BitSet to) {
         faults = faults.withCut(from, to);
-        call("cut " + BrokerRanges.format(from) + " " + BrokerRanges.format(to));
-        faultsOfReal();
+        callHollow("cut " + BrokerRanges.format(from) + " " + BrokerRanges.format(to));
+        applyFaultsToRealBrokers();
     }
 
     @Override
-    public void join() {
+    public void heal() {
         faults = faults.withoutCuts();
-        call("join");
-        faultsOfReal();
+        callHollow("join");
+        applyFaultsToRealBrokers();
     }
 
     @Override
-    public void lose(double share) {
+    public void setLoss(double share) {
         faults = faults.withLoss(share);
-        call("loss " + share);
-        faultsOfReal();
+        callHollow("loss " + share);
+        applyFaultsToRealBrokers();
     }
 
-    private void faultsOfReal() {
+    private void applyFaultsToRealBrokers() {
         if (realBrokers != null) {
-            realBrokers.faults(faults);
+            realBrokers.setFaults(faults);
         }
     }
 
     @Override
-    public void change(int broker, int change) {
-        call("change " + broker + " " + change);
+    public void publishChange(int broker, int change) {
+        callHollow("change " + broker + " " + change);
     }
 
     @Override
-    public boolean reportsChanges(int broker) {
+    public boolean observesChanges(int broker) {
         return !real.get(broker);
     }
 
     @Override
     public Observations collect() {
         Observations since = Observations.empty();
-        for (HollowHandle handle : hollow) {
-            since.add(handle.call("collect", Observations.class));
+        for (HollowProcessClient client : hollowProcesses) {
+            since.add(client.call("collect", Observations.class));
         }
         if (realBrokers != null) {
             since.add(realBrokers.collect());
@@ -194,25 +196,25 @@
 
     @Override
     public List<BrokerTotals> totals() {
-        return hollow.parallelStream()
-                .flatMap(handle -> handle.call("totals", HollowReport.class).totals().stream())
+        return hollowProcesses.parallelStream()
+                .flatMap(client -> client.call("totals", HollowProcessTotals.class).totals().stream())
                 .toList();
     }
 
     @Override
     public Ages figureAges() {
-        List<FigureAges> ofProcesses = hollow.parallelStream()
-                .map(handle -> handle.call("ages", FigureAges.class))
+        List<FigureAges> ofProcesses = hollowProcesses.parallelStream()
+                .map(client -> client.call("ages", FigureAges.class))
                 .toList();
         Ages ages = new Ages();
-        ofProcesses.forEach(each -> each.addTo(ages));
+        ofProcesses.forEach(reported -> reported.addTo(ages));
         return ages;
     }
 
     @Override
     public double memoryKb() {
-        return hollow.parallelStream()
-                .mapToDouble(handle -> Double.parseDouble(handle.call("memory")))
+        return hollowProcesses.parallelStream()
+                .mapToDouble(client -> Double.parseDouble(client.call("memory")))
                 .average()
                 .orElse(Double.NaN);
     }
@@ -225,23 +227,23 @@
         return layout.brokers() - real.cardinality();
     }
 
-    /** Processes of brokers, the driver not counted. */
+    /** Number of processes that run brokers; the benchmark's own is not counted. */
     int processes() {
-        return hollow.size() + real.cardinality();
+        return hollowProcesses.size() + real.cardinality();
     }
 
-    /** The real brokers; null where there are none. */
+    /** The real brokers; null if there are none. */
     RealBrokers realBrokers() {
         return realBrokers;
     }
 
-    List<HollowHandle> hollowProcesses() {
-        return hollow;
+    List<HollowProcessClient> hollowProcesses() {
+        return hollowProcesses;
     }
 
-    /** Processes that still run. */
-    long alive() {
-        return guard.alive();
+    /** Number of processes that still run. */
+    long aliveProcesses() {
+        return guard.aliveProcesses();
     }
 
     @Override
--- a/src/test/java/dockshed/scale/ScaleBench.java
+++ b/src/test/java/dockshed/scale/ScaleBench.java
@@ -12,18 +12,19 @@
 import java.util.concurrent.Executors;
 
 /**
- * The scale run: plays the script on processes and sockets, and on the simulated network beside it, for each mechanism;
- * prints each scene's figures, how far both are apart, and the last line. Rows go to a file of the raw figures.
+ * Runs the scale benchmark: for each mechanism, plays the script on processes with sockets and then on the simulated
+ * network. Prints the figures of each scene, the comparison of the two and the {@link SummaryLine}s, and writes the figures
+ * to a CSV file, unless the run is a quick one.
  */
 public final class ScaleBench {
     private static final Path JAR = Path.of("target", "dockshed.jar");
     private static final Path CSV = Path.of("docs", "capacity", "scale.csv");
-    /** Configurations and logs of the processes of the last run. */
+    /** Configurations and logs of the processes; each run replaces those of the one before. */
     private static final Path LOGS = Path.of("target", "scale");
 
-    private static final long TWIN_SEED = 11;
-    /** Simulations beside one another. */
-    private static final int SIMULATIONS = 4;
+    private static final long SIMULATION_SEED = 11;
+    /** Simulations that run at the same time, one thread each. */
+    private static final int PARALLEL_SIMULATIONS = 4;
 
     private final ScaleOptions options;
     private final List<SceneResult> rows = new ArrayList<>();
@@ -32,23 +33,24 @@
         this.options = options;
     }
 
-    private synchronized void result(SceneResult result) {
+    private synchronized void addResult(SceneResult result) {
         rows.add(result);
         System.out.println(result);
     }
 
-    /** The socket run first, undisturbed; the simulation's groups of scenes then, beside one another. */
-    private ScaleLine play(Mechanism mechanism) throws IOException {
+    /** Plays on sockets first, so that nothing else loads the machine, then runs the simulations in parallel. */
+    private SummaryLine play(Mechanism mechanism) throws IOException {
         ScaleRun run = options.sockets()
-                ? onSockets(mechanism)
+                ? playOnSockets(mechanism)
                 : new ScaleRun(mechanism, options.brokers(), 0, 0, 0, List.of());
-        TwinComparison comparison = TwinComparison.of(run.results(), options.twin() ? simulate(mechanism) : List.of());
+        SimulationComparison comparison =
+                SimulationComparison.of(run.results(), options.simulation() ? simulate(mechanism) : List.of());
         System.out.println(comparison);
-        return ScaleLine.of(run, comparison.rSquared());
+        return SummaryLine.of(run, comparison.rSquared());
     }
 
     private List<SceneResult> simulate(Mechanism mechanism) {
-        ExecutorService threads = Executors.newFixedThreadPool(SIMULATIONS, ScaleBench::daemon);
+        ExecutorService threads = Executors.newFixedThreadPool(PARALLEL_SIMULATIONS, ScaleBench::daemon);
         List<CompletableFuture<List<SceneResult>>> groups = groups().stream()
                 .map(group -> CompletableFuture.supplyAsync(() -> simulate(mechanism, group), threads))
                 .toList();
@@ -58,29 +60,32 @@
         return results;
     }
 
-    /** Each simulation starts a fleet of its own; what it plays before a scene differs from the socket run's. */
+    /**
+     * Assigns the scenes round robin to the simulations. Each simulation starts a fleet of its own, so a scene there follows
+     * other scenes than on sockets.
+     */
     private List<List<SceneName>> groups() {
         List<List<SceneName>> groups = new ArrayList<>();
-        for (int i = 0; i < SIMULATIONS; i++) {
+        for (int group = 0; group < PARALLEL_SIMULATIONS; group++) {
             groups.add(new ArrayList<>());
         }
-        List<SceneName> scenes = options.only().stream()
+        List<SceneName> scenes = options.scenes().stream()
                 .filter(scene -> scene != SceneName.START)
                 .toList();
-        for (int i = 0; i < scenes.size(); i++) {
-            groups.get(i % SIMULATIONS).add(scenes.get(i));
+        for (int index = 0; index < scenes.size(); index++) {
+            groups.get(index % PARALLEL_SIMULATIONS).add(scenes.get(index));
         }
         groups.removeIf(List::isEmpty);
         return groups;
     }
 
-    private static Thread daemon(Runnable what) {
-        Thread thread = new Thread(what, "simulation");
+    private static Thread daemon(Runnable task) {
+        Thread thread = new Thread(task, "simulation");
         thread.setDaemon(true);
         return thread;
     }
 
-    private ScaleRun onSockets(Mechanism mechanism) throws IOException {
+    private ScaleRun playOnSockets(Mechanism mechanism) throws IOException {
         FleetLayout layout = new FleetLayout(options.brokers());
         Path directory = Files.createDirectories(LOGS);
         List<SceneResult> results = new ArrayList<>();
@@ -88,9 +93,9 @@
                 layout, mechanism, options.real(), options.perProcess(), JAR.toAbsolutePath(), directory)) {
             SceneScript script = new SceneScript(fleet, mechanism, SceneResult.SOCKETS, options.times(), result -> {
                 results.add(result);
-                result(result);
+                addResult(result);
             });
-            options.only().forEach(script::play);
+            options.scenes().forEach(script::play);
             if (fleet.realBrokers() != null) {
                 System.out.printf(
                         Locale.ROOT,
@@ -106,10 +111,11 @@
 
     private List<SceneResult> simulate(Mechanism mechanism, List<SceneName> scenes) {
         List<SceneResult> results = new ArrayList<>();
-        try (SimulatedFleet fleet = new SimulatedFleet(new FleetLayout(options.brokers()), mechanism, TWIN_SEED)) {
+        try (SimulatedFleet fleet =
+                new SimulatedFleet(new FleetLayout(options.brokers()), mechanism, SIMULATION_SEED)) {
             SceneScript script = new SceneScript(fleet, mechanism, SceneResult.SIMULATED, options.times(), result -> {
                 results.add(result);
-                result(result);
+                addResult(result);
             });
             script.play(SceneName.START);
             scenes.forEach(script::play);
@@ -124,10 +130,15 @@
         CapacityCsv.of(CSV.toString(), command, columns, cells).write(CSV);
     }
 
+    /**
+     * Runs the benchmark in the project's directory.
+     *
+     * @throws IllegalArgumentException for an unknown option, see {@link ScaleOptions#USAGE}
+     */
     public static void main(String[] args) throws IOException {
         ScaleOptions options = ScaleOptions.parse(args);
         ScaleBench bench = new ScaleBench(options);
-        List<ScaleLine> lines = new ArrayList<>();
+        List<SummaryLine> lines = new ArrayList<>();
         for (Mechanism mechanism : options.mechanisms()) {
             lines.add(bench.play(mechanism));
         }
--- a/src/test/java/dockshed/scale/ScaleReportTest.java
+++ b/src/test/java/dockshed/scale/ScaleReportTest.java
@@ -14,7 +14,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Ranges, delays, faults, judgement of deaths, and the lines that a run prints. */
+/**
+ * The parts of the scale benchmark that need no fleet: broker ranges, delays, injected faults, the classification of deaths,
+ * and the printed lines. Guards against figures that are wrong although the run succeeded, such as an unfinished delay that
+ * counts as a short one, or a death counted as false although the script stopped the broker.
+ */
 class ScaleReportTest {
     private static SceneResult scene(String run, SceneName name, double detect, double gone, double heal) {
         Map<Metric, Double> figures = new EnumMap<>(Metric.class);
@@ -27,14 +31,14 @@
     }
 
     @Property(seed = "20261202", tries = 200)
-    void rangesAreReadAsTheyWereWritten(@ForAll List<@IntRange(max = 1023) Integer> numbers) {
+    void rangesParseToTheSetThatWasFormatted(@ForAll List<@IntRange(max = 1023) Integer> numbers) {
         BitSet brokers = new BitSet();
         numbers.forEach(brokers::set);
         assertEquals(brokers, BrokerRanges.parse(BrokerRanges.format(brokers)));
     }
 
     @Test
-    void theWantedSizeHasSixZonesOf73AndOneOf72() {
+    void theTargetSizeHasSixZonesOf73AndOneOf72() {
         FleetLayout layout = new FleetLayout(510);
         for (int zone = 0; zone < 6; zone++) {
             assertEquals(73, layout.zone(zone).cardinality());
@@ -46,21 +50,21 @@
     }
 
     @Test
-    void whatHasNotComeToItsEndMakesAPercentileInfinite() {
+    void anUnfinishedDelayMakesAPercentileInfinite() {
         Delays delays = new Delays();
-        for (int i = 1; i <= 98; i++) {
-            delays.add(i * 1000);
+        for (int seconds = 1; seconds <= 98; seconds++) {
+            delays.add(seconds * 1000);
         }
-        delays.addNever();
-        delays.addNever();
+        delays.addUnfinished();
+        delays.addUnfinished();
         assertEquals(50, delays.percentile(50), 0.1);
         assertEquals(98, delays.percentile(98), 0.1);
         assertTrue(Double.isInfinite(delays.percentile(99)));
-        assertEquals(0.98, delays.endedShare(), 1e-9);
+        assertEquals(0.98, delays.finishedShare(), 1e-9);
     }
 
     @Test
-    void aCutIsOneWayAndLossIsByChance() {
+    void aCutIsOneWayAndLossDependsOnTheRandomNumber() {
         LinkFaults faults = LinkFaults.NONE.withCut(BrokerRanges.of(1), BrokerRanges.of(2));
         assertTrue(faults.drops(1, 2, 0.9));
         assertFalse(faults.drops(2, 1, 0.9));
@@ -69,38 +73,38 @@
         assertFalse(faults.withLoss(0.2).drops(2, 1, 0.2));
     }
 
-    /** Broker 0 calls broker 1 dead at a time; the script had it down from 10 s to 12 s. */
-    private static int[] judged(long atMillis) {
+    /** Counts of false and late deaths if broker 0 declares broker 1 dead, which the script stopped from 10 s to 12 s. */
+    private static int[] deathsCounted(long atMillis) {
         FleetRecorder recorder = new FleetRecorder(Mechanism.FULL_MESH.visibility(new FleetLayout(3)), 3);
         recorder.started(BrokerRanges.of(0, 1, 2), 0);
         recorder.stopped(BrokerRanges.of(1), 10_000);
         if (atMillis > 12_000) {
             recorder.started(BrokerRanges.of(1), 12_000);
         }
-        recorder.take(new Observations(List.of(new MembershipChange(atMillis, 0, "1", "")), List.of()));
-        return new int[] {recorder.takeFalselyDead(), recorder.takeLatelyDead()};
+        recorder.record(new Observations(List.of(new MembershipChange(atMillis, 0, "1", "")), List.of()));
+        return new int[] {recorder.drainFalseDeaths(), recorder.drainLateDeaths()};
     }
 
     @Test
     void aDeathIsFalseWhereTheBrokerRanAndWasReachable() {
-        assertEquals(List.of(0, 0), List.of(judged(11_000)[0], judged(11_000)[1]));
-        assertEquals(List.of(0, 1), List.of(judged(13_000)[0], judged(13_000)[1]));
-        assertEquals(List.of(1, 0), List.of(judged(30_000)[0], judged(30_000)[1]));
-        assertEquals(List.of(1, 0), List.of(judged(3_000)[0], judged(3_000)[1]));
+        assertEquals(List.of(0, 0), List.of(deathsCounted(11_000)[0], deathsCounted(11_000)[1]));
+        assertEquals(List.of(0, 1), List.of(deathsCounted(13_000)[0], deathsCounted(13_000)[1]));
+        assertEquals(List.of(1, 0), List.of(deathsCounted(30_000)[0], deathsCounted(30_000)[1]));
+        assertEquals(List.of(1, 0), List.of(deathsCounted(3_000)[0], deathsCounted(3_000)[1]));
     }
 
     @Test
-    void aCutExcusesBothOfItsEnds() {
+    void aCutMakesBothOfItsEndsUnreachable() {
         Outages outages = new Outages();
         outages.cut(BrokerRanges.of(0), BrokerRanges.of(1), 10_000);
         assertFalse(outages.reachable(1, 0, 15_000, 16_000));
         assertTrue(outages.reachable(1, 2, 15_000, 16_000));
-        outages.joined(20_000);
+        outages.healed(20_000);
         assertTrue(outages.reachable(1, 0, 21_000, 22_000));
     }
 
     @Test
-    void theLastLineIsReadAsItWasPrinted() {
+    void theSummaryLineParsesToWhatWasPrinted() {
         ScaleRun run = new ScaleRun(
                 Mechanism.FULL_MESH,
                 510,
@@ -108,16 +112,16 @@
                 502,
                 15,
                 List.of(scene(SceneResult.SOCKETS, SceneName.ZONE, 20, 21.5, Double.POSITIVE_INFINITY)));
-        ScaleLine line = ScaleLine.of(run, 0.9876);
-        assertEquals(line, ScaleLine.parse(line.toString()));
+        SummaryLine line = SummaryLine.of(run, 0.9876);
+        assertEquals(line, SummaryLine.parse(line.toString()));
         assertEquals("510", line.values().get("brokers"));
         assertEquals("21.5", line.values().get("zone_gone_s"));
         assertEquals("nan", line.values().get("heal_s"));
         assertEquals("0", line.values().get("false_dead"));
-        assertEquals("nan", line.values().get("disagree"), "what was not measured is not zero");
+        assertEquals("nan", line.values().get("disagree"), "a sum without measurements is not zero");
         assertEquals("0.9876", line.values().get("r2"));
-        assertThrows(IllegalArgumentException.class, () -> ScaleLine.parse("scale brokers"));
-        assertThrows(IllegalArgumentException.class, () -> ScaleLine.parse("something else"));
+        assertThrows(IllegalArgumentException.class, () -> SummaryLine.parse("scale brokers"));
+        assertThrows(IllegalArgumentException.class, () -> SummaryLine.parse("something else"));
     }
 
     @Test
@@ -128,8 +132,8 @@
     }
 
     @Test
-    void theTwinIsComparedSceneByScene() {
-        TwinComparison comparison = TwinComparison.of(
+    void theSimulationIsComparedSceneByScene() {
+        SimulationComparison comparison = SimulationComparison.of(
                 List.of(
                         scene(SceneResult.SOCKETS, SceneName.ZONE, 10, 20, 30),
                         scene(SceneResult.SOCKETS, SceneName.REGIONS, 5, 6, Double.POSITIVE_INFINITY)),
@@ -144,11 +148,11 @@
     }
 
     @Test
-    void optionsThatAreNotKnownAreRefused() {
+    void unknownOptionsAreRefused() {
         assertEquals(510, ScaleOptions.parse("--quick").brokers());
         assertEquals(
                 List.of(SceneName.START, SceneName.ZONE),
-                ScaleOptions.parse("--scenes", "zone").only());
+                ScaleOptions.parse("--scenes", "zone").scenes());
         assertThrows(IllegalArgumentException.class, () -> ScaleOptions.parse("--slow"));
         assertThrows(IllegalArgumentException.class, () -> ScaleOptions.parse("--brokers"));
     }
--- a/src/test/java/dockshed/scale/HeldConnections.java
+++ b/src/test/java/dockshed/scale/ViewerConnections.java
@@ -13,65 +13,73 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Viewers' connections to one broker: each asks for a session, asks again while it lasts so that it is not idle, and comes
- * back when it was closed, until the broker is not to be reached for good.
+ * Viewers with one connection each to one broker. A viewer requests a session, repeats the request so that its connection
+ * is not closed as idle, and reconnects when the connection is closed, until {@link #stop}.
  */
-final class HeldConnections {
-    private static final int CONNECT_MILLIS = 1000;
-    private static final long BACK_MILLIS = 500;
-    private static final long ASK_AGAIN_MILLIS = 10_000;
-    private static final int MOST_ANSWER_BYTES = 1 << 16;
+final class ViewerConnections {
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+    private static final long RECONNECT_DELAY_MILLIS = 500;
+    private static final long REQUEST_INTERVAL_MILLIS = 10_000;
+    private static final int MAX_ANSWER_BYTES = 1 << 16;
 
     private final Net net;
     private final InetSocketAddress broker;
     private final int owner;
     private final AtomicInteger open = new AtomicInteger();
     private final AtomicInteger answers = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean stopped;
 
-    HeldConnections(Net net, InetSocketAddress broker, int owner, int count) {
+    /**
+     * Opens the connections one millisecond apart.
+     *
+     * @param owner the broker's number, part of the sessions' names
+     */
+    ViewerConnections(Net net, InetSocketAddress broker, int owner, int count) {
         this.net = net;
         this.broker = broker;
         this.owner = owner;
-        for (int i = 0; i < count; i++) {
-            int viewer = i;
-            net.loop().schedule(() -> connect(viewer), i, TimeUnit.MILLISECONDS);
+        for (int number = 0; number < count; number++) {
+            int viewer = number;
+            net.loop().schedule(() -> connect(viewer), number, TimeUnit.MILLISECONDS);
         }
     }
 
     private void connect(int viewer) {
-        if (!over) {
-            net.connect(broker, CONNECT_MILLIS, () -> new Viewer(viewer)).addListener(done -> {
-                if (!done.isSuccess()) {
-                    again(viewer);
-                }
-            });
+        if (!stopped) {
+            net.connect(broker, CONNECT_TIMEOUT_MILLIS, () -> new Viewer(viewer))
+                    .addListener(done -> {
+                        if (!done.isSuccess()) {
+                            reconnectLater(viewer);
+                        }
+                    });
         }
     }
 
-    private void again(int viewer) {
-        if (!over) {
-            net.loop().schedule(() -> connect(viewer), BACK_MILLIS, TimeUnit.MILLISECONDS);
+    private void reconnectLater(int viewer) {
+        if (!stopped) {
+            net.loop().schedule(() -> connect(viewer), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The broker is gone: nobody comes back. */
+    /** The broker has ended: viewers do not reconnect. */
     void stop() {
-        over = true;
+        stopped = true;
     }
 
+    /** Connections that are open. */
     int open() {
         return open.get();
     }
 
+    /** Answers received on all connections. */
     int answers() {
         return answers.get();
     }
 
     private final class Viewer extends ByteHandler {
         private final int viewer;
-        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MOST_ANSWER_BYTES);
-        private int asked;
+        private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(MAX_ANSWER_BYTES);
+        private int requestsSent;
 
         Viewer(int viewer) {
             this.viewer = viewer;
@@ -80,17 +88,17 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             open.incrementAndGet();
-            ask(ctx);
+            requestSession(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            if (over || !ctx.channel().isActive()) {
+        private void requestSession(ChannelHandlerContext ctx) {
+            if (stopped || !ctx.channel().isActive()) {
                 ctx.close();
                 return;
             }
             String session = String.format("%08x%08x", owner + 1, viewer);
             Map<String, String> headers = new LinkedHashMap<>();
-            headers.put("CSeq", Integer.toString(++asked));
+            headers.put("CSeq", Integer.toString(++requestsSent));
             headers.put("Session", session);
             headers.put("Priority-Class", "refresher");
             headers.put("Expires-Ms", "3000");
@@ -98,7 +106,9 @@
             byte[] request = HttpStyleMessage.encode(
                     "SETUP rtsp://media/lesson RTSP/1.0", headers, "v=0\r\n".getBytes(StandardCharsets.UTF_8));
             ctx.writeAndFlush(Net.toByteBuf(request));
-            ctx.channel().eventLoop().schedule(() -> ask(ctx), ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            ctx.channel()
+                    .eventLoop()
+                    .schedule(() -> requestSession(ctx), REQUEST_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -108,15 +118,15 @@
                 while (decoder.next() != null) {
                     answers.incrementAndGet();
                 }
-            } catch (HttpStyleMessage.MalformedMessageException e) {
-                throw new IllegalStateException(e);
+            } catch (HttpStyleMessage.MalformedMessageException malformed) {
+                throw new IllegalStateException(malformed);
             }
         }
 
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             open.decrementAndGet();
-            again(viewer);
+            reconnectLater(viewer);
         }
     }
 }
