--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -398,7 +398,7 @@
         @Override
         protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
             LOG.debug(
-                    "viewer's connection closed: remote={} reset={} open={}",
+                    "viewer's connection ended: remote={} reset={} open={}",
                     ctx.channel().remoteAddress(),
                     reset,
                     openSetUps);
