--- a/src/main/java/dockshed/peers/DatagramPeers.java
+++ b/src/main/java/dockshed/peers/DatagramPeers.java
@@ -19,7 +19,7 @@
      *
      * @throws IllegalStateException if the address cannot be bound
      */
-    void listen(Net net, InetSocketAddress at, Receiver receiver);
+    void listen(Net net, InetSocketAddress address, Receiver receiver);
 
     /** Sends a datagram to one broker; drops it if the operating system does not take it. */
     void send(int to, byte[] message);
--- a/src/main/java/dockshed/peers/UdpPeers.java
+++ b/src/main/java/dockshed/peers/UdpPeers.java
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void listen(Net net, InetSocketAddress at, Receiver receiver) {
-        channel = net.bindDatagrams(at, new SimpleChannelInboundHandler<DatagramPacket>() {
+    public void listen(Net net, InetSocketAddress address, Receiver receiver) {
+        channel = net.bindDatagrams(address, new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                         int from = brokerNumber(packet.sender());
--- a/src/main/java/dockshed/storm/AdmissionQueue.java
+++ b/src/main/java/dockshed/storm/AdmissionQueue.java
@@ -24,7 +24,11 @@
 
     /** A request and what its score depends on; {@code arrivedAt} in microseconds. */
     record QueuedRequest(
-            Request request, SessionClass cls, ViewerRecord viewerRecord, ReturnKind returnKind, long arrivedAt) {}
+            Request request,
+            SessionClass sessionClass,
+            ViewerRecord viewerRecord,
+            ReturnKind returnKind,
+            long arrivedAt) {}
 
     private final Terms terms;
     private final Map<String, QueuedRequest> queued = new LinkedHashMap<>();
@@ -46,14 +50,14 @@
         double age = Math.min(
                 2,
                 (now - queuedRequest.viewerRecord().firstRequestAt)
-                        / (double) queuedRequest.cls().deadline());
+                        / (double) queuedRequest.sessionClass().deadline());
         double punctuality =
                 switch (queuedRequest.returnKind()) {
                     case KEPT -> 1.5;
                     case FIRST, UNTOLD -> 1;
                     case EARLY -> 0.25;
                 };
-        return queuedRequest.cls().worth() * (1 + age) * punctuality
+        return queuedRequest.sessionClass().worth() * (1 + age) * punctuality
                 + WAITING_SCORE_PER_SECOND * (now - queuedRequest.arrivedAt()) / 1e6;
     }
 
--- a/src/test/java/dockshed/CapacityTest.java
+++ b/src/test/java/dockshed/CapacityTest.java
@@ -67,34 +67,34 @@
                     .toList();
             assertEquals(count, servers.size());
             assertEquals(count, config.peers().size());
-            BrokerHarness stage = new BrokerHarness();
+            BrokerHarness harness = new BrokerHarness();
             Choice[] module = {null};
             Broker broker = new Broker(
                     config.settings(),
                     actions -> module[0] = new Choice(config.settings(), 1, actions),
                     m -> {},
-                    stage.timers);
-            broker.serversChanged(stage.now, "names", ListScope.DISK, servers);
-            broker.serversChanged(stage.now, "names", ListScope.CHANGES, List.of());
+                    harness.timers);
+            broker.serversChanged(harness.now, "names", ListScope.DISK, servers);
+            broker.serversChanged(harness.now, "names", ListScope.CHANGES, List.of());
             assertEquals(count, module[0].knownServers());
-            long connection = broker.connected(stage.now, stage, h -> {});
+            long connection = broker.connected(harness.now, harness, h -> {});
             for (int i = 0; i < 300; i++) {
                 String name = "v" + i;
                 broker.request(
-                        stage.now,
+                        harness.now,
                         connection,
-                        stage,
-                        stage,
+                        harness,
+                        harness,
                         new SessionRequest(
                                 name, "paid", "viewer" + i, "t", 3_000_000, 0, 0, 3, 1, false, false, false, "sdp"));
-                String sent = stage.log.get(stage.log.size() - 1);
+                String sent = harness.log.get(harness.log.size() - 1);
                 assertTrue(sent.contains(" setUp " + name + " "), sent);
-                broker.setUpAnswered(stage.now, sent.split(" ")[1], name, "answer");
-                stage.advance(10_000);
+                broker.setUpAnswered(harness.now, sent.split(" ")[1], name, "answer");
+                harness.advance(10_000);
             }
             assertEquals(300, broker.counts().served);
-            broker.serversChanged(stage.now, "names", ListScope.SNAPSHOT, servers.subList(0, count / 2));
-            broker.serverLost(stage.now, stage, servers.get(0).id(), stage.now);
+            broker.serversChanged(harness.now, "names", ListScope.SNAPSHOT, servers.subList(0, count / 2));
+            broker.serverLost(harness.now, harness, servers.get(0).id(), harness.now);
         }
     }
 
@@ -104,16 +104,16 @@
         // accepted.
         Net net = new Net();
         try (ServerSocket acceptor = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            BrokerHarness stage = new BrokerHarness();
-            EdgeServerConnections edges = net.callOnLoop(() -> {
+            BrokerHarness harness = new BrokerHarness();
+            EdgeServerConnections edgeConnections = net.callOnLoop(() -> {
                 LoopClock clock = new LoopClock(net.loop());
-                TimerQueue deadlines = new TimerQueue(clock::wakeAt);
-                clock.onWakeUp(deadlines::runDue);
+                TimerQueue timers = new TimerQueue(clock::wakeAt);
+                clock.onWakeUp(timers::runDue);
                 EdgeServerConnections connections = new EdgeServerConnections(
-                        stage.broker,
+                        harness.broker,
                         net,
                         clock,
-                        deadlines,
+                        timers,
                         new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of(), 8));
                 Map<String, InetSocketAddress> addresses = new TreeMap<>();
                 for (int i = 0; i < 1025; i++) {
@@ -125,8 +125,8 @@
             for (int i = 0; i < 1025; i++) {
                 String id = "s-" + i;
                 assertTrue((int) net.callOnLoop(() -> {
-                            edges.setHasActiveSessions(id, true);
-                            return edges.countConnections();
+                            edgeConnections.setHasActiveSessions(id, true);
+                            return edgeConnections.countConnections();
                         })
                         <= 8);
             }
--- a/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -40,7 +40,7 @@
     private Director.Actions actions;
     private LoopClock clock;
     private Broker broker;
-    private EdgeServerConnections edges;
+    private EdgeServerConnections edgeConnections;
     private final BlockingQueue<String> probeEvents = new LinkedBlockingQueue<>();
     private volatile Verdict verdict = Verdict.TRY;
     private final ProbeCoordinator probeCoordinator = new ProbeCoordinator() {
@@ -88,7 +88,7 @@
                     message -> {},
                     timers);
             clock.onWakeUp(broker::runDueTimers);
-            edges = new EdgeServerConnections(
+            edgeConnections = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
@@ -104,7 +104,8 @@
                     "names",
                     Director.ListScope.DISK,
                     List.of(new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
+            edgeConnections.updateAddresses(
+                    Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
             return null;
         });
     }
@@ -120,7 +121,11 @@
 
     private void request(String name, String className) {
         net.callOnLoop(() -> broker.request(
-                clock.now(), harness.connection, harness, edges, BrokerHarness.sessionRequest(name, className)));
+                clock.now(),
+                harness.connection,
+                harness,
+                edgeConnections,
+                BrokerHarness.sessionRequest(name, className)));
     }
 
     private void accept() throws IOException {
@@ -303,7 +308,7 @@
     void restartOfAServerEndsItsOlderSessions() throws Exception {
         startSession("v1");
         net.callOnLoop(() -> {
-            edges.serverRestarted("a", clock.now() + 1);
+            edgeConnections.serverRestarted("a", clock.now() + 1);
             return null;
         });
         assertEquals("front over v1 RESET", harness.await("front over"));
@@ -337,7 +342,7 @@
     @Test
     void setUpAtAnUnlistedServerIsNotSent() throws Exception {
         net.callOnLoop(() -> {
-            edges.updateAddresses(Map.of());
+            edgeConnections.updateAddresses(Map.of());
             return null;
         });
         request("v1", "paid");
@@ -414,7 +419,7 @@
         awaitProbeEvent("suspected a true");
         awaitProbeEvent("asked a");
         awaitProbeEvent("asked a");
-        assertEquals(0, net.callOnLoop(edges::countConnections));
+        assertEquals(0, net.callOnLoop(edgeConnections::countConnections));
         verdict = Verdict.UP;
         accept(); // another broker found it up: messages about the session need a connection
         awaitProbeEvent("suspected a false");
@@ -428,7 +433,7 @@
         verdict = Verdict.DOWN;
         resetConnection();
         assertEquals("front over v1 RESET", harness.await("front over v1"));
-        assertEquals(0, net.callOnLoop(edges::countConnections));
+        assertEquals(0, net.callOnLoop(edgeConnections::countConnections));
         assertTrue(
                 probeEvents.stream().noneMatch(l -> l.startsWith("found")),
                 "it probed the server itself: " + probeEvents);
@@ -552,7 +557,7 @@
                             .map(id -> new Director.Server(id, "z", "k", 0, Director.State.UP, 1, 0))
                             .toList());
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort());
-            edges.updateAddresses(Map.of("a", at, "b", at, "c", at, "d", at));
+            edgeConnections.updateAddresses(Map.of("a", at, "b", at, "c", at, "d", at));
             return null;
         });
         List<Socket> connections = new ArrayList<>();
@@ -563,7 +568,7 @@
             connections.add(connection);
         }
         accept(); // the one that is probed
-        assertEquals(5, net.callOnLoop(() -> edges.countConnections()));
+        assertEquals(5, net.callOnLoop(() -> edgeConnections.countConnections()));
         for (int i = 0; i < connections.size(); i++) {
             connection = connections.get(i);
             send("release", "v" + ids.get(i), 16, Map.of());
@@ -582,7 +587,7 @@
                     "names",
                     Director.ListScope.CHANGES,
                     List.of(new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(Map.of(
+            edgeConnections.updateAddresses(Map.of(
                     "a",
                     new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort()),
                     "b",
@@ -604,7 +609,7 @@
             request("0000000000000002", "safe");
             try (Socket other = b.accept()) {
                 assertEquals(null, read(), "the idle connection was closed");
-                assertEquals(1, (int) net.callOnLoop(edges::countConnections));
+                assertEquals(1, (int) net.callOnLoop(edgeConnections::countConnections));
             }
         }
     }
@@ -620,7 +625,7 @@
             harness.onRequest = request -> actions.send(request.id(), "b", 0);
             request("0000000000000002", "safe");
             harness.await("module outcome 0 b MOOT");
-            assertEquals(1, (int) net.callOnLoop(edges::countConnections));
+            assertEquals(1, (int) net.callOnLoop(edgeConnections::countConnections));
         }
     }
 
@@ -685,7 +690,7 @@
     }
 
     private boolean requestOnLoop(SessionRequest sessionRequest) {
-        return broker.request(clock.now(), harness.connection, harness, edges, sessionRequest);
+        return broker.request(clock.now(), harness.connection, harness, edgeConnections, sessionRequest);
     }
 
     @Test
@@ -755,7 +760,7 @@
                     },
                     message -> {},
                     timers);
-            edges = new EdgeServerConnections(
+            edgeConnections = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
@@ -765,7 +770,8 @@
                     probeCoordinator);
             harness.connection = broker.connected(clock.now(), harness, h -> {});
             changeServerState(Director.State.UP);
-            edges.updateAddresses(Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
+            edgeConnections.updateAddresses(
+                    Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
             requestOnLoop(BrokerHarness.sessionRequest("v1", "paid"));
             changeServerState(Director.State.DRAINING); // the drain grace equals the margin kept of it, so none is left
             return null;
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -155,8 +155,8 @@
         assertEquals(7, a.id());
         assertEquals(70_000, EdgeServerList.serial(a.records()));
         EdgeServerList list = new EdgeServerList();
-        EdgeServerListUpdater survey = new EdgeServerListUpdater(list, DnsDiscovery.SERVICE_NAME);
-        assertEquals(2, survey.applyListAnswer(a).size());
+        EdgeServerListUpdater updater = new EdgeServerListUpdater(list, DnsDiscovery.SERVICE_NAME);
+        assertEquals(2, updater.applyListAnswer(a).size());
         assertEquals(
                 List.of(
                         new ListedServer(
@@ -166,7 +166,7 @@
                                 new Server("s-2", "west", "big", 3, State.DRAINING, 1.5, 1_500_500),
                                 new InetSocketAddress("127.0.0.10", 5081))),
                 list.all());
-        assertNull(survey.nextQuestion(0), "no record is missing");
+        assertNull(updater.nextQuestion(0), "no record is missing");
     }
 
     @Test
--- a/src/test/java/dockshed/peers/UdpPeersTest.java
+++ b/src/test/java/dockshed/peers/UdpPeersTest.java
@@ -17,7 +17,7 @@
 /** Datagrams between brokers; the test itself plays one of them. */
 class UdpPeersTest {
     private final Net net = new Net();
-    private final BrokerHarness stage = new BrokerHarness();
+    private final BrokerHarness harness = new BrokerHarness();
 
     @AfterEach
     void stop() {
@@ -39,7 +39,7 @@
             InetSocketAddress other = new InetSocketAddress("127.0.0.1", peer.getLocalPort());
             unused.close();
             UdpPeers peers = new UdpPeers(List.of(own, other), null);
-            peers.listen(net, own, (from, message) -> stage.broker.peerMessageReceived(stage.now, from, message));
+            peers.listen(net, own, (from, message) -> harness.broker.peerMessageReceived(harness.now, from, message));
 
             net.callOnLoop(() -> {
                 peers.broadcast(new byte[257]); // above the limit: must not be sent
@@ -53,8 +53,8 @@
             stranger.send(new DatagramPacket(new byte[] {9}, 1, own));
             peer.send(new DatagramPacket(new byte[300], 300, own));
             peer.send(new DatagramPacket(new byte[] {7}, 1, own));
-            assertEquals("module told 1", stage.await("module told"));
-            assertEquals(1, net.callOnLoop(() -> stage.count("module told")));
+            assertEquals("module told 1", harness.await("module told"));
+            assertEquals(1, net.callOnLoop(() -> harness.count("module told")));
         }
     }
 }
--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -267,7 +267,6 @@
     }
 
     // ---- Viewers.
-
     private void addViewer() {
         double elapsed = now - START_US;
         double rate = scenario.arrivalsPerSecond
@@ -281,7 +280,7 @@
     /** A viewer who wants one session and requests it again until it plays or the viewer's time is over. */
     final class Viewer {
         final String id = "v" + viewers.size();
-        final SessionClass cls = classes.get(random.nextDouble() < .3 ? 0 : random.nextDouble() < .36 ? 1 : 2);
+        final SessionClass sessionClass = classes.get(random.nextDouble() < .3 ? 0 : random.nextDouble() < .36 ? 1 : 2);
         final int highestRendition = random.nextDouble() < .26 ? 2 : 4;
         final long firstRequestAt = now;
         final long leavesAt = now + scenario.minStay + random.nextLong(scenario.extraStay);
@@ -300,7 +299,7 @@
         boolean inSurge;
 
         long clientDeadline() {
-            return cls.deadline();
+            return sessionClass.deadline();
         }
 
         void sendRequest(boolean isRetry) {
@@ -322,7 +321,7 @@
                 target = alive.isEmpty() ? target : alive.get(random.nextInt(alive.size()));
             }
             node = target;
-            inSurge = cls.effect() != Effect.SAFE
+            inSurge = sessionClass.effect() != Effect.SAFE
                     && requestsSent == 1
                     && now - START_US >= scenario.surgeFrom
                     && now - START_US < scenario.surgeTo;
@@ -341,7 +340,7 @@
                         node.broker.cancel(now, sentId);
                     }
                     forgetRequest();
-                    if (cls.effect() == Effect.SAFE) {
+                    if (sessionClass.effect() == Effect.SAFE) {
                         retryAfter(740 * MS + random.nextLong(2_160 * MS));
                     }
                 }
@@ -387,7 +386,7 @@
 
         /** The session or request was lost with its broker or edge server. */
         void connectionLost() {
-            boolean mayHaveRun = !answered && cls.effect() != Effect.SAFE;
+            boolean mayHaveRun = !answered && sessionClass.effect() != Effect.SAFE;
             forgetRequest();
             answered = true;
             if (!mayHaveRun && random.nextDouble() < .9) {
@@ -431,7 +430,7 @@
 
         double demandKb() {
             return sessions.values().stream()
-                    .mapToDouble(viewer -> RATES[viewer.rendition] * viewer.cls.scale())
+                    .mapToDouble(viewer -> RATES[viewer.rendition] * viewer.sessionClass.scale())
                     .sum();
         }
 
@@ -526,7 +525,7 @@
         FleetSnapshot snapshot = FleetSnapshot.ALONE;
         final Map<String, Integer> attemptsByRequest = new HashMap<>();
         String loggedState = "NONE";
-        TimerQueue deadlines;
+        TimerQueue timers;
         long startedAt;
         long killedAt = Long.MIN_VALUE;
         long failureNoticedAt;
@@ -547,7 +546,7 @@
 
         /** Time at which the broker's next timer is due; during a stall, its end. */
         long nextDue() {
-            long due = deadlines.nextDue();
+            long due = timers.nextDue();
             long stallAt = START_US + scenario.stallAt;
             return number == 0 && scenario.stallAt >= 0 && due >= stallAt && due < stallAt + scenario.stallDuration
                     ? stallAt + scenario.stallDuration
@@ -556,7 +555,7 @@
 
         void start() {
             startedAt = now;
-            deadlines = new TimerQueue(at -> {});
+            timers = new TimerQueue(at -> {});
             Settings settings = new Settings(
                     number,
                     scenario.brokers,
@@ -606,10 +605,10 @@
                             return admissionFilter;
                         },
                         this::broadcast,
-                        deadlines);
+                        timers);
                 gossip(gossipNode);
             } else {
-                broker = new Broker(settings, withFilter, this::broadcast, deadlines);
+                broker = new Broker(settings, withFilter, this::broadcast, timers);
             }
             broker.serversChanged(
                     now,
@@ -693,7 +692,7 @@
                     this,
                     new SessionRequest(
                             viewer.requestId,
-                            viewer.cls.name(),
+                            viewer.sessionClass.name(),
                             viewer.id,
                             "lesson",
                             viewer.clientDeadline(),
@@ -743,7 +742,7 @@
         public void refused(long connection, String requestId, long retryAfter) {
             Viewer viewer = viewersByRequest.remove(requestId);
             if (viewer != null && requestId.equals(viewer.requestId)) {
-                paidRefusedAfterRun += viewer.cls.effect() != Effect.SAFE
+                paidRefusedAfterRun += viewer.sessionClass.effect() != Effect.SAFE
                                 && servers.stream().anyMatch(server -> server.executedSetUps.contains(requestId))
                         ? 1
                         : 0;
@@ -758,7 +757,7 @@
                 failed++;
                 viewer.answered = true;
                 viewer.forgetRequest();
-                if (viewer.cls.effect() == Effect.SAFE) {
+                if (viewer.sessionClass.effect() == Effect.SAFE) {
                     viewer.retryAfter(740 * MS + random.nextLong(2_160 * MS));
                 }
             }
@@ -794,7 +793,7 @@
             brokerRetries += attemptsByRequest.merge(setUp.name(), 1, Integer::sum) > 1 ? 1 : 0;
             boolean noAnswer = scenario.lostReplyShare > 0 && random.nextDouble() < scenario.lostReplyShare;
             schedule(now + 3 * MS, () -> {
-                if (server.acceptSetUp(setUp.name(), viewer.cls)) {
+                if (server.acceptSetUp(setUp.name(), viewer.sessionClass)) {
                     if (noAnswer) {
                         return; // the set-up ran, its answer is lost
                     }
@@ -831,7 +830,7 @@
         public void setRendition(String serverId, String requestId, int rendition) {
             Viewer viewer = viewersByRequest.get(requestId);
             if (viewer != null && requestId.equals(viewer.requestId)) {
-                renditionsBelowFloor += rendition < viewer.cls.floor() ? 1 : 0;
+                renditionsBelowFloor += rendition < viewer.sessionClass.floor() ? 1 : 0;
                 viewer.rendition = rendition;
             }
         }
@@ -888,9 +887,10 @@
                 .orElse(0);
         for (Viewer viewer : viewers) {
             if (now < viewer.leavesAt) {
-                offeredBySecond[second] += viewer.cls.worth() * WORTHS[viewer.highestRendition] * TICK_US / SECOND_US;
+                offeredBySecond[second] +=
+                        viewer.sessionClass.worth() * WORTHS[viewer.highestRendition] * TICK_US / SECOND_US;
                 earnedBySecond[second] += viewer.playing && viewer.server != null
-                        ? viewer.cls.worth()
+                        ? viewer.sessionClass.worth()
                                 * WORTHS[Math.min(viewer.rendition, viewer.highestRendition)]
                                 * deliveredWorth.get(viewer.server)
                                 * TICK_US
@@ -902,7 +902,7 @@
             }
         }
         measureShares();
-        int uncalm = 0;
+        int notCalm = 0;
         for (BrokerNode node : nodes) {
             String state = node.filter == null ? "NONE" : node.filter.state();
             if (!state.equals(node.loggedState)) {
@@ -910,9 +910,9 @@
                         java.util.Locale.ROOT, "%.1f broker=%d %s", (now - START_US) / 1e6, node.number, state));
                 node.loggedState = state;
             }
-            uncalm += node.filter != null && !node.filter.state().equals("CALM") ? 1 : 0;
+            notCalm += node.filter != null && !node.filter.state().equals("CALM") ? 1 : 0;
         }
-        calmTicks.set((int) ((now - START_US) / TICK_US), uncalm == 0);
+        calmTicks.set((int) ((now - START_US) / TICK_US), notCalm == 0);
         int before = viewers.size();
         viewers.removeIf(viewer -> now > viewer.leavesAt + 5 * SECOND_US && viewer.requestId == null);
         departedViewers += before - viewers.size();
