--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -85,7 +85,7 @@
      * @param goalTime time from request to playing that is aimed at
      * @param deadline time after the request at which its clients give up
      * @param worth what a session earns per second, relative to other classes
-     * @param scale factor on the rates of the ladder
+     * @param rateScale factor on the rates of the ladder
      * @param floor index of the lowest rendition
      * @param top index of the highest rendition
      * @param seats sessions of the class for each title; 0: no limit
@@ -96,13 +96,13 @@
             long goalTime,
             long deadline,
             double worth,
-            double scale,
+            double rateScale,
             int floor,
             int top,
             int seats) {
         public SessionClass {
             require(worth > 0, "points: expected a number over 0 as the worth of class " + name);
-            require(scale > 0, "class_scale: expected a number over 0 for class " + name);
+            require(rateScale > 0, "class_scale: expected a number over 0 for class " + name);
             require(goalTime > 0 && deadline > 0, "goal_time, deadline: expected times over 0 for class " + name);
             require(floor >= 0 && floor <= top, "lowest_rung: expected 0 to top_by_class for class " + name);
             require(seats >= 0, "class_seats: expected 0 or more for class " + name);
@@ -382,7 +382,7 @@
     /** A message from another broker was received. */
     void peerMessageReceived(long now, int from, byte[] message);
 
-    /** A time requested by {@link Actions#timer} has been reached. */
+    /** A time requested by {@link Actions#scheduleTimer} has been reached. */
     void timer(long now, String key);
 
     /** A viewer has connected. */
@@ -412,7 +412,7 @@
         void broadcast(byte[] message);
 
         /** Requests {@link Director#timer} at a time. */
-        void timer(String key, long at);
+        void scheduleTimer(String key, long at);
 
         /** Whether the retry budget that all requests share allows one more attempt. */
         default boolean mayRetry() {
--- a/src/main/java/dockshed/DirectorFilter.java
+++ b/src/main/java/dockshed/DirectorFilter.java
@@ -61,8 +61,8 @@
         }
 
         @Override
-        public void timer(String key, long now) {
-            delegate.timer(key, now);
+        public void scheduleTimer(String key, long at) {
+            delegate.scheduleTimer(key, at);
         }
 
         @Override
--- a/src/main/java/dockshed/choice/Choice.java
+++ b/src/main/java/dockshed/choice/Choice.java
@@ -84,7 +84,7 @@
     private void startOnFirstEvent(long now) {
         if (rates.start(now)) {
             nextQuotaUpdateAt = now + QUOTA_INTERVAL_US;
-            actions.timer("sweep", now + SWEEP_INTERVAL_US);
+            actions.scheduleTimer("sweep", now + SWEEP_INTERVAL_US);
         }
     }
 
@@ -227,7 +227,7 @@
 
     @Override
     public void timer(long now, String key) {
-        actions.timer(key, now + SWEEP_INTERVAL_US);
+        actions.scheduleTimer(key, now + SWEEP_INTERVAL_US);
         readings.recoverUplinks(now, SWEEP_INTERVAL_US);
         servers.decayTrust(sessions.stays().remainingShare(SWEEP_INTERVAL_US / (double) SECOND_US));
         // Set-ups, not placements: refused requests take no room.
--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -767,7 +767,7 @@
     }
 
     @Override
-    public void timer(String key, long time) {
+    public void scheduleTimer(String key, long time) {
         timers.schedule(time, dueAt -> dispatch(dueAt, eventTime -> director.timer(eventTime, key)));
     }
 
--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -220,7 +220,7 @@
 
     private void setTimer(long at) {
         timerSet = true;
-        out.timer(TIMER, at);
+        out.scheduleTimer(TIMER, at);
     }
 
     @Override
--- a/src/main/java/dockshed/load/EstimatedLoads.java
+++ b/src/main/java/dockshed/load/EstimatedLoads.java
@@ -136,7 +136,7 @@
 
     private double rateKb(SessionClass sessionClass, int rendition) {
         List<Double> rates = settings.ladder().rates();
-        return rates.get(Math.max(0, Math.min(rendition, rates.size() - 1))) * sessionClass.scale();
+        return rates.get(Math.max(0, Math.min(rendition, rates.size() - 1))) * sessionClass.rateScale();
     }
 
     private void addChange(long now, ServerLoad load, double deltaKb) {
--- a/src/main/java/dockshed/model/RenditionLadder.java
+++ b/src/main/java/dockshed/model/RenditionLadder.java
@@ -33,7 +33,7 @@
 
     /** Rate of a rendition for a class in kB/s. */
     public double rateKb(SessionClass sessionClass, int rendition) {
-        return rates[rendition] * sessionClass.scale();
+        return rates[rendition] * sessionClass.rateScale();
     }
 
     /** What a rendition earns per second, relative to the worth of the class. */
--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -351,7 +351,7 @@
         }
 
         @Override
-        public void timer(String key, long at) {
+        public void scheduleTimer(String key, long at) {
             writeAction("timer", () -> {
                 json.writeStringField("key_back", key);
                 writeMillis("moment", at);
--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -378,7 +378,7 @@
     private void scheduleTimer(long at) {
         if (at < timerAt) {
             timerAt = at;
-            actions.timer(TIMER_KEY, at);
+            actions.scheduleTimer(TIMER_KEY, at);
         }
     }
 
--- a/src/test/java/dockshed/DirectorFixture.java
+++ b/src/test/java/dockshed/DirectorFixture.java
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public void timer(String key, long at) {
+    public void scheduleTimer(String key, long at) {
         log.add("timer " + key);
     }
 }
--- a/src/test/java/dockshed/ScriptedDay.java
+++ b/src/test/java/dockshed/ScriptedDay.java
@@ -439,7 +439,7 @@
     }
 
     @Override
-    public void timer(String key, long at) {
+    public void scheduleTimer(String key, long at) {
         write("timer", key, at);
         timers.computeIfAbsent(at, t -> new ArrayList<>()).add(key);
     }
--- a/src/test/java/dockshed/capacity/SetupFixture.java
+++ b/src/test/java/dockshed/capacity/SetupFixture.java
@@ -94,7 +94,7 @@
         public void broadcast(byte[] message) {}
 
         @Override
-        public void timer(String key, long at) {
+        public void scheduleTimer(String key, long at) {
             timerKey = key;
             timerAt = at;
         }
--- a/src/test/java/dockshed/fleet/AdmissionFilterTest.java
+++ b/src/test/java/dockshed/fleet/AdmissionFilterTest.java
@@ -52,7 +52,7 @@
         public void broadcast(byte[] message) {}
 
         @Override
-        public void timer(String key, long at) {}
+        public void scheduleTimer(String key, long at) {}
     }
 
     private final Book book = new Book();
--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -430,7 +430,7 @@
 
         double demandKb() {
             return sessions.values().stream()
-                    .mapToDouble(viewer -> RATES[viewer.rendition] * viewer.sessionClass.scale())
+                    .mapToDouble(viewer -> RATES[viewer.rendition] * viewer.sessionClass.rateScale())
                     .sum();
         }
 
--- a/src/test/java/dockshed/storm/RetryStormFilterTest.java
+++ b/src/test/java/dockshed/storm/RetryStormFilterTest.java
@@ -42,7 +42,7 @@
                         retryAfters.add((Long) args[1]);
                         yield record("refuse " + args[0]);
                     }
-                    case "broadcast", "timer" -> null;
+                    case "broadcast", "scheduleTimer" -> null;
                     case "newSessionShare" -> -1.0;
                     case "mayRetry" -> true;
                     default -> record(method.getName() + " " + args[0]);
