--- a/src/test/java/dockshed/core/BrokerHarness.java
+++ b/src/test/java/dockshed/core/BrokerHarness.java
@@ -21,8 +21,8 @@
 
 /**
  * A broker on a virtual clock, with a front and servers that only record the calls to them and a decision module that
- * the test scripts. Records are lines in {@link #log} such as "front served v1 1..3" or "box a setUp v1 left=990"; "box"
- * stands for an edge server, and times are in milliseconds.
+ * the test scripts. Records are lines in {@link #log} that begin with who was called and the called method's name, such as
+ * "front served v1 1..3" or "server a setUp v1 left=990"; times are in milliseconds.
  */
 public final class BrokerHarness implements Front, ServerAdapter, Director {
     /** Microseconds of a millisecond. */
@@ -168,7 +168,7 @@
     @Override
     public void sessionEnded(long connection, String name, Outcome outcome) {
         endNoticeConnections.add(connection);
-        addLine("front over " + name + " " + outcome);
+        addLine("front sessionEnded " + name + " " + outcome);
     }
 
     @Override
@@ -184,27 +184,27 @@
     // ---- Server adapter.
     @Override
     public void setUp(String server, SetUp setUp) {
-        addLine("box " + server + " setUp " + setUp.name() + " left=" + setUp.answerTimeout() / MILLISECOND_US);
+        addLine("server " + server + " setUp " + setUp.name() + " left=" + setUp.answerTimeout() / MILLISECOND_US);
     }
 
     @Override
     public void cancelSetUp(String server, String name) {
-        addLine("box " + server + " giveUp " + name);
+        addLine("server " + server + " cancelSetUp " + name);
     }
 
     @Override
     public void release(String server, String name) {
-        addLine("box " + server + " release " + name);
+        addLine("server " + server + " release " + name);
     }
 
     @Override
     public void setRendition(String server, String name, int rendition) {
-        addLine("box " + server + " rate " + name + " " + rendition);
+        addLine("server " + server + " setRendition " + name + " " + rendition);
     }
 
     @Override
     public void setHasActiveSessions(String server, boolean hasActiveSessions) {
-        addLine("box " + server + " hold " + hasActiveSessions);
+        addLine("server " + server + " setHasActiveSessions " + hasActiveSessions);
     }
 
     // ---- Decision module.
@@ -215,12 +215,12 @@
 
     @Override
     public void adoptSession(long now, Request request, String server) {
-        addLine("module open " + server);
+        addLine("module adoptSession " + server);
     }
 
     @Override
     public void sessionStarted(long now, String request, int attempt, String server) {
-        addLine("module first " + attempt + " " + server);
+        addLine("module sessionStarted " + attempt + " " + server);
     }
 
     @Override
@@ -235,17 +235,17 @@
 
     @Override
     public void metricReceived(long now, String request, String server, Metric metric, double value) {
-        addLine("module note " + metric + " " + value);
+        addLine("module metricReceived " + metric + " " + value);
     }
 
     @Override
     public void requestCancelled(long now, String request) {
-        addLine("module gone");
+        addLine("module requestCancelled");
     }
 
     @Override
     public void serversChanged(long now, ListScope scope, List<Server> servers) {
-        servers.forEach(entry -> addLine("module " + scope + " " + entry.id() + " " + entry.state()));
+        servers.forEach(entry -> addLine("module serversChanged " + scope + " " + entry.id() + " " + entry.state()));
     }
 
     @Override
@@ -253,7 +253,7 @@
 
     @Override
     public void peerMessageReceived(long now, int from, byte[] message) {
-        addLine("module told " + from);
+        addLine("module peerMessageReceived " + from);
     }
 
     @Override
--- a/src/test/java/dockshed/core/BrokerTest.java
+++ b/src/test/java/dockshed/core/BrokerTest.java
@@ -26,12 +26,12 @@
         harness.ended("a", "v1", Outcome.OK); // a repetition, as after a reconnect, must have no effect
         assertEquals(
                 List.of(
-                        "box a setUp v1 left=2990",
-                        "box a hold true",
+                        "server a setUp v1 left=2990",
+                        "server a setHasActiveSessions true",
                         "front served v1 0..0",
-                        "module first 0 a",
-                        "front over v1 OK",
-                        "box a hold false",
+                        "module sessionStarted 0 a",
+                        "front sessionEnded v1 OK",
+                        "server a setHasActiveSessions false",
                         "module outcome 0 a OK last"),
                 harness.log);
         assertEquals(0, harness.broker.activeSessions() + harness.broker.unansweredRequests());
@@ -44,7 +44,7 @@
         harness.advance(3 * SECOND_US - 11 * MILLISECOND_US);
         assertEquals(0, harness.count("front"));
         harness.advance(MILLISECOND_US);
-        assertEquals(List.of("front failed v1 late", "module gone"), harness.log);
+        assertEquals(List.of("front failed v1 late", "module requestCancelled"), harness.log);
     }
 
     @Test
@@ -55,10 +55,10 @@
         harness.advance(400 * MILLISECOND_US);
         assertEquals(
                 List.of(
-                        "box a setUp v1 left=400",
-                        "box a giveUp v1",
+                        "server a setUp v1 left=400",
+                        "server a cancelSetUp v1",
                         "module outcome 0 a TIMEOUT",
-                        "box b setUp v1 left=2590"),
+                        "server b setUp v1 left=2590"),
                 harness.log);
         // A late answer to the cancelled attempt makes no session and no second answer.
         harness.broker.setUpAnswered(harness.now, "a", "v1", "late");
@@ -74,7 +74,7 @@
             harness.actions.send(request.id(), "b", 0);
         };
         harness.sendRequest("v1", "safe");
-        assertEquals(1, harness.count("box a setUp") + harness.count("box b setUp"));
+        assertEquals(1, harness.count("server a setUp") + harness.count("server b setUp"));
     }
 
     @Test
@@ -95,7 +95,7 @@
             };
             attemptHarness.sendRequest("v1", "paid");
             attemptHarness.ended("a", "v1", outcome);
-            assertEquals(provenNotRun ? 1 : 0, attemptHarness.count("box b setUp"), outcome.name());
+            assertEquals(provenNotRun ? 1 : 0, attemptHarness.count("server b setUp"), outcome.name());
             if (provenNotRun) {
                 attemptHarness.ended("b", "v1", Outcome.RESET);
             }
@@ -129,12 +129,12 @@
         harness.updateServers(ListScope.CHANGES, State.DRAINING, "a");
         harness.log.clear();
         harness.sendRequest("v1", "safe");
-        assertEquals(1, harness.count("box a setUp"), "a set-up decided before the list arrived may still be sent");
+        assertEquals(1, harness.count("server a setUp"), "a set-up decided before the list arrived may still be sent");
         harness.advance(SECOND_US);
         harness.log.clear();
         harness.onOutcome = id -> harness.actions.send(id, "b", 0);
         harness.sendRequest("v2", "safe");
-        assertEquals(List.of("module outcome 0 a MOOT", "box b setUp v2 left=2990"), harness.log);
+        assertEquals(List.of("module outcome 0 a MOOT", "server b setUp v2 left=2990"), harness.log);
         assertFalse(harness.broker.acceptsSetUp(harness.now, "a"));
         harness.updateServers(ListScope.CHANGES, State.UP, "a");
         assertTrue(harness.broker.acceptsSetUp(harness.now, "a"));
@@ -176,9 +176,9 @@
         };
         harness.sendRequest("v1", "safe");
         harness.actions.setRendition(id[0], 3);
-        assertEquals(0, harness.count("box a rate"));
+        assertEquals(0, harness.count("server a setRendition"));
         harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
-        assertEquals(1, harness.count("box a rate v1 3"));
+        assertEquals(1, harness.count("server a setRendition v1 3"));
     }
 
     @Test
@@ -187,7 +187,9 @@
         harness.broker.cancel(harness.now, "v1");
         harness.ended("a", "v1", Outcome.OK);
         harness.advance(5 * SECOND_US);
-        assertEquals(List.of("box a setUp v1 left=2990", "box a giveUp v1", "module gone"), harness.log);
+        assertEquals(
+                List.of("server a setUp v1 left=2990", "server a cancelSetUp v1", "module requestCancelled"),
+                harness.log);
     }
 
     @Test
@@ -199,8 +201,8 @@
         harness.advance(SECOND_US);
         assertEquals(
                 List.of(
-                        "box a setUp v1 left=2990",
-                        "box a giveUp v1",
+                        "server a setUp v1 left=2990",
+                        "server a cancelSetUp v1",
                         "module outcome 0 a TIMEOUT",
                         "front failed v1 late"),
                 harness.log);
@@ -225,12 +227,12 @@
                         .sorted()
                         .toList());
         assertEquals(
-                List.of("box a giveUp v1", "box a giveUp v2"),
+                List.of("server a cancelSetUp v1", "server a cancelSetUp v2"),
                 harness.log.stream()
-                        .filter(line -> line.startsWith("box") && !line.contains("setUp"))
+                        .filter(line -> line.startsWith("server") && !line.contains("setUp"))
                         .toList());
-        assertEquals(2, harness.count("box a setUp"));
-        assertEquals(3, harness.count("module gone"));
+        assertEquals(2, harness.count("server a setUp"));
+        assertEquals(3, harness.count("module requestCancelled"));
         assertEquals(0, harness.broker.unansweredRequests() + harness.broker.activeSessions());
     }
 
@@ -239,7 +241,7 @@
         harness.startSession("v1", "safe");
         harness.sendRequest("v2", "safe");
         harness.broker.disconnected(harness.now, harness.connection);
-        assertEquals(1, harness.count("box a giveUp v2"));
+        assertEquals(1, harness.count("server a cancelSetUp v2"));
         assertEquals(1, harness.broker.activeSessions());
     }
 
@@ -248,12 +250,12 @@
         harness.startSession("v1", "safe");
         harness.broker.disconnected(harness.now, harness.connection);
         harness.ended("a", "v1", Outcome.RESET);
-        assertEquals(0, harness.count("front over"));
+        assertEquals(0, harness.count("front sessionEnded"));
         harness.advance(300 * MILLISECOND_US);
         harness.connection = harness.broker.connected(harness.now, harness, handle -> {});
-        assertEquals(0, harness.count("front over v1 RESET"), "nobody may be reading from the new connection");
+        assertEquals(0, harness.count("front sessionEnded v1 RESET"), "nobody may be reading from the new connection");
         harness.sendRequest("v2", "safe");
-        assertEquals(1, harness.count("front over v1 RESET"));
+        assertEquals(1, harness.count("front sessionEnded v1 RESET"));
     }
 
     @Test
@@ -294,8 +296,8 @@
         harness.ended("a", "v2", Outcome.OK);
         harness.broker.endConfirmed(harness.connection, "v2");
         harness.broker.disconnected(harness.now, harness.connection);
-        assertEquals(2, harness.count("front over v1"));
-        assertEquals(1, harness.count("front over v2"));
+        assertEquals(2, harness.count("front sessionEnded v1"));
+        assertEquals(1, harness.count("front sessionEnded v2"));
     }
 
     @Test
@@ -308,11 +310,11 @@
         harness.ended("b", "v1", Outcome.OK);
         assertEquals(
                 List.of(
-                        "box b hold true",
-                        "module open b",
-                        "module note RENDITION 2.0",
-                        "front over v1 OK",
-                        "box b hold false",
+                        "server b setHasActiveSessions true",
+                        "module adoptSession b",
+                        "module metricReceived RENDITION 2.0",
+                        "front sessionEnded v1 OK",
+                        "server b setHasActiveSessions false",
                         "module outcome 0 b OK last"),
                 harness.log);
     }
@@ -330,7 +332,10 @@
         harness.broker.metricReceived(harness.now, "a", "v1", Metric.RENDITION, 1);
         harness.actions.setRendition(id[0], 1);
         assertEquals(
-                List.of("box a rate v1 3", "module note RENDITION 1.0", "box a rate v1 1"),
+                List.of(
+                        "server a setRendition v1 3",
+                        "module metricReceived RENDITION 1.0",
+                        "server a setRendition v1 1"),
                 harness.log.subList(harness.log.size() - 3, harness.log.size()));
     }
 
@@ -341,10 +346,10 @@
         harness.sendRequest("v1", "safe");
         harness.broker.metricReceived(harness.now, "a", "v1", Metric.LINK, 0.5);
         harness.broker.metricReceived(harness.now, "b", "v1", Metric.LINK, 0.9);
-        assertEquals(0, harness.count("module note"));
+        assertEquals(0, harness.count("module metricReceived"));
         harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
         assertEquals(
-                List.of("module first 0 a", "module note LINK 0.5"),
+                List.of("module sessionStarted 0 a", "module metricReceived LINK 0.5"),
                 harness.log.subList(harness.log.size() - 2, harness.log.size()));
     }
 
@@ -355,7 +360,7 @@
         harness.broker.metricReceived(harness.now, "a", "v1", Metric.LINK, 0.5);
         harness.ended("a", "v1", Outcome.FULL);
         harness.broker.setUpAnswered(harness.now, "b", "v1", "answer");
-        assertEquals(0, harness.count("module note"));
+        assertEquals(0, harness.count("module metricReceived"));
     }
 
     @Test
@@ -366,8 +371,8 @@
         harness.advance(SECOND_US);
         harness.startSession("v2", "safe");
         harness.broker.serverLost(harness.now, harness, "a", restartedAt);
-        assertEquals(1, harness.count("front over v1 RESET"));
-        assertEquals(0, harness.count("front over v2"));
+        assertEquals(1, harness.count("front sessionEnded v1 RESET"));
+        assertEquals(0, harness.count("front sessionEnded v2"));
     }
 
     @Test
@@ -375,7 +380,12 @@
         harness.startSession("v1", "safe");
         harness.log.clear();
         harness.broker.cancel(harness.now, "v1");
-        assertEquals(List.of("box a release v1", "box a hold false", "module outcome 0 a CANCELLED last"), harness.log);
+        assertEquals(
+                List.of(
+                        "server a release v1",
+                        "server a setHasActiveSessions false",
+                        "module outcome 0 a CANCELLED last"),
+                harness.log);
     }
 
     @Test
@@ -392,10 +402,10 @@
         assertEquals(
                 List.of(
                         "front moved v1",
-                        "box a release v1",
-                        "box a hold false",
+                        "server a release v1",
+                        "server a setHasActiveSessions false",
                         "module outcome 0 a CANCELLED last",
-                        "module told 1"),
+                        "module peerMessageReceived 1"),
                 harness.log);
     }
 
@@ -406,10 +416,10 @@
                 "eureka",
                 ListScope.SNAPSHOT,
                 List.of(new Server("a", "east", "k", 0, State.DRAINING, 1, 0)));
-        assertEquals(List.of("module CHANGES a DRAINING"), harness.log);
+        assertEquals(List.of("module serversChanged CHANGES a DRAINING"), harness.log);
         harness.log.clear();
         harness.broker.serversChanged(harness.now, "eureka", ListScope.SNAPSHOT, List.of());
-        assertEquals(List.of("module CHANGES a UP"), harness.log);
+        assertEquals(List.of("module serversChanged CHANGES a UP"), harness.log);
     }
 
     @Test
@@ -420,7 +430,7 @@
         harness.sendRequest("v1", "safe");
         harness.onRequest = request -> harness.actions.send(request.id(), "a", 0);
         harness.sendRequest("v2", "safe");
-        assertEquals(1, harness.count("box a setUp v2"));
+        assertEquals(1, harness.count("server a setUp v2"));
         harness.advance(3 * SECOND_US);
         assertEquals(1, harness.count("front failed v1 late"), "the request whose event failed is answered, too");
     }
@@ -439,8 +449,8 @@
     void aGracefulShutdownNotifiesEveryViewerAndServer() {
         harness.startSession("v1", "safe");
         harness.broker.releaseAll(harness.now);
-        assertEquals(1, harness.count("front over v1 RESET"));
-        assertEquals(1, harness.count("box a release v1"));
+        assertEquals(1, harness.count("front sessionEnded v1 RESET"));
+        assertEquals(1, harness.count("server a release v1"));
         assertEquals(0, harness.broker.activeSessions());
     }
 
@@ -451,13 +461,13 @@
         harness.broker.releaseAll(harness.now);
         harness.sendRequest("v2", "paid");
         assertEquals(1, harness.count("front refused v2"));
-        assertEquals(0, harness.count("box a setUp v2"));
+        assertEquals(0, harness.count("server a setUp v2"));
         // A pending set-up continues; its session is ended once it is active.
         harness.broker.setUpAnswered(harness.now, "a", "v1", "answer");
         assertEquals(1, harness.count("front served v1"));
         harness.broker.releaseAll(harness.now);
-        assertEquals(1, harness.count("front over v1 RESET"));
-        assertEquals(1, harness.count("box a release v1"));
+        assertEquals(1, harness.count("front sessionEnded v1 RESET"));
+        assertEquals(1, harness.count("server a release v1"));
     }
 
     @Test
@@ -466,7 +476,7 @@
         harness.broker.releaseAll(harness.now);
         harness.broker.failAll(harness.now);
         assertEquals(1, harness.count("front failed v1"));
-        assertEquals(1, harness.count("box a giveUp v1"));
+        assertEquals(1, harness.count("server a cancelSetUp v1"));
         assertEquals(0, harness.broker.unansweredRequests());
         harness.broker.setUpAnswered(harness.now, "a", "v1", "answer"); // too late: the request has had its answer
         assertEquals(0, harness.count("front served v1"));
--- a/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -178,16 +178,16 @@
         startSession("v1");
         send("progress", "v1", -1, Map.of());
         send("note", "v1", -1, Map.of("note", "fill", "value", "0.93"));
-        assertEquals("module note DELIVERED 0.93", harness.await("module note"));
+        assertEquals("module metricReceived DELIVERED 0.93", harness.await("module metricReceived"));
         send("note", "v1", -1, Map.of("note", "grade", "value", "2"));
-        assertEquals("module note RENDITION 2.0", harness.await("module note"));
+        assertEquals("module metricReceived RENDITION 2.0", harness.await("module metricReceived"));
         send("note", "v1", -1, Map.of("note", "local", "value", "x")); // not a number: ignored
         send("note", "v1", -1, Map.of("note", "local", "value", "1.5"));
-        assertEquals("module note LINK 1.5", harness.await("module note"));
+        assertEquals("module metricReceived LINK 1.5", harness.await("module metricReceived"));
         send("note", "v1", -1, Map.of("note", "upstream", "value", "0.5"));
-        assertEquals("module note UPLINK 0.5", harness.await("module note"));
+        assertEquals("module metricReceived UPLINK 0.5", harness.await("module metricReceived"));
         send("release", "v1", 16, Map.of("load", "x0:0.4;new:1;busy_reqs:12"));
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
         assertEquals("module outcome 0 a OK last [12.0, 0.4]", harness.await("module outcome"));
     }
 
@@ -248,7 +248,7 @@
         connection.setSoLinger(true, 0);
         serverSocket.close();
         connection.close(); // with a reset
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -257,7 +257,7 @@
         connection.close();
         accept();
         send("release", "v1", 16, Map.of()); // sent on the next connection that is opened
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -265,7 +265,7 @@
         startSession("v1");
         serverSocket.close();
         connection.close();
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -276,7 +276,7 @@
         startSession("v1");
         accept();
         send("release", "v1", 41, Map.of());
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -311,7 +311,7 @@
             edgeConnections.serverRestarted("a", clock.now() + 1);
             return null;
         });
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
         startSessionOnNewConnection("v2");
     }
 
@@ -357,7 +357,7 @@
         connection.close();
         accept();
         send("release", "v1", 16, Map.of());
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -432,7 +432,7 @@
         serverSocket.close();
         verdict = Verdict.DOWN;
         resetConnection();
-        assertEquals("front over v1 RESET", harness.await("front over v1"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded v1"));
         assertEquals(0, net.callOnLoop(edgeConnections::countConnections));
         assertTrue(
                 probeEvents.stream().noneMatch(l -> l.startsWith("found")),
@@ -462,7 +462,7 @@
         serverSocket.setSoTimeout(20_000);
         accept();
         send("release", "v1", 16, Map.of());
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -523,7 +523,7 @@
             send("note", "v1", -1, Map.of("note", "local", "value", value));
         }
         send("note", "v1", -1, Map.of("note", "local", "value", "0.25"));
-        assertEquals("module note LINK 0.25", harness.await("module note"));
+        assertEquals("module metricReceived LINK 0.25", harness.await("module metricReceived"));
         send("release", "v1", 16, Map.of("load", "x0:NaN;busy_reqs:3"));
         assertEquals("module outcome 0 a OK last", harness.await("module outcome"));
     }
@@ -572,7 +572,7 @@
         for (int i = 0; i < connections.size(); i++) {
             connection = connections.get(i);
             send("release", "v" + ids.get(i), 16, Map.of());
-            assertEquals("front over v" + ids.get(i) + " OK", harness.await("front over"));
+            assertEquals("front sessionEnded v" + ids.get(i) + " OK", harness.await("front sessionEnded"));
         }
     }
 
@@ -604,7 +604,7 @@
         try (ServerSocket b = limitToOneConnection()) {
             startSession("0000000000000001");
             send("release", "0000000000000001", 16, Map.of());
-            harness.await("front over 0000000000000001");
+            harness.await("front sessionEnded 0000000000000001");
             harness.onRequest = request -> actions.send(request.id(), "b", 0);
             request("0000000000000002", "safe");
             try (Socket other = b.accept()) {
@@ -648,7 +648,7 @@
                 harness.await("front served 0000000000000002");
                 accept(); // a gets a connection again without further cause
                 send("release", "0000000000000001", 16, Map.of());
-                harness.await("front over 0000000000000001");
+                harness.await("front sessionEnded 0000000000000001");
             }
         }
     }
--- a/src/test/java/dockshed/hls/HlsEndToEndTest.java
+++ b/src/test/java/dockshed/hls/HlsEndToEndTest.java
@@ -232,7 +232,7 @@
         String paidRequest = requests.take();
         safe.close();
         secondSafe.close();
-        harness.await("module gone");
+        harness.await("module requestCancelled");
         paid.close();
         assertEquals(1, net.callOnLoop(broker::unansweredRequests));
         try (Socket returning = sendGet(lessonPath("paid", "v"))) {
--- a/src/test/java/dockshed/peers/UdpPeersTest.java
+++ b/src/test/java/dockshed/peers/UdpPeersTest.java
@@ -53,8 +53,8 @@
             stranger.send(new DatagramPacket(new byte[] {9}, 1, own));
             peer.send(new DatagramPacket(new byte[300], 300, own));
             peer.send(new DatagramPacket(new byte[] {7}, 1, own));
-            assertEquals("module told 1", harness.await("module told"));
-            assertEquals(1, net.callOnLoop(() -> harness.count("module told")));
+            assertEquals("module peerMessageReceived 1", harness.await("module peerMessageReceived"));
+            assertEquals(1, net.callOnLoop(() -> harness.count("module peerMessageReceived")));
         }
     }
 }
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -48,7 +48,7 @@
     @Test
     void setUpIsAnsweredAndEndOfSessionIsSentAsTeardown() {
         send(channel, setUpMessage(sessionId(1), ""));
-        assertEquals(List.of("box a setUp " + sessionId(1) + " left=2990"), harness.log);
+        assertEquals(List.of("server a setUp " + sessionId(1) + " left=2990"), harness.log);
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x\r\né");
         harness.ended("a", sessionId(1), Outcome.OK);
         assertEquals(
@@ -122,7 +122,7 @@
             send(channel, String.valueOf(c));
         }
         send(channel, setUpMessage(sessionId(3), "") + setUpMessage(sessionId(4), ""));
-        assertEquals(4, harness.count("box a setUp"));
+        assertEquals(4, harness.count("server a setUp"));
     }
 
     @Test
@@ -175,7 +175,7 @@
             assertTrue(answers.stream().allMatch(answer -> answer.startsWith("RTSP/1.0 400 ")), closingInput);
             assertTrue(client.isOpen(), closingInput);
             send(client, setUpMessage(sessionId(3), ""));
-            assertEquals(0, harness.count("box a setUp " + sessionId(3)), "accepted after the end: " + closingInput);
+            assertEquals(0, harness.count("server a setUp " + sessionId(3)), "accepted after the end: " + closingInput);
             harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x");
             client.runPendingTasks();
             assertEquals(
@@ -264,10 +264,10 @@
     void teardownCancelsSetUpOrReleasesSessionAndIsAnswered() {
         String teardown = "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n";
         send(channel, setUpMessage(sessionId(1), "") + teardown + "\r\n");
-        assertEquals(0, harness.count("box a setUp"), "cancelled within the read that brought the set-up");
+        assertEquals(0, harness.count("server a setUp"), "cancelled within the read that brought the set-up");
         send(channel, setUpMessage(sessionId(1), ""));
         send(channel, teardown + "\r\n");
-        assertEquals(1, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a cancelSetUp"));
         assertEquals(
                 List.of("200", "200"),
                 received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
@@ -275,7 +275,7 @@
         send(channel, setUpMessage(sessionId(1), ""));
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         send(channel, teardown + "Reason: cause=31\r\n\r\n");
-        assertEquals(1, harness.count("box a release"));
+        assertEquals(1, harness.count("server a release"));
         assertEquals(
                 List.of("200", "200"),
                 received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
@@ -288,7 +288,7 @@
                 setUpMessage(sessionId(1), "P-Trunk-Info: home:0;copies:3;top:4;viewer:00;at:b\r\n")
                         .repeat(2));
         assertEquals(List.of(), received(channel));
-        assertEquals(1, harness.count("module open b"));
+        assertEquals(1, harness.count("module adoptSession b"));
     }
 
     @Test
@@ -318,7 +318,7 @@
             }
         });
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
-        assertEquals(1, harness.count("box a release " + sessionId(1)));
+        assertEquals(1, harness.count("server a release " + sessionId(1)));
         assertEquals(0, harness.broker.activeSessions());
     }
 
@@ -412,7 +412,7 @@
         send(channel, setUpMessage(sessionId(1), ""));
         send(channel, setUpMessage(sessionId(1), ""));
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(1, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a cancelSetUp"));
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         assertEquals(0, harness.broker.counts().served);
     }
@@ -429,7 +429,7 @@
         assertTrue(channel.isOpen());
         send(other, "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n\r\n");
         assertFalse(channel.isOpen());
-        assertEquals(1, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a cancelSetUp"));
     }
 
     /** A duplicate on one connection must not affect a set-up for the same session on another connection. */
@@ -442,8 +442,8 @@
                 received(channel).stream().filter(answer -> !answer.isEmpty()).toList();
         assertEquals(1, answers.size(), answers.toString());
         assertTrue(answers.get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(1, harness.count("box a setUp"), "only the other connection's set-up");
-        assertEquals(0, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a setUp"), "only the other connection's set-up");
+        assertEquals(0, harness.count("server a cancelSetUp"));
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         assertTrue(received(other).get(0).startsWith("RTSP/1.0 200 "));
     }
--- a/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
+++ b/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
@@ -75,7 +75,7 @@
     }
 
     private long attempts() {
-        return net.callOnLoop(() -> harness.count("box a setUp"));
+        return net.callOnLoop(() -> harness.count("server a setUp"));
     }
 
     /** Unanswered requests. Only the connection of the last OPTIONS may still be open, as it may be closing. */
@@ -120,7 +120,7 @@
             release.countDown();
             awaitEarlierReads();
             assertEquals(0, unanswered());
-            assertEquals(attempts(), net.callOnLoop(() -> harness.count("box a giveUp")));
+            assertEquals(attempts(), net.callOnLoop(() -> harness.count("server a cancelSetUp")));
         }
     }
 
@@ -154,7 +154,7 @@
                     socket,
                     RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), "").replace("Class: safe", "Class: paid")
                             + RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(2), ""));
-            harness.await("box a setUp " + RtspFrontTest.sessionId(2));
+            harness.await("server a setUp " + RtspFrontTest.sessionId(2));
             CountDownLatch release = LoopBlocker.block(net);
             send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(3), ""));
             socket.shutdownOutput();
@@ -172,7 +172,7 @@
             }
             awaitEarlierReads();
             assertEquals(2, attempts());
-            assertEquals(2, net.callOnLoop(() -> harness.count("box a giveUp")));
+            assertEquals(2, net.callOnLoop(() -> harness.count("server a cancelSetUp")));
             assertEquals(0, unanswered());
         }
     }
--- a/src/test/java/dockshed/storm/RetryStormFilterTest.java
+++ b/src/test/java/dockshed/storm/RetryStormFilterTest.java
@@ -147,7 +147,9 @@
     void timersAndMessagesOfTheModuleArePassedOnAndInvalidStormMessagesAreNot() {
         filter.timer(START_US, "sweep");
         filter.peerMessageReceived(START_US, 1, new byte[] {1, 2, 3});
-        assertTrue(module.log.containsAll(List.of("module timer sweep", "module told 1")), module.log.toString());
+        assertTrue(
+                module.log.containsAll(List.of("module timer sweep", "module peerMessageReceived 1")),
+                module.log.toString());
         filter.peerMessageReceived(START_US, 1, new byte[] {(byte) StormMessage.MAGIC, 99});
         filter.peerMessageReceived(
                 START_US,
@@ -157,7 +159,7 @@
                 2,
                 filter.counts().messagesDiscarded,
                 "one of another version, one from a broker that is not in the fleet");
-        assertEquals(1, module.count("module told"));
+        assertEquals(1, module.count("module peerMessageReceived"));
     }
 
     @Test
