--- a/src/main/java/dockshed/ArchiveTraining.java
+++ b/src/main/java/dockshed/ArchiveTraining.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 
 /**
- * Runs one session through the whole program on loopback, with its own stand-in for an edge server. The build runs it,
+ * Runs one session through the whole program on loopback, with its own stub edge server. The build runs it,
  * with the shutdown after it, to record which classes a broker loads for the JVM's class data sharing archive: loading
  * them took half of the start-up time.
  */
--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -83,7 +83,7 @@
      * A class of sessions.
      *
      * @param goalTime time from request to playing that is aimed at
-     * @param deadline time after the request at which its clients give up
+     * @param deadline time after the request at which its viewers stop waiting
      * @param worth what a session earns per second, relative to other classes
      * @param rateScale factor on the rates of the ladder
      * @param floor index of the lowest rendition
@@ -143,15 +143,15 @@
         public Ladder {
             rates = List.copyOf(rates);
             worths = List.copyOf(worths);
-            require(!rates.isEmpty(), "rates_kb: expected one or more rungs");
+            require(!rates.isEmpty(), "rates_kb: expected one or more renditions");
             require(rates.size() == worths.size(), "level_worth: expected as many values as in rates_kb");
             for (int i = 0; i < rates.size(); i++) {
                 require(
                         rates.get(i) > (i == 0 ? 0 : rates.get(i - 1)),
-                        "rates_kb: expected increasing rates over 0 at rung " + i);
+                        "rates_kb: expected increasing rates over 0 at rendition " + i);
                 require(
                         worths.get(i) >= (i == 0 ? 0 : worths.get(i - 1)),
-                        "level_worth: expected non-decreasing worths of 0 or more at rung " + i);
+                        "level_worth: expected non-decreasing worths of 0 or more at rendition " + i);
             }
             require(
                     linksKb >= 0 && weightKb >= 0 && uplinkKb >= 0,
@@ -169,7 +169,7 @@
      * @param probing whether {@link Actions#probe} may be used
      * @param peers whether {@link Actions#broadcast} may be used
      * @param connectTimeout for a connection to a server
-     * @param maxRetryAfter longest time that a refused client is asked to wait; 0: no such advice
+     * @param maxRetryAfter longest time that a refused viewer is asked to wait; 0: no such advice
      * @param reportDelay age of a metric when it is received
      * @param reportInterval time between metrics LINK and UPLINK of a server; 0: there are none
      */
@@ -286,7 +286,7 @@
             for (SessionClass sessionClass : classes) {
                 require(
                         sessionClass.floor() < ladder.rates().size(),
-                        "lowest_rung: expected a rung of rates_kb for class " + sessionClass.name());
+                        "lowest_rung: expected a rendition of rates_kb for class " + sessionClass.name());
             }
         }
 
@@ -321,14 +321,14 @@
     /**
      * A viewer's request for a session.
      *
-     * @param clientDeadline time from the request until the client gives up
-     * @param expectedDuration the client's estimate of the length of the session; 0: unknown
+     * @param clientDeadline time from the request until the viewer stops waiting
+     * @param expectedDuration the viewer's estimate of the length of the session; 0: unknown
      * @param homeCell first of the cells that hold the title
      * @param copies number of consecutive cells that hold the title
-     * @param highestRendition index of the highest rendition that the client can play
-     * @param retry whether the client repeats an earlier request
+     * @param highestRendition index of the highest rendition that the viewer can play
+     * @param retry whether the viewer repeats an earlier request
      * @param afterMove whether its session was moved off a server
-     * @param returning whether the client says that this is not its first try
+     * @param returning whether the viewer says that this is not its first attempt
      */
     record Request(
             String id,
@@ -393,7 +393,7 @@
         /** Sends a set-up to a server, which has {@code timeLimit} to answer. */
         void send(String request, String server, long timeLimit);
 
-        /** Refuses a request; {@code retryAfter}: time after which the client may retry, 0 without advice. */
+        /** Refuses a request; {@code retryAfter}: time after which the viewer may retry, 0 without advice. */
         void refuse(String request, long retryAfter);
 
         /** Ends a request with an error, as a set-up may have run. */
--- a/src/main/java/dockshed/choice/Admission.java
+++ b/src/main/java/dockshed/choice/Admission.java
@@ -31,7 +31,7 @@
 
     /**
      * Ends a request that is not served. Rule 2: if a set-up may have run and must not be repeated the request fails;
-     * otherwise it is refused, and the client may retry.
+     * otherwise it is refused, and the viewer may retry.
      */
     private void endUnserved(Session session) {
         context.sessions().remove(session.id());
--- a/src/main/java/dockshed/choice/Readings.java
+++ b/src/main/java/dockshed/choice/Readings.java
@@ -53,7 +53,7 @@
      * @param ratio the demand expected since the last reading over the demand read
      */
     private static void adjustLinkShare(EdgeServer server, double value, double ratio) {
-        // Less demand than the least share is too little to tell a jump.
+        // Less demand than the least share is too little to detect a jump.
         boolean significant = server.load().levelKb() > MIN_LINK_SHARE * server.configuredKb();
         if (server.load().trust() > Headroom.MIN_TRUST
                 && significant
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Takes the link load in a load report. It is later and noisier than a metric: used only if none came for long. */
+    /** Takes the link load in a load report. It is later and noisier than a metric: used only without a recent one. */
     void loadReport(long now, EdgeServer server, LoadReport report) {
         int index = context.settings().reportFields().indexOf(ReportField.LINK);
         boolean present = index >= 0 && index < report.values().size();
--- a/src/main/java/dockshed/config/ConfFile.java
+++ b/src/main/java/dockshed/config/ConfFile.java
@@ -280,18 +280,18 @@
 
         /** An enum constant, written in lower case. */
         <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type) {
-            List<String> words = Arrays.stream(type.getEnumConstants())
+            List<String> allowed = Arrays.stream(type.getEnumConstants())
                     .map(e -> e.name().toLowerCase(Locale.ROOT))
                     .toList();
-            String text = value(key, "one of " + String.join(", ", words));
+            String text = value(key, "one of " + String.join(", ", allowed));
             if (text == null) {
                 return defaultValue;
             }
-            if (!words.contains(text)) {
-                reportError(entries.get(key).line(), key, "one of " + String.join(", ", words), text);
+            if (!allowed.contains(text)) {
+                reportError(entries.get(key).line(), key, "one of " + String.join(", ", allowed), text);
                 return defaultValue;
             }
-            return type.getEnumConstants()[words.indexOf(text)];
+            return type.getEnumConstants()[allowed.indexOf(text)];
         }
 
         /** Records an error in a value that is valid by itself but not together with others, or is missing. */
--- a/src/main/java/dockshed/config/SettingsReader.java
+++ b/src/main/java/dockshed/config/SettingsReader.java
@@ -132,14 +132,14 @@
     }
 
     private static Effect effect(JsonFields sessionClass) {
-        String word = sessionClass.text("effect");
-        return switch (word) {
+        String text = sessionClass.text("effect");
+        return switch (text) {
             case "idempotent" -> Effect.SAFE;
             case "deduplicated" -> Effect.KEYED;
             case "at_most_once" -> Effect.AT_MOST_ONCE;
             default ->
                 throw new JsonFields.InvalidInputException(
-                        sessionClass.path() + ": member 'effect' is unknown: " + word);
+                        sessionClass.path() + ": member 'effect' is unknown: " + text);
         };
     }
 
--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -377,7 +377,7 @@
         });
     }
 
-    /** An active session has come to its natural end, as detected by its front. */
+    /** An active session has ended normally, as detected by its front. */
     public void sessionCompleted(long now, String name) {
         dispatch(now, eventTime -> {
             BrokerSession session = sessionsByName.get(name);
--- a/src/main/java/dockshed/edge/EdgeServerConnections.java
+++ b/src/main/java/dockshed/edge/EdgeServerConnections.java
@@ -48,7 +48,7 @@
     private static final long IDLE_CLOSE_MARGIN_US = 3_000_000;
     /**
      * A session id cancelled at a server is not sent there again for this long: a late answer to the first set-up could
-     * not be told from the answer to the second.
+     * not be distinguished from the answer to the second.
      */
     private static final long CANCELLED_ID_HOLD_US = 5_000_000;
     /** Consecutive failures to connect after which a server with active sessions counts as gone. */
@@ -58,8 +58,8 @@
     /** Upper bound of the pool of one server: concurrent set-ups are fewer, and descriptors are scarce. */
     static final int MAX_CONNECTIONS_PER_SERVER = 4;
     /**
-     * A message still incomplete after this time is given up with its connection; a connection that stays silent for
-     * this time after a set-up is not used for another one.
+     * A connection with a message still incomplete after this time is closed; one that stays silent for this time after
+     * a set-up is not used for another one.
      */
     private static final long STUCK_TIMEOUT_US = 200_000;
 
--- a/src/main/java/dockshed/edge/Message.java
+++ b/src/main/java/dockshed/edge/Message.java
@@ -179,11 +179,11 @@
             while (position < input.length() && ",}] \t\r\n".indexOf(input.charAt(position)) < 0) {
                 position++;
             }
-            String word = input.substring(start, position);
-            if (!word.matches("true|false|null|-?[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?")) {
+            String token = input.substring(start, position);
+            if (!token.matches("true|false|null|-?[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?")) {
                 throw new MalformedMessageException("expected a value at position " + start);
             }
-            return word;
+            return token;
         }
 
         private static int parseCause(String number) throws MalformedMessageException {
--- a/src/main/java/dockshed/model/EdgeServer.java
+++ b/src/main/java/dockshed/model/EdgeServer.java
@@ -105,7 +105,7 @@
         return presumedCold;
     }
 
-    /** Counts as started now, until an update tells when it started. */
+    /** Counts as started now, until an update says when it started. */
     void presumeCold(long now) {
         coldSince = now;
         presumedCold = true;
--- a/src/main/java/dockshed/model/Session.java
+++ b/src/main/java/dockshed/model/Session.java
@@ -66,7 +66,7 @@
         return top;
     }
 
-    /** When the client gives up waiting, microseconds. */
+    /** When the viewer stops waiting, microseconds. */
     public long deadline() {
         return deadline;
     }
--- a/src/main/java/dockshed/model/Sessions.java
+++ b/src/main/java/dockshed/model/Sessions.java
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Expected remaining stay of a session in seconds: by the client's estimate if there is one, else the mean.
+     * Expected remaining stay of a session in seconds: by the viewer's estimate if there is one, else the mean.
      *
-     * @param minShare least remaining stay as a share of the mean, where the client's estimate is used up
+     * @param minShare least remaining stay as a share of the mean, where the viewer's estimate is used up
      */
     public double remainingStay(long now, Session session, double minShare) {
         double mean = stays.meanSeconds();
--- a/src/main/java/dockshed/net/HttpStyleMessage.java
+++ b/src/main/java/dockshed/net/HttpStyleMessage.java
@@ -12,7 +12,7 @@
  * @param headers   values by header name in lower case; of headers with the same name the last one is kept
  */
 public record HttpStyleMessage(String startLine, Map<String, String> headers, byte[] body) {
-    /** Input is not a message of this format; the connection that it came on is of no further use. */
+    /** Input is not a message of this format; the connection that it arrived on is of no further use. */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dockshed/rtsp/RtspFront.java
+++ b/src/main/java/dockshed/rtsp/RtspFront.java
@@ -115,9 +115,9 @@
     }
 
     /**
-     * Closes a connection, now or after {@link #CLOSE_DELAY_US}, to make room for a new one. Connections that owe an
-     * answer are spared. Of the others, one that never sent a request goes first, then one that only waits to be
-     * closed, then one that never sent a set-up, then any; within each of these groups, the least recently used.
+     * Closes a connection, now or after {@link #CLOSE_DELAY_US}, to make room for a new one. Connections with an
+     * answer outstanding are spared. Of the others, one that never sent a request goes first, then one that only waits
+     * to be closed, then one that never sent a set-up, then any; within each of these groups, the least recently used.
      *
      * @return false if no connection can be closed, or if the open connections exceed the limit by more than an eighth
      */
@@ -161,7 +161,7 @@
         return true;
     }
 
-    /** A parsed set-up with the message that it came in. */
+    /** A parsed set-up with the message that it arrived in. */
     private record PendingSetUp(SessionRequest request, HttpStyleMessage message) {}
 
     /** A viewer's connection. */
@@ -180,7 +180,7 @@
         private boolean sentRequest; // the viewer has sent a complete message
         private boolean sentSetUp; // the viewer has sent a valid set-up
         private boolean closeScheduled; // chosen to make room, closed after CLOSE_DELAY_US unless it is used until then
-        private boolean outputClosed; // all answers owed are written; our output is closed or is about to be
+        private boolean outputClosed; // all outstanding answers are written; our output is closed or is about to be
         private long pendingSinceUs; // start of waiting for a first message, a message's rest, or the close; else -1
         private long lastUsedUs;
         private long discardedBytes;
@@ -219,7 +219,7 @@
                 if (outputClosed) {
                     channel.close();
                 } else {
-                    channel.config().setAutoRead(false); // reading resumes once the answers owed are written
+                    channel.config().setAutoRead(false); // reading resumes once the outstanding answers are written
                 }
             }
             return ending;
@@ -278,8 +278,8 @@
         }
 
         /**
-         * The viewer has closed its output. A half-close cannot be told from a full close, so no further attempt is
-         * made for it, and its open set-ups are answered at once, before our side is closed.
+         * The viewer has closed its output. A half-close cannot be distinguished from a full close, so no further
+         * attempt is made for it, and its open set-ups are answered at once, before our side is closed.
          */
         @Override
         protected void onInputEnded(ChannelHandlerContext ctx) {
@@ -293,8 +293,8 @@
         }
 
         /**
-         * Cancels at once instead of in {@link #onClosed}: no attempt may leave for a viewer that has gone, not even
-         * one that is to be written in this turn of the event loop.
+         * Cancels at once instead of in {@link #onClosed}: no attempt may be sent for a viewer that has disconnected,
+         * not even one that is to be written in this iteration of the event loop.
          */
         @Override
         protected void onConnectionBroken() {
@@ -302,7 +302,7 @@
         }
 
         /**
-         * Answers a readable message with 400. A correct client does not keep sending faulty messages, so the
+         * Answers a readable message with 400. A correct viewer does not keep sending faulty messages, so the
          * connection is closed after {@link #MAX_FAULTY_MESSAGES}.
          */
         private void rejectSetUp(String why, HttpStyleMessage message) {
@@ -356,8 +356,8 @@
         }
 
         /**
-         * Closes our output if no answer is owed any more, and keeps reading for a while: closing while the viewer
-         * still sends resets the connection, and the viewer may lose the answer before it has read it.
+         * Closes our output if no answer is outstanding any more, and keeps reading for a while: closing while the
+         * viewer still sends resets the connection, and the viewer may lose the answer before it has read it.
          */
         private void closeOutputOnceAnswered() {
             if (!ending || outputClosed || !openSetUps.isEmpty()) {
@@ -378,7 +378,7 @@
             });
         }
 
-        /** Removes the connection and cancels what is still open on it: its viewer has its answers or has gone. */
+        /** Removes the connection and cancels its open set-ups: its viewer has its answers or has disconnected. */
         private void detach() {
             ending = true;
             openConnections.remove(this);
--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -245,15 +245,15 @@
         return servers;
     }
 
-    private static ListScope scope(String word) {
-        return switch (word) {
+    private static ListScope scope(String text) {
+        return switch (text) {
             case "diff" -> ListScope.CHANGES;
             case "snapshot" -> ListScope.SNAPSHOT;
             case "disk" -> ListScope.DISK;
             case "error" -> ListScope.ERROR;
             default ->
                 throw new JsonFields.InvalidInputException(
-                        "view: member 'scope': expected diff, snapshot, disk or error, got " + word);
+                        "view: member 'scope': expected diff, snapshot, disk or error, got " + text);
         };
     }
 
--- a/src/main/java/dockshed/storm/AdmissionQueue.java
+++ b/src/main/java/dockshed/storm/AdmissionQueue.java
@@ -112,7 +112,7 @@
         return highest;
     }
 
-    /** Removes and returns the requests whose wait deadline has come. */
+    /** Removes and returns the requests whose wait deadline has passed. */
     List<QueuedRequest> removeExpired(long now) {
         List<QueuedRequest> expired = new ArrayList<>();
         queued.values().removeIf(queuedRequest -> now >= waitDeadline(queuedRequest) && expired.add(queuedRequest));
--- a/src/main/java/dockshed/storm/CapacityEstimate.java
+++ b/src/main/java/dockshed/storm/CapacityEstimate.java
@@ -18,10 +18,10 @@
     private static final double REFUSED_FACTOR = 0.9;
     /** The promise factor grows by this when a viewer that returned on time is served. */
     private static final double SERVED_INCREMENT = 0.05;
-    /** The least promise factor: if nobody were told to return, nobody would show that there is capacity. */
+    /** The least promise factor: without any returning viewer, nothing would show that there is capacity. */
     private static final double MIN_PROMISE_FACTOR = 0.15;
 
-    private double promiseFactor = 1; // share of the expected capacity that returning viewers turn out to get
+    private double promiseFactor = 1; // share of the expected capacity that returning viewers actually get
 
     private final SlidingWindowCounter setUps = new SlidingWindowCounter(250_000, RATE_WINDOW_US);
     private double tokens = 1;
--- a/src/main/java/dockshed/storm/ColdServerLimiter.java
+++ b/src/main/java/dockshed/storm/ColdServerLimiter.java
@@ -67,7 +67,7 @@
         return (int) crc.getValue();
     }
 
-    /** Takes over a list of servers or its changes; servers that are gone, or missing in a whole list, are forgotten. */
+    /** Applies a list of servers or its changes; removes servers that are gone, or missing in a complete list. */
     void updateServers(long now, ListScope scope, List<Server> servers) {
         if (scope == ListScope.SNAPSHOT || scope == ListScope.DISK) {
             List<String> ids = servers.stream().map(Server::id).toList();
--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -248,7 +248,7 @@
                 assignReturnTime(queued.request().id(), queued.viewerRecord(), queued.returnKind()));
     }
 
-    /** Refuses queued requests whose wait deadline has come, then admits as many as capacity allows. */
+    /** Refuses queued requests whose wait deadline has passed, then admits as many as capacity allows. */
     private void serveQueue(long now) {
         for (QueuedRequest expired : queue.removeExpired(now)) {
             refuseQueued(expired);
--- a/src/test/java/dockshed/ChoiceTest.java
+++ b/src/test/java/dockshed/ChoiceTest.java
@@ -177,7 +177,7 @@
         assertTrue(assertThrows(
                         IllegalArgumentException.class, () -> new Ladder(List.of(), List.of(), 1, 1, 1, 1, 1, 0, 0, 0))
                 .getMessage()
-                .contains("rungs"));
+                .contains("one or more renditions"));
         assertTrue(assertThrows(
                         IllegalArgumentException.class,
                         () -> new SessionClass("film", Effect.SAFE, 1, 1, 0, 1, 0, 0, 0))
@@ -310,7 +310,7 @@
 
     @Test
     void aRequestThatServersRejectIsNotSentToAllOfThem() {
-        // Guards against spreading a faulty request: a client that asked for something no server has, hundreds of
+        // Guards against spreading a faulty request: a viewer that asked for something no server has, hundreds of
         // times, was sent to five servers each time, and would have had every one of them paused.
         DirectorFixture fixture = new DirectorFixture()
                 .start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1), DirectorFixture.server("c", 2));
--- a/src/test/java/dockshed/DirectorFixture.java
+++ b/src/test/java/dockshed/DirectorFixture.java
@@ -71,7 +71,7 @@
                 brokers,
                 "here",
                 classes,
-                List.of(new ServerKind("box", streams)),
+                List.of(new ServerKind("standard", streams)),
                 ladder,
                 new Limits(attempts, false, false, 250_000, 500_000, 800_000, 3 * SECOND_US),
                 rules,
@@ -84,11 +84,11 @@
     }
 
     static Server server(String id, int cell) {
-        return new Server(id, "here", "box", cell, State.UP, 1, 0);
+        return new Server(id, "here", "standard", cell, State.UP, 1, 0);
     }
 
     static Server server(String id, int cell, State state, long upSince) {
-        return new Server(id, "here", "box", cell, state, 1, upSince);
+        return new Server(id, "here", "standard", cell, state, 1, upSince);
     }
 
     private static Request newRequest(String id, String className) {
@@ -177,7 +177,7 @@
 
     @Override
     public void broadcast(byte[] message) {
-        log.add("tell");
+        log.add("broadcast");
     }
 
     @Override
--- a/src/test/java/dockshed/ProgramTest.java
+++ b/src/test/java/dockshed/ProgramTest.java
@@ -209,7 +209,7 @@
                         s.getOutputStream().write(OPTIONS.getBytes(StandardCharsets.UTF_8));
                     }
                 }
-                // A connection refused under load is tried again, as clients do.
+                // A connection refused under load is tried again, as viewers do.
                 Socket viewer = null;
                 for (HttpStyleMessage answer = null; answer == null; ) {
                     viewer = new Socket("127.0.0.1", port);
--- a/src/test/java/dockshed/SameDecisionsTest.java
+++ b/src/test/java/dockshed/SameDecisionsTest.java
@@ -58,7 +58,7 @@
             day.brokers = 2;
             day.meanStaySeconds = 60;
         });
-        day("uplinks told", "83fe96d3bef9c35122ff4b95", day -> {
+        day("uplinks reported", "83fe96d3bef9c35122ff4b95", day -> {
             day.reportsUplink = true;
             day.linksCollapse = true;
             day.uplinkKb = 20_000;
@@ -67,7 +67,7 @@
             day.seconds = 240;
             day.classes = ScriptedDay.manyClasses();
         });
-        day("uplinks short and not told", "b71aedc28c3df26f809aca21", day -> {
+        day("uplinks short and not reported", "b71aedc28c3df26f809aca21", day -> {
             day.brokers = 2;
             day.uplinkKb = 12_000;
             day.arrivalsPerSecond = 8;
@@ -81,7 +81,7 @@
             day.brokers = 14;
             day.racks = 4;
         });
-        day("a hundred directors, uplinks told", "3496e86f508d40fb4766ebc6", day -> {
+        day("a hundred directors, uplinks reported", "3496e86f508d40fb4766ebc6", day -> {
             day.brokers = 100;
             day.reportsUplink = true;
             day.foreignShare = 0.95;
@@ -118,7 +118,7 @@
             day.overloadWindow = 0;
             day.handshake = 0.04;
         });
-        day("a pace told from outside", "7f77e3f18fe743d3e9d33cf6", day -> {
+        day("a pace limit from outside", "7f77e3f18fe743d3e9d33cf6", day -> {
             day.coldStart = true;
             day.restarts = true;
             day.pacesServers = true;
@@ -147,14 +147,14 @@
             day.meanStaySeconds = 40;
             day.seconds = 60;
         });
-        day("servers of unlike weights, readings seldom", "906efeb887a4737b4013dc3f", day -> {
+        day("servers of unlike weights, readings rare", "906efeb887a4737b4013dc3f", day -> {
             day.differentWeights = true;
             day.reportInterval = SECOND_US / 4;
             day.failureShare = 0.3;
             day.attemptsWindow = 2 * SECOND_US;
             day.cells = 2;
         });
-        day("uplinks that all but fail, sessions past their told length", "2e25c7f234c3514abd3d6f42", day -> {
+        day("uplinks that all but fail, sessions past their estimated length", "2e25c7f234c3514abd3d6f42", day -> {
             day.uplinkKb = 5_000;
             day.foreignShare = 0.15;
             day.racks = 4;
--- a/src/test/java/dockshed/ScriptedDay.java
+++ b/src/test/java/dockshed/ScriptedDay.java
@@ -110,7 +110,7 @@
                 new SessionClass("premium", Effect.SAFE, SECOND_US, 4 * SECOND_US, 2.5, 1, 0, 4, 0));
     }
 
-    /** Classes with every effect, one with seats, one worth next to nothing, and different scales and floors. */
+    /** Classes of every effect, one with seats and one worth next to nothing; rate scales and lowest renditions differ. */
     static List<SessionClass> manyClasses() {
         return List.of(
                 new SessionClass("plain", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 0, 4, 0),
@@ -165,7 +165,7 @@
                 brokers,
                 "here",
                 classes,
-                List.of(new ServerKind("box", streams), new ServerKind("tower", 2 * streams)),
+                List.of(new ServerKind("standard", streams), new ServerKind("large", 2 * streams)),
                 ladder,
                 new Limits(3, false, false, 250_000, 500_000, REPORT_DELAY_US, reportInterval),
                 new Rules(
@@ -187,7 +187,7 @@
         return new Server(
                 "s" + number,
                 number % 3 == 2 ? "there" : "here",
-                number % 4 == 3 ? "tower" : number % 7 == 6 ? "unheard of" : "box",
+                number % 4 == 3 ? "large" : number % 7 == 6 ? "unknown" : "standard",
                 number,
                 state,
                 differentWeights ? 1 + number % 3 / 2.0 : 1,
@@ -435,7 +435,7 @@
 
     @Override
     public void broadcast(byte[] message) {
-        write("tell", Arrays.toString(message));
+        write("broadcast", Arrays.toString(message));
     }
 
     @Override
--- a/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -351,7 +351,7 @@
 
     @Test
     void connectionResetEndsNoSessions() throws Exception {
-        // Connections of any age are reset while the server's process goes on, and its sessions with it.
+        // Connections of any age are reset while the server's process continues, and so do its sessions.
         startSession("v1");
         connection.setSoLinger(true, 0);
         connection.close();
--- a/src/test/java/dockshed/net/SignalsTest.java
+++ b/src/test/java/dockshed/net/SignalsTest.java
@@ -68,7 +68,7 @@
     @Test
     void earlyHangUpWaitsForItsAction() throws Exception {
         // Guards against a SIGHUP that ends the process early in its start: a broker that was restarted while the name
-        // server moved never came up.
+        // server moved never finished starting.
         Signals.captureHangUps();
         Signal.raise(new Signal("HUP"));
         CountDownLatch actionRun = new CountDownLatch(1);
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -167,26 +167,26 @@
     void openSetUpIsAnsweredBeforeItsConnectionCloses() {
         for (String closingInput : connectionClosingInputs()) {
             BrokerHarness harness = new BrokerHarness();
-            EmbeddedChannel client = new EmbeddedChannel(
+            EmbeddedChannel viewer = new EmbeddedChannel(
                     new RtspFront(harness.broker, harness, () -> harness.now, harness.timers, 3).accept());
-            send(client, setUpMessage(sessionId(1), ""));
-            send(client, closingInput);
-            List<String> answers = received(client);
+            send(viewer, setUpMessage(sessionId(1), ""));
+            send(viewer, closingInput);
+            List<String> answers = received(viewer);
             assertTrue(answers.stream().allMatch(answer -> answer.startsWith("RTSP/1.0 400 ")), closingInput);
-            assertTrue(client.isOpen(), closingInput);
-            send(client, setUpMessage(sessionId(3), ""));
+            assertTrue(viewer.isOpen(), closingInput);
+            send(viewer, setUpMessage(sessionId(3), ""));
             assertEquals(0, harness.count("server a setUp " + sessionId(3)), "accepted after the end: " + closingInput);
             harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x");
-            client.runPendingTasks();
+            viewer.runPendingTasks();
             assertEquals(
                     1,
-                    received(client).stream()
+                    received(viewer).stream()
                             .filter(answer ->
                                     answer.startsWith("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: " + sessionId(1) + "\r\n")
                                             && answer.endsWith("x"))
                             .count(),
                     closingInput);
-            assertFalse(client.isOpen(), closingInput);
+            assertFalse(viewer.isOpen(), closingInput);
             assertEquals(1, harness.broker.activeSessions());
         }
     }
@@ -387,7 +387,7 @@
     }
 
     /**
-     * A client that sends nothing, or stops within a message, must get an error or a close within three seconds of
+     * A viewer that sends nothing, or stops within a message, must get an error or a close within three seconds of
      * connecting.
      */
     @Test
@@ -460,7 +460,7 @@
     }
 
     /**
-     * The edge server does not see these numbers and would accept the set-up, so a client that sends impossible ones
+     * The edge server does not see these numbers and would accept the set-up, so a viewer that sends impossible ones
      * would be served.
      */
     @Test
@@ -474,16 +474,16 @@
                 "home:1e0;copies:3;top:4",
                 "home:0;copies:NaN;top:4",
                 "home:0;copies:3;top:4;at:nowhere")) {
-            EmbeddedChannel client = new EmbeddedChannel(front.accept());
-            send(client, setUpMessage(sessionId(1), "P-Trunk-Info: " + info + "\r\n"));
-            assertTrue(received(client).get(0).startsWith("RTSP/1.0 400 "), info);
-            client.close();
+            EmbeddedChannel viewer = new EmbeddedChannel(front.accept());
+            send(viewer, setUpMessage(sessionId(1), "P-Trunk-Info: " + info + "\r\n"));
+            assertTrue(received(viewer).get(0).startsWith("RTSP/1.0 400 "), info);
+            viewer.close();
         }
         for (String expiresMs : List.of("99999999", "1e3", "0x1p9", "3000d", "Infinity", "3,000", "")) {
-            EmbeddedChannel client = new EmbeddedChannel(front.accept());
-            send(client, setUpMessage(sessionId(1), "").replace("3000", expiresMs));
-            assertTrue(received(client).get(0).startsWith("RTSP/1.0 400 "), expiresMs);
-            client.close();
+            EmbeddedChannel viewer = new EmbeddedChannel(front.accept());
+            send(viewer, setUpMessage(sessionId(1), "").replace("3000", expiresMs));
+            assertTrue(received(viewer).get(0).startsWith("RTSP/1.0 400 "), expiresMs);
+            viewer.close();
         }
         // A truncated description, as if Content-Length were too small.
         send(channel, setUpMessage(sessionId(1), "").replace("d=e\n", "d=e!"));
--- a/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
+++ b/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Viewers that disconnect right after a set-up, on loopback sockets. The event loop is held until both the set-up and
- * the disconnect have arrived, so that it finds them in one read; no attempt may then leave for a viewer that has
- * gone.
+ * Viewers that disconnect right after a set-up, on loopback sockets. The event loop is blocked until both the set-up
+ * and the disconnect have arrived, so that it finds them in one read; no attempt may then be sent for a viewer that has
+ * disconnected.
  */
 class ViewerDisconnectTest {
     private final Net net = new Net();
@@ -144,8 +144,8 @@
     }
 
     /**
-     * A half-close cannot be told from a full close. The connection used to be closed without answers, and the viewer's
-     * requests were lost.
+     * A half-close cannot be distinguished from a full close. The connection used to be closed without answers, and the
+     * viewer's requests were lost.
      */
     @Test
     void halfClosedConnectionGetsOneAnswerToEachSetUpAndNoFurtherAttempt() throws Exception {
--- a/src/test/java/dockshed/storm/StormComponentsTest.java
+++ b/src/test/java/dockshed/storm/StormComponentsTest.java
@@ -240,7 +240,7 @@
         AdmissionQueue queue = new AdmissionQueue(TERMS);
         for (QueuedRequest queuedRequest : List.of(
                 queuedRequest("early", 1, START_US, ReturnKind.EARLY, START_US),
-                queuedRequest("fresh", 1, START_US, ReturnKind.FIRST, START_US),
+                queuedRequest("first", 1, START_US, ReturnKind.FIRST, START_US),
                 queuedRequest("kept", 1, START_US, ReturnKind.KEPT, START_US),
                 queuedRequest("old", 1, START_US - 3 * SECOND_US, ReturnKind.KEPT, START_US),
                 queuedRequest("paid", 3, START_US, ReturnKind.FIRST, START_US))) {
@@ -252,7 +252,7 @@
         }
         // A viewer that ignored its return time gains nothing by it.
         assertEquals("early", order.get(4));
-        assertEquals(List.of("paid", "old", "kept", "fresh", "early").subList(2, 5), order.subList(2, 5));
+        assertEquals(List.of("paid", "old", "kept", "first", "early").subList(2, 5), order.subList(2, 5));
         assertTrue(order.subList(0, 2).containsAll(List.of("paid", "old")));
     }
 
--- a/src/test/java/dockshed/storm/StormScenariosTest.java
+++ b/src/test/java/dockshed/storm/StormScenariosTest.java
@@ -9,7 +9,7 @@
 
 /**
  * Guards brokers against retry storms that meet other faults: cold servers, a surge, restarts in turn, a name server that
- * can't be reached, clients that ignore the advised time, lost replies and a stalled loop. Real brokers with the real
+ * can't be reached, viewers that ignore the advised time, lost replies and a stalled loop. Real brokers with the real
  * decision module run on a virtual clock, with the retry storm filter and, where it is compared, without it.
  */
 class StormScenariosTest {
