--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -377,7 +377,7 @@
         });
     }
 
-    /** An active session has come to its natural end, as detected by its front. */
+    /** An active session has ended normally, as detected by its front. */
     public void sessionCompleted(long now, String name) {
         dispatch(now, eventTime -> {
             BrokerSession session = sessionsByName.get(name);
@@ -767,7 +767,7 @@
     }
 
     @Override
-    public void timer(String key, long time) {
+    public void scheduleTimer(String key, long time) {
         timers.schedule(time, dueAt -> dispatch(dueAt, eventTime -> director.timer(eventTime, key)));
     }
 
--- a/src/main/java/dockshed/fleet/AdmissionFilter.java
+++ b/src/main/java/dockshed/fleet/AdmissionFilter.java
@@ -230,7 +230,7 @@
 
     private void setTimer(long at) {
         timerSet = true;
-        out.timer(TIMER_KEY, at);
+        out.scheduleTimer(TIMER_KEY, at);
     }
 
     @Override
--- a/src/main/java/dockshed/simhost/SimHost.java
+++ b/src/main/java/dockshed/simhost/SimHost.java
@@ -245,15 +245,15 @@
         return servers;
     }
 
-    private static ListScope scope(String word) {
-        return switch (word) {
+    private static ListScope scope(String text) {
+        return switch (text) {
             case "diff" -> ListScope.CHANGES;
             case "snapshot" -> ListScope.SNAPSHOT;
             case "disk" -> ListScope.DISK;
             case "error" -> ListScope.ERROR;
             default ->
                 throw new JsonFields.InvalidInputException(
-                        "view: member 'scope': expected diff, snapshot, disk or error, got " + word);
+                        "view: member 'scope': expected diff, snapshot, disk or error, got " + text);
         };
     }
 
@@ -351,7 +351,7 @@
         }
 
         @Override
-        public void timer(String key, long at) {
+        public void scheduleTimer(String key, long at) {
             writeAction("timer", () -> {
                 json.writeStringField("key_back", key);
                 writeMillis("moment", at);
--- a/src/main/java/dockshed/storm/RetryStormFilter.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -248,7 +248,7 @@
                 assignReturnTime(queued.request().id(), queued.viewerRecord(), queued.returnKind()));
     }
 
-    /** Refuses queued requests whose wait deadline has come, then admits as many as capacity allows. */
+    /** Refuses queued requests whose wait deadline has passed, then admits as many as capacity allows. */
     private void serveQueue(long now) {
         for (QueuedRequest expired : queue.removeExpired(now)) {
             refuseQueued(expired);
@@ -378,7 +378,7 @@
     private void scheduleTimer(long at) {
         if (at < timerAt) {
             timerAt = at;
-            actions.timer(TIMER_KEY, at);
+            actions.scheduleTimer(TIMER_KEY, at);
         }
     }
 
--- a/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -40,7 +40,7 @@
     private Director.Actions actions;
     private LoopClock clock;
     private Broker broker;
-    private EdgeServerConnections edges;
+    private EdgeServerConnections edgeConnections;
     private final BlockingQueue<String> probeEvents = new LinkedBlockingQueue<>();
     private volatile Verdict verdict = Verdict.TRY;
     private final ProbeCoordinator probeCoordinator = new ProbeCoordinator() {
@@ -88,7 +88,7 @@
                     message -> {},
                     timers);
             clock.onWakeUp(broker::runDueTimers);
-            edges = new EdgeServerConnections(
+            edgeConnections = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
@@ -104,7 +104,8 @@
                     "names",
                     Director.ListScope.DISK,
                     List.of(new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
+            edgeConnections.updateAddresses(
+                    Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
             return null;
         });
     }
@@ -120,7 +121,11 @@
 
     private void request(String name, String className) {
         net.callOnLoop(() -> broker.request(
-                clock.now(), harness.connection, harness, edges, BrokerHarness.sessionRequest(name, className)));
+                clock.now(),
+                harness.connection,
+                harness,
+                edgeConnections,
+                BrokerHarness.sessionRequest(name, className)));
     }
 
     private void accept() throws IOException {
@@ -173,16 +178,16 @@
         startSession("v1");
         send("progress", "v1", -1, Map.of());
         send("note", "v1", -1, Map.of("note", "fill", "value", "0.93"));
-        assertEquals("module note DELIVERED 0.93", harness.await("module note"));
+        assertEquals("module metricReceived DELIVERED 0.93", harness.await("module metricReceived"));
         send("note", "v1", -1, Map.of("note", "grade", "value", "2"));
-        assertEquals("module note RENDITION 2.0", harness.await("module note"));
+        assertEquals("module metricReceived RENDITION 2.0", harness.await("module metricReceived"));
         send("note", "v1", -1, Map.of("note", "local", "value", "x")); // not a number: ignored
         send("note", "v1", -1, Map.of("note", "local", "value", "1.5"));
-        assertEquals("module note LINK 1.5", harness.await("module note"));
+        assertEquals("module metricReceived LINK 1.5", harness.await("module metricReceived"));
         send("note", "v1", -1, Map.of("note", "upstream", "value", "0.5"));
-        assertEquals("module note UPLINK 0.5", harness.await("module note"));
+        assertEquals("module metricReceived UPLINK 0.5", harness.await("module metricReceived"));
         send("release", "v1", 16, Map.of("load", "x0:0.4;new:1;busy_reqs:12"));
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
         assertEquals("module outcome 0 a OK last [12.0, 0.4]", harness.await("module outcome"));
     }
 
@@ -243,7 +248,7 @@
         connection.setSoLinger(true, 0);
         serverSocket.close();
         connection.close(); // with a reset
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -252,7 +257,7 @@
         connection.close();
         accept();
         send("release", "v1", 16, Map.of()); // sent on the next connection that is opened
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -260,7 +265,7 @@
         startSession("v1");
         serverSocket.close();
         connection.close();
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -271,7 +276,7 @@
         startSession("v1");
         accept();
         send("release", "v1", 41, Map.of());
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -303,10 +308,10 @@
     void restartOfAServerEndsItsOlderSessions() throws Exception {
         startSession("v1");
         net.callOnLoop(() -> {
-            edges.serverRestarted("a", clock.now() + 1);
+            edgeConnections.serverRestarted("a", clock.now() + 1);
             return null;
         });
-        assertEquals("front over v1 RESET", harness.await("front over"));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded"));
         startSessionOnNewConnection("v2");
     }
 
@@ -337,7 +342,7 @@
     @Test
     void setUpAtAnUnlistedServerIsNotSent() throws Exception {
         net.callOnLoop(() -> {
-            edges.updateAddresses(Map.of());
+            edgeConnections.updateAddresses(Map.of());
             return null;
         });
         request("v1", "paid");
@@ -346,13 +351,13 @@
 
     @Test
     void connectionResetEndsNoSessions() throws Exception {
-        // Connections of any age are reset while the server's process goes on, and its sessions with it.
+        // Connections of any age are reset while the server's process continues, and so do its sessions.
         startSession("v1");
         connection.setSoLinger(true, 0);
         connection.close();
         accept();
         send("release", "v1", 16, Map.of());
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -414,7 +419,7 @@
         awaitProbeEvent("suspected a true");
         awaitProbeEvent("asked a");
         awaitProbeEvent("asked a");
-        assertEquals(0, net.callOnLoop(edges::countConnections));
+        assertEquals(0, net.callOnLoop(edgeConnections::countConnections));
         verdict = Verdict.UP;
         accept(); // another broker found it up: messages about the session need a connection
         awaitProbeEvent("suspected a false");
@@ -427,8 +432,8 @@
         serverSocket.close();
         verdict = Verdict.DOWN;
         resetConnection();
-        assertEquals("front over v1 RESET", harness.await("front over v1"));
-        assertEquals(0, net.callOnLoop(edges::countConnections));
+        assertEquals("front sessionEnded v1 RESET", harness.await("front sessionEnded v1"));
+        assertEquals(0, net.callOnLoop(edgeConnections::countConnections));
         assertTrue(
                 probeEvents.stream().noneMatch(l -> l.startsWith("found")),
                 "it probed the server itself: " + probeEvents);
@@ -457,7 +462,7 @@
         serverSocket.setSoTimeout(20_000);
         accept();
         send("release", "v1", 16, Map.of());
-        assertEquals("front over v1 OK", harness.await("front over"));
+        assertEquals("front sessionEnded v1 OK", harness.await("front sessionEnded"));
     }
 
     @Test
@@ -518,7 +523,7 @@
             send("note", "v1", -1, Map.of("note", "local", "value", value));
         }
         send("note", "v1", -1, Map.of("note", "local", "value", "0.25"));
-        assertEquals("module note LINK 0.25", harness.await("module note"));
+        assertEquals("module metricReceived LINK 0.25", harness.await("module metricReceived"));
         send("release", "v1", 16, Map.of("load", "x0:NaN;busy_reqs:3"));
         assertEquals("module outcome 0 a OK last", harness.await("module outcome"));
     }
@@ -552,7 +557,7 @@
                             .map(id -> new Director.Server(id, "z", "k", 0, Director.State.UP, 1, 0))
                             .toList());
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort());
-            edges.updateAddresses(Map.of("a", at, "b", at, "c", at, "d", at));
+            edgeConnections.updateAddresses(Map.of("a", at, "b", at, "c", at, "d", at));
             return null;
         });
         List<Socket> connections = new ArrayList<>();
@@ -563,11 +568,11 @@
             connections.add(connection);
         }
         accept(); // the one that is probed
-        assertEquals(5, net.callOnLoop(() -> edges.countConnections()));
+        assertEquals(5, net.callOnLoop(() -> edgeConnections.countConnections()));
         for (int i = 0; i < connections.size(); i++) {
             connection = connections.get(i);
             send("release", "v" + ids.get(i), 16, Map.of());
-            assertEquals("front over v" + ids.get(i) + " OK", harness.await("front over"));
+            assertEquals("front sessionEnded v" + ids.get(i) + " OK", harness.await("front sessionEnded"));
         }
     }
 
@@ -582,7 +587,7 @@
                     "names",
                     Director.ListScope.CHANGES,
                     List.of(new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(Map.of(
+            edgeConnections.updateAddresses(Map.of(
                     "a",
                     new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort()),
                     "b",
@@ -599,12 +604,12 @@
         try (ServerSocket b = limitToOneConnection()) {
             startSession("0000000000000001");
             send("release", "0000000000000001", 16, Map.of());
-            harness.await("front over 0000000000000001");
+            harness.await("front sessionEnded 0000000000000001");
             harness.onRequest = request -> actions.send(request.id(), "b", 0);
             request("0000000000000002", "safe");
             try (Socket other = b.accept()) {
                 assertEquals(null, read(), "the idle connection was closed");
-                assertEquals(1, (int) net.callOnLoop(edges::countConnections));
+                assertEquals(1, (int) net.callOnLoop(edgeConnections::countConnections));
             }
         }
     }
@@ -620,7 +625,7 @@
             harness.onRequest = request -> actions.send(request.id(), "b", 0);
             request("0000000000000002", "safe");
             harness.await("module outcome 0 b MOOT");
-            assertEquals(1, (int) net.callOnLoop(edges::countConnections));
+            assertEquals(1, (int) net.callOnLoop(edgeConnections::countConnections));
         }
     }
 
@@ -643,7 +648,7 @@
                 harness.await("front served 0000000000000002");
                 accept(); // a gets a connection again without further cause
                 send("release", "0000000000000001", 16, Map.of());
-                harness.await("front over 0000000000000001");
+                harness.await("front sessionEnded 0000000000000001");
             }
         }
     }
@@ -685,7 +690,7 @@
     }
 
     private boolean requestOnLoop(SessionRequest sessionRequest) {
-        return broker.request(clock.now(), harness.connection, harness, edges, sessionRequest);
+        return broker.request(clock.now(), harness.connection, harness, edgeConnections, sessionRequest);
     }
 
     @Test
@@ -755,7 +760,7 @@
                     },
                     message -> {},
                     timers);
-            edges = new EdgeServerConnections(
+            edgeConnections = new EdgeServerConnections(
                     broker,
                     net,
                     clock,
@@ -765,7 +770,8 @@
                     probeCoordinator);
             harness.connection = broker.connected(clock.now(), harness, h -> {});
             changeServerState(Director.State.UP);
-            edges.updateAddresses(Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
+            edgeConnections.updateAddresses(
+                    Map.of("a", new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort())));
             requestOnLoop(BrokerHarness.sessionRequest("v1", "paid"));
             changeServerState(Director.State.DRAINING); // the drain grace equals the margin kept of it, so none is left
             return null;
--- a/src/test/java/dockshed/fleet/AdmissionFilterTest.java
+++ b/src/test/java/dockshed/fleet/AdmissionFilterTest.java
@@ -56,7 +56,7 @@
         public void broadcast(byte[] message) {}
 
         @Override
-        public void timer(String key, long at) {}
+        public void scheduleTimer(String key, long at) {}
     }
 
     private final RecordingActions recorded = new RecordingActions();
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -48,7 +48,7 @@
     @Test
     void setUpIsAnsweredAndEndOfSessionIsSentAsTeardown() {
         send(channel, setUpMessage(sessionId(1), ""));
-        assertEquals(List.of("box a setUp " + sessionId(1) + " left=2990"), harness.log);
+        assertEquals(List.of("server a setUp " + sessionId(1) + " left=2990"), harness.log);
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x\r\né");
         harness.ended("a", sessionId(1), Outcome.OK);
         assertEquals(
@@ -122,7 +122,7 @@
             send(channel, String.valueOf(c));
         }
         send(channel, setUpMessage(sessionId(3), "") + setUpMessage(sessionId(4), ""));
-        assertEquals(4, harness.count("box a setUp"));
+        assertEquals(4, harness.count("server a setUp"));
     }
 
     @Test
@@ -167,26 +167,26 @@
     void openSetUpIsAnsweredBeforeItsConnectionCloses() {
         for (String closingInput : connectionClosingInputs()) {
             BrokerHarness harness = new BrokerHarness();
-            EmbeddedChannel client = new EmbeddedChannel(
+            EmbeddedChannel viewer = new EmbeddedChannel(
                     new RtspFront(harness.broker, harness, () -> harness.now, harness.timers, 3).accept());
-            send(client, setUpMessage(sessionId(1), ""));
-            send(client, closingInput);
-            List<String> answers = received(client);
+            send(viewer, setUpMessage(sessionId(1), ""));
+            send(viewer, closingInput);
+            List<String> answers = received(viewer);
             assertTrue(answers.stream().allMatch(answer -> answer.startsWith("RTSP/1.0 400 ")), closingInput);
-            assertTrue(client.isOpen(), closingInput);
-            send(client, setUpMessage(sessionId(3), ""));
-            assertEquals(0, harness.count("box a setUp " + sessionId(3)), "accepted after the end: " + closingInput);
+            assertTrue(viewer.isOpen(), closingInput);
+            send(viewer, setUpMessage(sessionId(3), ""));
+            assertEquals(0, harness.count("server a setUp " + sessionId(3)), "accepted after the end: " + closingInput);
             harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "x");
-            client.runPendingTasks();
+            viewer.runPendingTasks();
             assertEquals(
                     1,
-                    received(client).stream()
+                    received(viewer).stream()
                             .filter(answer ->
                                     answer.startsWith("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: " + sessionId(1) + "\r\n")
                                             && answer.endsWith("x"))
                             .count(),
                     closingInput);
-            assertFalse(client.isOpen(), closingInput);
+            assertFalse(viewer.isOpen(), closingInput);
             assertEquals(1, harness.broker.activeSessions());
         }
     }
@@ -264,10 +264,10 @@
     void teardownCancelsSetUpOrReleasesSessionAndIsAnswered() {
         String teardown = "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n";
         send(channel, setUpMessage(sessionId(1), "") + teardown + "\r\n");
-        assertEquals(0, harness.count("box a setUp"), "cancelled within the read that brought the set-up");
+        assertEquals(0, harness.count("server a setUp"), "cancelled within the read that brought the set-up");
         send(channel, setUpMessage(sessionId(1), ""));
         send(channel, teardown + "\r\n");
-        assertEquals(1, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a cancelSetUp"));
         assertEquals(
                 List.of("200", "200"),
                 received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
@@ -275,7 +275,7 @@
         send(channel, setUpMessage(sessionId(1), ""));
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         send(channel, teardown + "Reason: cause=31\r\n\r\n");
-        assertEquals(1, harness.count("box a release"));
+        assertEquals(1, harness.count("server a release"));
         assertEquals(
                 List.of("200", "200"),
                 received(channel).stream().map(answer -> answer.split(" ")[1]).toList());
@@ -288,7 +288,7 @@
                 setUpMessage(sessionId(1), "P-Trunk-Info: home:0;copies:3;top:4;viewer:00;at:b\r\n")
                         .repeat(2));
         assertEquals(List.of(), received(channel));
-        assertEquals(1, harness.count("module open b"));
+        assertEquals(1, harness.count("module adoptSession b"));
     }
 
     @Test
@@ -318,7 +318,7 @@
             }
         });
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
-        assertEquals(1, harness.count("box a release " + sessionId(1)));
+        assertEquals(1, harness.count("server a release " + sessionId(1)));
         assertEquals(0, harness.broker.activeSessions());
     }
 
@@ -387,7 +387,7 @@
     }
 
     /**
-     * A client that sends nothing, or stops within a message, must get an error or a close within three seconds of
+     * A viewer that sends nothing, or stops within a message, must get an error or a close within three seconds of
      * connecting.
      */
     @Test
@@ -412,7 +412,7 @@
         send(channel, setUpMessage(sessionId(1), ""));
         send(channel, setUpMessage(sessionId(1), ""));
         assertTrue(received(channel).get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(1, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a cancelSetUp"));
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         assertEquals(0, harness.broker.counts().served);
     }
@@ -429,7 +429,7 @@
         assertTrue(channel.isOpen());
         send(other, "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + sessionId(1) + "\r\n\r\n");
         assertFalse(channel.isOpen());
-        assertEquals(1, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a cancelSetUp"));
     }
 
     /** A duplicate on one connection must not affect a set-up for the same session on another connection. */
@@ -442,8 +442,8 @@
                 received(channel).stream().filter(answer -> !answer.isEmpty()).toList();
         assertEquals(1, answers.size(), answers.toString());
         assertTrue(answers.get(0).startsWith("RTSP/1.0 400 "));
-        assertEquals(1, harness.count("box a setUp"), "only the other connection's set-up");
-        assertEquals(0, harness.count("box a giveUp"));
+        assertEquals(1, harness.count("server a setUp"), "only the other connection's set-up");
+        assertEquals(0, harness.count("server a cancelSetUp"));
         harness.broker.setUpAnswered(harness.now, "a", sessionId(1), "");
         assertTrue(received(other).get(0).startsWith("RTSP/1.0 200 "));
     }
@@ -460,7 +460,7 @@
     }
 
     /**
-     * The edge server does not see these numbers and would accept the set-up, so a client that sends impossible ones
+     * The edge server does not see these numbers and would accept the set-up, so a viewer that sends impossible ones
      * would be served.
      */
     @Test
@@ -474,16 +474,16 @@
                 "home:1e0;copies:3;top:4",
                 "home:0;copies:NaN;top:4",
                 "home:0;copies:3;top:4;at:nowhere")) {
-            EmbeddedChannel client = new EmbeddedChannel(front.accept());
-            send(client, setUpMessage(sessionId(1), "P-Trunk-Info: " + info + "\r\n"));
-            assertTrue(received(client).get(0).startsWith("RTSP/1.0 400 "), info);
-            client.close();
+            EmbeddedChannel viewer = new EmbeddedChannel(front.accept());
+            send(viewer, setUpMessage(sessionId(1), "P-Trunk-Info: " + info + "\r\n"));
+            assertTrue(received(viewer).get(0).startsWith("RTSP/1.0 400 "), info);
+            viewer.close();
         }
         for (String expiresMs : List.of("99999999", "1e3", "0x1p9", "3000d", "Infinity", "3,000", "")) {
-            EmbeddedChannel client = new EmbeddedChannel(front.accept());
-            send(client, setUpMessage(sessionId(1), "").replace("3000", expiresMs));
-            assertTrue(received(client).get(0).startsWith("RTSP/1.0 400 "), expiresMs);
-            client.close();
+            EmbeddedChannel viewer = new EmbeddedChannel(front.accept());
+            send(viewer, setUpMessage(sessionId(1), "").replace("3000", expiresMs));
+            assertTrue(received(viewer).get(0).startsWith("RTSP/1.0 400 "), expiresMs);
+            viewer.close();
         }
         // A truncated description, as if Content-Length were too small.
         send(channel, setUpMessage(sessionId(1), "").replace("d=e\n", "d=e!"));
--- a/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
+++ b/src/test/java/dockshed/rtsp/ViewerDisconnectTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Viewers that disconnect right after a set-up, on loopback sockets. The event loop is held until both the set-up and
- * the disconnect have arrived, so that it finds them in one read; no attempt may then leave for a viewer that has
- * gone.
+ * Viewers that disconnect right after a set-up, on loopback sockets. The event loop is blocked until both the set-up
+ * and the disconnect have arrived, so that it finds them in one read; no attempt may then be sent for a viewer that has
+ * disconnected.
  */
 class ViewerDisconnectTest {
     private final Net net = new Net();
@@ -75,7 +75,7 @@
     }
 
     private long attempts() {
-        return net.callOnLoop(() -> harness.count("box a setUp"));
+        return net.callOnLoop(() -> harness.count("server a setUp"));
     }
 
     /** Unanswered requests. Only the connection of the last OPTIONS may still be open, as it may be closing. */
@@ -120,7 +120,7 @@
             release.countDown();
             awaitEarlierReads();
             assertEquals(0, unanswered());
-            assertEquals(attempts(), net.callOnLoop(() -> harness.count("box a giveUp")));
+            assertEquals(attempts(), net.callOnLoop(() -> harness.count("server a cancelSetUp")));
         }
     }
 
@@ -144,8 +144,8 @@
     }
 
     /**
-     * A half-close cannot be told from a full close. The connection used to be closed without answers, and the viewer's
-     * requests were lost.
+     * A half-close cannot be distinguished from a full close. The connection used to be closed without answers, and the
+     * viewer's requests were lost.
      */
     @Test
     void halfClosedConnectionGetsOneAnswerToEachSetUpAndNoFurtherAttempt() throws Exception {
@@ -154,7 +154,7 @@
                     socket,
                     RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(1), "").replace("Class: safe", "Class: paid")
                             + RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(2), ""));
-            harness.await("box a setUp " + RtspFrontTest.sessionId(2));
+            harness.await("server a setUp " + RtspFrontTest.sessionId(2));
             CountDownLatch release = LoopBlocker.block(net);
             send(socket, RtspFrontTest.setUpMessage(RtspFrontTest.sessionId(3), ""));
             socket.shutdownOutput();
@@ -172,7 +172,7 @@
             }
             awaitEarlierReads();
             assertEquals(2, attempts());
-            assertEquals(2, net.callOnLoop(() -> harness.count("box a giveUp")));
+            assertEquals(2, net.callOnLoop(() -> harness.count("server a cancelSetUp")));
             assertEquals(0, unanswered());
         }
     }
--- a/src/test/java/dockshed/storm/RetryStormFilterTest.java
+++ b/src/test/java/dockshed/storm/RetryStormFilterTest.java
@@ -42,7 +42,7 @@
                         retryAfters.add((Long) args[1]);
                         yield record("refuse " + args[0]);
                     }
-                    case "broadcast", "timer" -> null;
+                    case "broadcast", "scheduleTimer" -> null;
                     case "newSessionShare" -> -1.0;
                     case "mayRetry" -> true;
                     default -> record(method.getName() + " " + args[0]);
@@ -147,7 +147,9 @@
     void timersAndMessagesOfTheModuleArePassedOnAndInvalidStormMessagesAreNot() {
         filter.timer(START_US, "sweep");
         filter.peerMessageReceived(START_US, 1, new byte[] {1, 2, 3});
-        assertTrue(module.log.containsAll(List.of("module timer sweep", "module told 1")), module.log.toString());
+        assertTrue(
+                module.log.containsAll(List.of("module timer sweep", "module peerMessageReceived 1")),
+                module.log.toString());
         filter.peerMessageReceived(START_US, 1, new byte[] {(byte) StormMessage.MAGIC, 99});
         filter.peerMessageReceived(
                 START_US,
@@ -157,7 +159,7 @@
                 2,
                 filter.counts().messagesDiscarded,
                 "one of another version, one from a broker that is not in the fleet");
-        assertEquals(1, module.count("module told"));
+        assertEquals(1, module.count("module peerMessageReceived"));
     }
 
     @Test
