--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -86,8 +86,8 @@
      * @param deadline time after the request at which its viewers stop waiting
      * @param worth what a session earns per second, relative to other classes
      * @param rateScale factor on the rates of the ladder
-     * @param floor index of the lowest rendition
-     * @param top index of the highest rendition
+     * @param lowestRendition index of the lowest rendition that its sessions get
+     * @param highestRendition index of the highest rendition that its sessions get
      * @param seats sessions of the class for each title; 0: no limit
      */
     record SessionClass(
@@ -97,14 +97,16 @@
             long deadline,
             double worth,
             double rateScale,
-            int floor,
-            int top,
+            int lowestRendition,
+            int highestRendition,
             int seats) {
         public SessionClass {
             require(worth > 0, "points: expected a number over 0 as the worth of class " + name);
             require(rateScale > 0, "class_scale: expected a number over 0 for class " + name);
             require(goalTime > 0 && deadline > 0, "goal_time, deadline: expected times over 0 for class " + name);
-            require(floor >= 0 && floor <= top, "lowest_rung: expected 0 to top_by_class for class " + name);
+            require(
+                    lowestRendition >= 0 && lowestRendition <= highestRendition,
+                    "lowest_rung: expected 0 to top_by_class for class " + name);
             require(seats >= 0, "class_seats: expected 0 or more for class " + name);
         }
     }
@@ -285,7 +287,7 @@
             require(!classes.isEmpty(), "classes: expected one or more");
             for (SessionClass sessionClass : classes) {
                 require(
-                        sessionClass.floor() < ladder.rates().size(),
+                        sessionClass.lowestRendition() < ladder.rates().size(),
                         "lowest_rung: expected a rendition of rates_kb for class " + sessionClass.name());
             }
         }
@@ -368,7 +370,7 @@
             long now, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report);
 
     /** A metric of a playing session and its server was received. */
-    void metricReceived(long now, String request, String server, Metric topic, double value);
+    void metricReceived(long now, String request, String server, Metric metric, double value);
 
     /** The viewer has cancelled the request or session and needs no answer. */
     void requestCancelled(long now, String request);
--- a/src/main/java/dockshed/DirectorFilter.java
+++ b/src/main/java/dockshed/DirectorFilter.java
@@ -117,9 +117,9 @@
     }
 
     @Override
-    public void metricReceived(long now, String request, String server, Metric topic, double value) {
+    public void metricReceived(long now, String request, String server, Metric metric, double value) {
         beforeEvent(now);
-        nextDirector.metricReceived(now, request, server, topic, value);
+        nextDirector.metricReceived(now, request, server, metric, value);
     }
 
     @Override
--- a/src/main/java/dockshed/choice/Admission.java
+++ b/src/main/java/dockshed/choice/Admission.java
@@ -67,7 +67,8 @@
 
     /** Upper bound on the probability that an admitting cold server is picked, given the warm ones with room. */
     private double coldPickProbability(long now, Session session, List<EdgeServer> from) {
-        double neededKb = handshakesArePriced() ? pricing.bestRateKb(session) : session.rateKb(session.floor());
+        double neededKb =
+                handshakesArePriced() ? pricing.bestRateKb(session) : session.rateKb(session.lowestRendition());
         long warm = from.stream()
                 .filter(server -> server.warmth(now) >= 1)
                 .filter(server -> !handshakesArePriced() || server.probablyConnected(now, IDLE_CONNECTION_US))
@@ -89,7 +90,7 @@
     /** The servers to try, in this order. */
     private List<EdgeServer> candidates(long now, Session session, List<EdgeServer> holders) {
         List<EdgeServer> withRoom = new ArrayList<>(holders);
-        withRoom.removeIf(server -> !fits(now, session, server, session.rateKb(session.floor())));
+        withRoom.removeIf(server -> !fits(now, session, server, session.rateKb(session.lowestRendition())));
         // In a large fleet a broker has few sessions at each server, so that one more server costs one more handshake.
         if (handshakesArePriced()) {
             double bestKb = pricing.bestRateKb(session);
@@ -141,8 +142,8 @@
         int rendition = -1;
         List<SubRating> drops = List.of();
         List<SubRating> possible =
-                session.rateKb(session.top()) > room ? possibleDrops(now, server, session) : List.of();
-        for (int candidate = session.floor(); candidate <= session.top(); candidate++) {
+                session.rateKb(session.highestRendition()) > room ? possibleDrops(now, server, session) : List.of();
+        for (int candidate = session.lowestRendition(); candidate <= session.highestRendition(); candidate++) {
             double net = remainingStay * pricing.netWorth(session, candidate);
             double missingKb = session.rateKb(candidate) - room;
             List<SubRating> chosen =
--- a/src/main/java/dockshed/choice/Pricing.java
+++ b/src/main/java/dockshed/choice/Pricing.java
@@ -53,14 +53,14 @@
 
     /** Rate in kB/s of the session's rendition that earns most at the present price. */
     double bestRateKb(Session session) {
-        return session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
+        return session.rateKb(ladder.bestRendition(session.sessionClass(), session.highestRendition(), price));
     }
 
     /** Rate in kB/s that one slot of Method II stands for: that of the first class. */
     double slotKb() {
         SessionClass sessionClass = classes.get(0);
-        int top = Math.min(sessionClass.top(), ladder.count() - 1);
-        return ladder.rateKb(sessionClass, ladder.bestRendition(sessionClass, top, price));
+        int highestRendition = Math.min(sessionClass.highestRendition(), ladder.count() - 1);
+        return ladder.rateKb(sessionClass, ladder.bestRendition(sessionClass, highestRendition, price));
     }
 
     /** Expected remaining stay of a session in seconds. */
@@ -96,7 +96,7 @@
     private double demandKb(double price) {
         double demand = 0;
         for (Session session : context.sessions().all()) {
-            demand += session.rateKb(ladder.bestRendition(session.sessionClass(), session.top(), price));
+            demand += session.rateKb(ladder.bestRendition(session.sessionClass(), session.highestRendition(), price));
         }
         return demand;
     }
--- a/src/main/java/dockshed/choice/Steps.java
+++ b/src/main/java/dockshed/choice/Steps.java
@@ -29,7 +29,7 @@
 
     /** Step-downs of a session to each lower rendition. */
     Stream<SubRating> drops(long now, Session session) {
-        return IntStream.range(session.floor(), session.rendition())
+        return IntStream.range(session.lowestRendition(), session.rendition())
                 .mapToObj(rendition -> new SubRating(
                         session, rendition, -session.moreKb(rendition), pricing.dropCost(now, session, rendition)));
     }
@@ -67,7 +67,7 @@
         List.copyOf(server.sessions()).stream()
                 .filter(session -> now - session.steppedAt() >= MIN_STEP_UP_INTERVAL_US
                         && server.load().trust() > Headroom.MIN_TRUST)
-                .forEach(session -> stepUp(now, session, session.top(), 0));
+                .forEach(session -> stepUp(now, session, session.highestRendition(), 0));
     }
 
     /** Steps sub-rated sessions up to their former rendition, after a premium session has left. */
@@ -82,7 +82,7 @@
      * shared.
      */
     void stepUpNewcomer(long now, Session session) {
-        stepUp(now, session, session.top(), 1);
+        stepUp(now, session, session.highestRendition(), 1);
     }
 
     /**
@@ -91,15 +91,15 @@
      *
      * @param share of the headroom; 0 means the even share
      */
-    private void stepUp(long now, Session session, int top, double share) {
-        if (!session.playing() || session.rendition() >= top) {
+    private void stepUp(long now, Session session, int highestRendition, double share) {
+        if (!session.playing() || session.rendition() >= highestRendition) {
             return;
         }
         double room = headroom.forSession(now, session.server(), session, share);
         double unsharedRoom = headroom.forSession(now, session.server(), session, 1);
         double draw = session.server().readingDraw();
         int target = session.rendition();
-        for (int rendition = session.rendition() + 1; rendition <= top; rendition++) {
+        for (int rendition = session.rendition() + 1; rendition <= highestRendition; rendition++) {
             double more = session.moreKb(rendition);
             boolean fits = more <= room || more <= unsharedRoom && more * draw < room;
             target = fits && pricing.netWorth(session, rendition) > pricing.netWorth(session, target)
--- a/src/main/java/dockshed/core/Broker.java
+++ b/src/main/java/dockshed/core/Broker.java
@@ -92,7 +92,7 @@
             this.sessionClass = sessionClass;
             this.connection = connection;
             receivedAt = now;
-            rendition = sessionClass.floor();
+            rendition = sessionClass.lowestRendition();
         }
     }
 
@@ -353,8 +353,8 @@
         recordSetUp(now, connection, true);
         session.server = entry;
         session.attempts = 1;
-        session.rendition = sessionClass.floor();
-        session.sentRendition = sessionClass.floor();
+        session.rendition = sessionClass.lowestRendition();
+        session.sentRendition = sessionClass.lowestRendition();
         session.answered = true;
         counts.opened++;
         dispatch(now, eventTime -> {
@@ -415,7 +415,7 @@
             session.front.served(
                     session.connection,
                     name,
-                    new Front.Grant(server, description, session.sessionClass.floor(), session.rendition));
+                    new Front.Grant(server, description, session.sessionClass.lowestRendition(), session.rendition));
             if (session.rendition != session.sentRendition) {
                 applyRendition(session); // set while the set-up was pending
             }
@@ -457,7 +457,8 @@
                 }
             } else if (session != null && session.active && session.server.id.equals(server)) {
                 if (metric == Metric.RENDITION
-                        && (value < session.sessionClass.floor() || value > session.sessionClass.top())) {
+                        && (value < session.sessionClass.lowestRendition()
+                                || value > session.sessionClass.highestRendition())) {
                     return;
                 }
                 if (metric == Metric.RENDITION) {
@@ -681,7 +682,7 @@
                         session.request.className(),
                         session.request.title(),
                         attemptTimeout,
-                        session.sessionClass.floor(),
+                        session.sessionClass.lowestRendition(),
                         session.rendition,
                         session.request.description()));
     }
@@ -722,8 +723,10 @@
             return;
         }
         int clamped = Math.max(
-                session.sessionClass.floor(),
-                Math.min(rendition, Math.min(session.request.highestRendition(), session.sessionClass.top())));
+                session.sessionClass.lowestRendition(),
+                Math.min(
+                        rendition,
+                        Math.min(session.request.highestRendition(), session.sessionClass.highestRendition())));
         if (clamped != rendition) {
             recordViolation("rate", request, "rendition " + rendition + " is outside the range of class and request");
         }
--- a/src/main/java/dockshed/edge/EdgeServerConnections.java
+++ b/src/main/java/dockshed/edge/EdgeServerConnections.java
@@ -70,7 +70,7 @@
     private static final int MAX_BACKLOG_ENTRIES = 1000;
     /** Connections closed per check in favour of servers with sessions that have none. */
     private static final int MAX_ROTATIONS_PER_CHECK = 4;
-    /** Highest value accepted in a note or load report: no server runs more streams or has more demand on its link. */
+    /** Highest value accepted in a metric or load report: no server runs more streams or has more demand on its link. */
     private static final double MAX_REPORTED_VALUE = 100_000;
 
     /** The logger keeps its earlier name, by which operators filter log lines. */
@@ -136,7 +136,7 @@
     private int maxConnectionsPerServer = 1;
     private int connectionCount; // to all servers, including those still connecting
     private boolean incompleteReportLogged; // the warning is logged once
-    private long lastNoteAt; // from any server
+    private long lastMetricAt; // from any server
     private long lastConnectFailureAt = -TimerQueue.NEVER / 2; // of any server with sessions
     private long lastSilenceProbeAt = -TimerQueue.NEVER / 2; // while all servers were silent
 
@@ -624,14 +624,14 @@
             return;
         }
         if (withSessions.size() >= MIN_SERVERS_FOR_COMMON_SILENCE
-                && now - lastNoteAt > limit / 2
+                && now - lastMetricAt > limit / 2
                 && now - lastConnectFailureAt > limit) {
             if (now - lastSilenceProbeAt <= limit) {
                 return;
             }
             lastSilenceProbeAt = now;
             silent = silent.subList(0, 1);
-            LOG.info("no edge server reports: held={} ms={}", withSessions.size(), (now - lastNoteAt) / 1000);
+            LOG.info("no edge server reports: held={} ms={}", withSessions.size(), (now - lastMetricAt) / 1000);
         }
         for (ServerEntry entry : silent) {
             markSuspect(entry);
@@ -913,8 +913,8 @@
                         parseLoadReport(message.fields().get("load")));
             }
             case "note" -> {
-                lastNoteAt = now;
-                handleNote(now, serverId, message);
+                lastMetricAt = now;
+                handleMetric(now, serverId, message);
             }
             case "ping" -> connection.send(new Message("pong", message.id(), Map.of(), 1, null));
             default -> {} // progress and free capacity are not used
@@ -940,7 +940,7 @@
         };
     }
 
-    private void handleNote(long now, String serverId, Message message) {
+    private void handleMetric(long now, String serverId, Message message) {
         Metric metric =
                 switch (message.fields().getOrDefault("note", "")) {
                     case "fill" -> Metric.DELIVERED;
--- a/src/main/java/dockshed/hls/HlsFront.java
+++ b/src/main/java/dockshed/hls/HlsFront.java
@@ -341,7 +341,7 @@
                 microsFromMillis(query, "expected_ms", 0),
                 (int) wholeNumber(query, "home", 0),
                 (int) wholeNumber(query, "copies", cells),
-                (int) wholeNumber(query, "top", sessionClass.top()),
+                (int) wholeNumber(query, "top", sessionClass.highestRendition()),
                 "1".equals(query.get("repeat")),
                 false,
                 "1".equals(query.get("again")),
--- a/src/main/java/dockshed/model/RenditionLadder.java
+++ b/src/main/java/dockshed/model/RenditionLadder.java
@@ -46,10 +46,10 @@
         return sessionClass.worth() * worths[rendition] - price * rateKb(sessionClass, rendition);
     }
 
-    /** The rendition, at most {@code top}, that earns most at a price per kB. */
-    public int bestRendition(SessionClass sessionClass, int top, double price) {
-        int best = sessionClass.floor();
-        for (int rendition = best + 1; rendition <= top; rendition++) {
+    /** The rendition, at most {@code highestRendition}, that earns most at a price per kB. */
+    public int bestRendition(SessionClass sessionClass, int highestRendition, double price) {
+        int best = sessionClass.lowestRendition();
+        for (int rendition = best + 1; rendition <= highestRendition; rendition++) {
             best = netWorth(sessionClass, rendition, price) > netWorth(sessionClass, best, price) ? rendition : best;
         }
         return best;
@@ -57,7 +57,7 @@
 
     /** The rendition that earns most per kB. */
     public int mostEfficientRendition(SessionClass sessionClass) {
-        int best = sessionClass.floor();
+        int best = sessionClass.lowestRendition();
         for (int rendition = best + 1; rendition < rates.length; rendition++) {
             best = worths[rendition] / rates[rendition] > worths[best] / rates[best] ? rendition : best;
         }
--- a/src/main/java/dockshed/model/Session.java
+++ b/src/main/java/dockshed/model/Session.java
@@ -12,7 +12,7 @@
     private final Request request;
     private final SessionClass sessionClass;
     private final RenditionLadder ladder;
-    private final int top;
+    private final int highestRendition;
     private final long deadline;
     private final List<EdgeServer> triedServers = new ArrayList<>();
     private EdgeServer server;
@@ -34,7 +34,8 @@
         this.request = request;
         this.sessionClass = sessionClass;
         this.ladder = ladder;
-        top = Math.max(sessionClass.floor(), Math.min(request.highestRendition(), sessionClass.top()));
+        highestRendition = Math.max(
+                sessionClass.lowestRendition(), Math.min(request.highestRendition(), sessionClass.highestRendition()));
         deadline = now + request.clientDeadline();
         startedAt = now;
     }
@@ -57,13 +58,13 @@
     }
 
     /** The lowest rendition of its class. */
-    public int floor() {
-        return sessionClass.floor();
+    public int lowestRendition() {
+        return sessionClass.lowestRendition();
     }
 
     /** The highest rendition that it may have. */
-    public int top() {
-        return top;
+    public int highestRendition() {
+        return highestRendition;
     }
 
     /** When the viewer stops waiting, microseconds. */
@@ -104,7 +105,7 @@
         playing = true;
         linkReadingReceived = true;
         attempts = 1;
-        rendition = floor();
+        rendition = lowestRendition();
         server = at;
         at.add(this);
         at.recordChange(now, rateKb(), 0);
--- a/src/test/java/dockshed/RulesTest.java
+++ b/src/test/java/dockshed/RulesTest.java
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void floorAndSeatsAreRespected() {
+    void lowestRenditionAndSeatsAreRespected() {
         DirectorFixture fixture = new DirectorFixture();
         fixture.classes = List.of(new SessionClass("seated", Effect.SAFE, SECOND_US, 4 * SECOND_US, 1, 1, 2, 3, 2));
         fixture.start(DirectorFixture.server("a", 0), DirectorFixture.server("b", 1), DirectorFixture.server("c", 2));
--- a/src/test/java/dockshed/config/ConfigTest.java
+++ b/src/test/java/dockshed/config/ConfigTest.java
@@ -46,7 +46,7 @@
         assertEquals(20_000_000, config.idleTimeout());
         assertEquals(List.of("busy_reqs", "x0"), config.reportFields());
         assertEquals(1_000_000, config.settings().rules().drainGrace());
-        assertEquals(1, config.settings().classes().get(0).floor());
+        assertEquals(1, config.settings().classes().get(0).lowestRendition());
         assertEquals(
                 State.DRAINING,
                 config.knownServers().get(1).servers().get(0).server().state());
@@ -128,7 +128,8 @@
                     .replace("\"lowest_rung\":[1]", "\"lowest_rung\":[1,0]")
                     .replace("\"top_by_class\":[1]", "\"top_by_class\":[1,9]"));
             Director.SessionClass unpaid = config.settings().classes().get(1);
-            assertTrue(unpaid.worth() > 0 && unpaid.worth() < 1e-5 && unpaid.top() == 1, unpaid.toString());
+            assertTrue(
+                    unpaid.worth() > 0 && unpaid.worth() < 1e-5 && unpaid.highestRendition() == 1, unpaid.toString());
         }
     }
 
--- a/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
+++ b/src/test/java/dockshed/edge/EdgeServerConnectionsTest.java
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void notesAndTheEndOfASessionArePassedOn() throws Exception {
+    void metricsAndTheEndOfASessionArePassedOn() throws Exception {
         startSession("v1");
         send("progress", "v1", -1, Map.of());
         send("note", "v1", -1, Map.of("note", "fill", "value", "0.93"));
--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -153,7 +153,7 @@
     public int returnsOnTime;
     public int returnsEarly;
     public int crashedServers; // cold edge servers that got more set-ups than they bear
-    public int renditionsBelowFloor; // set-ups and changes of rendition under the lowest one of the class
+    public int renditionsBelowLowest; // set-ups and changes of rendition under the lowest one of the class
     public int paidRefusedAfterRun; // paid requests refused although a set-up ran
     public double coldPeakRatio; // most set-ups in an overload window at a cold server, over those that it accepts
     public long brokerTimeNanos; // wall-clock time spent in calls of the brokers
@@ -789,7 +789,7 @@
             EdgeServer server = servers.get(Integer.parseInt(serverId.substring(3)));
             Viewer viewer = viewersByRequest.get(setUp.name());
             Broker sender = broker;
-            renditionsBelowFloor += setUp.highestRendition() < setUp.lowestRendition() ? 1 : 0;
+            renditionsBelowLowest += setUp.highestRendition() < setUp.lowestRendition() ? 1 : 0;
             brokerRetries += attemptsByRequest.merge(setUp.name(), 1, Integer::sum) > 1 ? 1 : 0;
             boolean noAnswer = scenario.lostReplyShare > 0 && random.nextDouble() < scenario.lostReplyShare;
             schedule(now + 3 * MS, () -> {
@@ -830,7 +830,7 @@
         public void setRendition(String serverId, String requestId, int rendition) {
             Viewer viewer = viewersByRequest.get(requestId);
             if (viewer != null && requestId.equals(viewer.requestId)) {
-                renditionsBelowFloor += rendition < viewer.sessionClass.floor() ? 1 : 0;
+                renditionsBelowLowest += rendition < viewer.sessionClass.lowestRendition() ? 1 : 0;
                 viewer.rendition = rendition;
             }
         }
--- a/src/test/java/dockshed/rig/StormBench.java
+++ b/src/test/java/dockshed/rig/StormBench.java
@@ -34,7 +34,7 @@
         int duplicatePaidSetUps;
         int unanswered;
         int crashedServers;
-        int renditionsBelowFloor;
+        int renditionsBelowLowest;
         int paidRefusedAfterRun;
         int runs;
         int neverCalm;
@@ -57,7 +57,7 @@
             duplicatePaidSetUps += simulation.duplicatePaidSetUps;
             unanswered += simulation.unanswered;
             crashedServers += simulation.crashedServers;
-            renditionsBelowFloor += simulation.renditionsBelowFloor;
+            renditionsBelowLowest += simulation.renditionsBelowLowest;
             paidRefusedAfterRun += simulation.paidRefusedAfterRun;
             double untilCalm = simulation.secondsUntilCalm(lastRestart);
             if (untilCalm < 0) {
@@ -179,7 +179,7 @@
                     row.add(BrokerSimulation.run(scenario, seed), named.lastRestart());
                 }
                 crashed += row.crashedServers;
-                rulesBroken += row.renditionsBelowFloor + row.paidRefusedAfterRun;
+                rulesBroken += row.renditionsBelowLowest + row.paidRefusedAfterRun;
                 System.out.printf(
                         Locale.ROOT,
                         "| %s | %s | %s | %s | %.0f | %s | %.2f | %s | %s |%n",
--- a/src/test/java/dockshed/storm/StormScenariosTest.java
+++ b/src/test/java/dockshed/storm/StormScenariosTest.java
@@ -36,7 +36,7 @@
     private static BrokerSimulation assertRulesKept(BrokerSimulation simulation) {
         assertEquals(0, simulation.duplicatePaidSetUps, "paid set-ups made twice");
         assertEquals(0, simulation.paidRefusedAfterRun, "paid requests refused that may have run");
-        assertEquals(0, simulation.renditionsBelowFloor, "renditions under the lowest of the class");
+        assertEquals(0, simulation.renditionsBelowLowest, "renditions under the lowest of the class");
         assertEquals(0, simulation.unanswered, "requests without an answer");
         assertEquals(0, simulation.crashedServers, "edge servers that crashed under set-ups");
         assertTrue(simulation.served > 100);
