--- a/src/main/java/dockshed/choice/Admission.java
+++ b/src/main/java/dockshed/choice/Admission.java
@@ -124,7 +124,7 @@
 
     /** Utilization of the server or its uplink, whichever is higher, plus the price of crossing zones. */
     private double weightedUtilization(long now, EdgeServer server) {
-        boolean sameZone = server.info().zone().equals(context.settings().zone());
+        boolean sameZone = server.listing().zone().equals(context.settings().zone());
         double zonePenalty = sameZone
                 ? 0
                 : CROSS_ZONE_LOAD_FACTOR * context.settings().prices().crossZone();
--- a/src/main/java/dockshed/core/ProbeCoordinator.java
+++ b/src/main/java/dockshed/core/ProbeCoordinator.java
@@ -34,11 +34,11 @@
      * What this broker knows of a suspect server.
      *
      * @param suspectedSince      when it became suspect
-     * @param lastSignOfLife      when this broker last received anything from it
+     * @param lastReceivedAt      when this broker last received anything from it
      * @param lastProbedAt        when this broker last tried to connect to it
      * @param consecutiveFailures number of this broker's latest probes that failed in a row
      */
-    record Suspicion(long suspectedSince, long lastSignOfLife, long lastProbedAt, int consecutiveFailures) {}
+    record Suspicion(long suspectedSince, long lastReceivedAt, long lastProbedAt, int consecutiveFailures) {}
 
     /** What this broker has to do about the server now. */
     Verdict decide(long now, String server, Suspicion suspicion);
--- a/src/main/java/dockshed/fleet/HealthProbeSchedule.java
+++ b/src/main/java/dockshed/fleet/HealthProbeSchedule.java
@@ -68,7 +68,7 @@
     private static boolean counts(long now, VersionedEntry report, Suspicion suspicion) {
         return report.value().length > 0
                 && now - report.writtenAt() <= REPORT_MAX_AGE
-                && report.writtenAt() >= suspicion.lastSignOfLife();
+                && report.writtenAt() >= suspicion.lastReceivedAt();
     }
 
     private static boolean probeDue(long now, int me, List<Integer> brokers, int server, Suspicion suspicion) {
--- a/src/main/java/dockshed/model/EdgeServer.java
+++ b/src/main/java/dockshed/model/EdgeServer.java
@@ -19,7 +19,7 @@
     private final Rules rules;
     private final Map<String, Session> sessions = new LinkedHashMap<>();
     private final EventWindow expectedSetUps;
-    private Server info;
+    private Server listing;
     private Rack rack;
     private int streams = 1;
     private boolean listed;
@@ -42,13 +42,13 @@
     // ---- The server list.
 
     /** Its latest entry in the list; null before the first. */
-    public Server info() {
-        return info;
+    public Server listing() {
+        return listing;
     }
 
     /** Its id. */
     public String id() {
-        return info.id();
+        return listing.id();
     }
 
     /** Its rack. */
@@ -86,9 +86,9 @@
         gone |= complete;
     }
 
-    /** An update names it. */
+    /** An update lists it. */
     void presentInList(Server entry) {
-        info = entry;
+        listing = entry;
         listed = entry.state() == Director.State.UP;
         gone = entry.state() == Director.State.GONE;
     }
@@ -114,7 +114,7 @@
     /** Sets its start to the time in its list entry. */
     void startedAsListed() {
         presumedCold = false;
-        coldSince = info.upSince() > 0 ? info.upSince() : NOT_COLD;
+        coldSince = listing.upSince() > 0 ? listing.upSince() : NOT_COLD;
     }
 
     /** Counts as started long ago. */
@@ -246,7 +246,7 @@
 
     /** Whether it holds the requested title, in a ring of {@code cells} cells. */
     public boolean holds(Request request, int cells) {
-        return Math.floorMod(info.cell() - request.homeCell(), cells) < request.copies();
+        return Math.floorMod(listing.cell() - request.homeCell(), cells) < request.copies();
     }
 
     /**
--- a/src/main/java/dockshed/model/EdgeServers.java
+++ b/src/main/java/dockshed/model/EdgeServers.java
@@ -89,8 +89,8 @@
 
     private void updateServer(long now, ListScope scope, Server entry) {
         EdgeServer server = byId.computeIfAbsent(entry.id(), id -> new EdgeServer(settings.rules()));
-        boolean isNew = server.info() == null;
-        boolean restarted = !isNew && entry.upSince() > server.info().upSince();
+        boolean isNew = server.listing() == null;
+        boolean restarted = !isNew && entry.upSince() > server.listing().upSince();
         server.presentInList(entry);
         if (scope == ListScope.DISK) {
             server.presumeCold(now); // may have restarted since the list was stored
@@ -124,22 +124,22 @@
     /** Sets the configured rates of all links: by weight, or by streams where all weights are equal. */
     private void updateCapacity() {
         boolean equalWeights = byId.values().stream()
-                        .mapToDouble(server -> server.info().weight())
+                        .mapToDouble(server -> server.listing().weight())
                         .distinct()
                         .count()
                 < 2;
         double streams = 0;
         for (EdgeServer server : byId.values()) {
-            server.setStreams(settings.streams(server.info().kind()));
+            server.setStreams(settings.streams(server.listing().kind()));
             streams += server.streams();
         }
         linksKb = 0;
         racks.forEach(Rack::clear);
         for (EdgeServer server : byId.values()) {
-            double rateKb = settings.ladder().weightKb() * server.info().weight();
+            double rateKb = settings.ladder().weightKb() * server.listing().weight();
             server.setConfiguredKb(Math.max(
                     1, equalWeights && streams > 0 ? rateKb * server.streams() * byId.size() / streams : rateKb));
-            server.setRack(racks.get(Math.floorMod(server.info().cell(), racks.size())));
+            server.setRack(racks.get(Math.floorMod(server.listing().cell(), racks.size())));
             linksKb += server.configuredKb();
         }
         racks.forEach(this::updateCapacity);
--- a/src/test/java/dockshed/ChoiceTest.java
+++ b/src/test/java/dockshed/ChoiceTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLinkAskedFarBeyondItsRateIsRelieved() {
+    void aLinkWithDemandFarBeyondItsRateIsRelieved() {
         DirectorFixture fixture = new DirectorFixture().start(DirectorFixture.server("a", 0));
         for (int i = 0; i < 4; i++) {
             fixture.play("r" + i, "film");
--- a/src/test/java/dockshed/ChoiceTextTest.java
+++ b/src/test/java/dockshed/ChoiceTextTest.java
@@ -34,7 +34,7 @@
         Path entry = SOURCES.resolve("choice/Choice.java");
         assertTrue(javaFiles(listed("policy")).contains(entry), "the entry is a policy file");
         List<String> top = Files.readAllLines(entry).subList(0, 25);
-        assertTrue(String.join("\n", top).contains("Director.java"), "the top names the interface");
+        assertTrue(String.join("\n", top).contains("Director.java"), "the head of the file names the interface");
     }
 
     @Test
--- a/src/test/java/dockshed/ScriptedDay.java
+++ b/src/test/java/dockshed/ScriptedDay.java
@@ -98,7 +98,7 @@
 
     /** A modelled edge server. */
     private static final class ModelServer {
-        Server info;
+        Server listing;
         double capacityShare = 1;
         double foreignShare;
         long lastReportAt;
@@ -195,8 +195,8 @@
     }
 
     private void updateServers(ListScope scope, List<Server> list) {
-        for (Server info : list) {
-            edgeServers.computeIfAbsent(info.id(), id -> new ModelServer()).info = info;
+        for (Server listing : list) {
+            edgeServers.computeIfAbsent(listing.id(), id -> new ModelServer()).listing = listing;
         }
         director.serversChanged(now, scope, list);
     }
@@ -339,7 +339,8 @@
             }
             edgeServer.lastReportAt = now + random.nextInt(5) * TICK_US;
             List<ModelSession> playing = sessions.values().stream()
-                    .filter(session -> session.playing && edgeServer.info.id().equals(session.server))
+                    .filter(session ->
+                            session.playing && edgeServer.listing.id().equals(session.server))
                     .toList();
             if (playing.isEmpty()) {
                 continue;
@@ -372,16 +373,16 @@
     /** Demand on a server's link over its capacity. */
     private double linkLoad(String server) {
         ModelServer edgeServer = edgeServers.get(server);
-        double link = linkKb * edgeServer.info.weight();
+        double link = linkKb * edgeServer.listing.weight();
         return (edgeServer.foreignShare * link + ownLoadKb(server)) / (link * edgeServer.capacityShare);
     }
 
     private double uplinkLoad(String server) {
-        int rack = edgeServers.get(server).info.cell() % racks;
+        int rack = edgeServers.get(server).listing.cell() % racks;
         double asked = 0;
         for (ModelServer edgeServer : edgeServers.values()) {
-            if (edgeServer.info.cell() % racks == rack) {
-                asked += edgeServer.foreignShare * linkKb + ownLoadKb(edgeServer.info.id());
+            if (edgeServer.listing.cell() % racks == rack) {
+                asked += edgeServer.foreignShare * linkKb + ownLoadKb(edgeServer.listing.id());
             }
         }
         return asked / uplinkKb;
--- a/src/test/java/dockshed/names/DnsTest.java
+++ b/src/test/java/dockshed/names/DnsTest.java
@@ -174,7 +174,7 @@
         byte[] complete = exampleAnswer();
         for (int i = 0; i < complete.length; i++) {
             byte[] truncated = Arrays.copyOf(complete, i);
-            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(truncated), "cut at " + i);
+            assertThrows(Dns.MalformedMessageException.class, () -> Dns.parse(truncated), "truncated at " + i);
         }
         byte[] pointerLoop = new AnswerBuilder(1, "a", Dns.A).bytes();
         pointerLoop[12] = (byte) 0xc0;
--- a/src/test/java/dockshed/rtsp/RtspFrontTest.java
+++ b/src/test/java/dockshed/rtsp/RtspFrontTest.java
@@ -391,7 +391,7 @@
      * connecting.
      */
     @Test
-    void silentOrIncompleteClientIsDisconnectedInTime() {
+    void silentOrIncompleteViewerIsDisconnectedInTime() {
         EmbeddedChannel incomplete = new EmbeddedChannel(front.accept());
         send(incomplete, setUpMessage(sessionId(1), "").substring(0, 60));
         EmbeddedChannel served = new EmbeddedChannel(front.accept());
