--- a/src/main/java/dockshed/Director.java
+++ b/src/main/java/dockshed/Director.java
@@ -330,7 +330,7 @@
      * @param highestRendition index of the highest rendition that the viewer can play
      * @param retry whether the viewer repeats an earlier request
      * @param afterMove whether its session was moved off a server
-     * @param returning whether the viewer says that this is not its first attempt
+     * @param returning whether the viewer says that it has requested this session before
      */
     record Request(
             String id,
--- a/src/main/java/dockshed/core/SessionRequest.java
+++ b/src/main/java/dockshed/core/SessionRequest.java
@@ -16,7 +16,7 @@
  * @param highestRendition index of the highest rendition that the viewer can play
  * @param retry            whether the viewer repeats an earlier request
  * @param afterMove        whether the session was taken off its server and is requested again
- * @param returning     whether the viewer returns after a refusal
+ * @param returning        whether the viewer says that it has requested this session before
  * @param description      the viewer's description of the session, passed to the server unread
  */
 public record SessionRequest(
