--- a/src/main/java/dockshed/Wiring.java
+++ b/src/main/java/dockshed/Wiring.java
@@ -33,7 +33,7 @@
 import dockshed.rollout.host.FileVoteStorage;
 import dockshed.rollout.host.RolloutHost;
 import dockshed.rtsp.RtspFront;
-import dockshed.storm.Damper;
+import dockshed.storm.RetryStormFilter;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.HashMap;
@@ -89,7 +89,7 @@
         Function<Director.Actions, Director> module = actions -> new Choice(s, config.seed(), actions);
         Function<Director.Actions, Director> damped = operator.storm() == null
                 ? module
-                : Damper.before(s, operator.storm(), config.seed() ^ STORM_SEED, module);
+                : RetryStormFilter.before(s, operator.storm(), config.seed() ^ STORM_SEED, module);
         AdmissionFilter[] admission = new AdmissionFilter[1];
         broker = new Broker(
                 s,
--- a/src/main/java/dockshed/config/OperatorConfig.java
+++ b/src/main/java/dockshed/config/OperatorConfig.java
@@ -119,7 +119,7 @@
     }
 
     private static Terms storm(ConfFile.Section s) {
-        Terms u = Terms.USUAL;
+        Terms u = Terms.DEFAULTS;
         Terms t = new Terms(
                 s.enumValue("returns", u.returns(), Terms.Returns.class),
                 s.duration("soonest", u.soonest(), 10 * MS, 60 * S),
--- a/src/main/java/dockshed/storm/Room.java
+++ b/src/main/java/dockshed/storm/CapacityEstimate.java
@@ -5,7 +5,7 @@
  * boxes take together, where no warm one is left: that is room which time brings, so waiting for it is not in vain. Want
  * of room on links is the module's to weigh: to ration by it starves the module (measured: worst 10 s 0.44 fell to 0.19).
  */
-final class Room {
+final class CapacityEstimate {
     private static final long SPAN = 2_000_000;
     /** Requests a second that are let through in any case, so that room which comes back is found. */
     private static final double LEAST = 2;
@@ -21,38 +21,38 @@
 
     private double held = 1; // part of the room expected that promises turn out to find
 
-    private final Window sent = new Window(250_000, SPAN);
+    private final SlidingWindowCounter recordSetUp = new SlidingWindowCounter(250_000, SPAN);
     private double tokens = 1;
     private long countedAt = Long.MIN_VALUE;
 
     /** The module sent a first attempt out. */
-    void sent(long now) {
-        sent.add(now, 1);
+    void recordSetUp(long now) {
+        recordSetUp.add(now, 1);
     }
 
     /** Set-ups a second lately: what returns are promised by. */
-    double measured(long now) {
-        return sent.sum(now, SPAN) * 1e6 / SPAN;
+    double setUpRate(long now) {
+        return recordSetUp.sum(now, SPAN) * 1e6 / SPAN;
     }
 
     /** A viewer that kept its time has been served, or turned away again. */
-    void kept(boolean served) {
+    void recordReturn(boolean served) {
         held = served ? Math.min(1, held + SERVED) : Math.max(LEAST_PART, held * IN_VAIN);
     }
 
     /** Returns a second that may be promised, of so many set-ups expected. */
-    double promise(double expected) {
+    double promisableRate(double expected) {
         return held * expected;
     }
 
     /** Requests a second that the module is given; {@code cold}: what cold boxes take, infinite while a warm one is up. */
-    static double rate(double cold) {
+    static double admissionRate(double cold) {
         return Math.max(LEAST, cold);
     }
 
     /** Whether one more request may go to the module now. */
-    boolean open(long now, double cold) {
-        double rate = rate(cold);
+    boolean mayAdmit(long now, double cold) {
+        double rate = admissionRate(cold);
         if (Double.isInfinite(rate)) {
             countedAt = now;
             return true;
@@ -63,7 +63,7 @@
         return tokens >= 1;
     }
 
-    void passed(double cold) {
+    void recordAdmitted(double cold) {
         if (!Double.isInfinite(cold)) {
             tokens -= 1;
         }
--- a/src/main/java/dockshed/storm/RetryBudget.java
+++ b/src/main/java/dockshed/storm/RetryBudget.java
@@ -6,11 +6,11 @@
  */
 final class RetryBudget {
     /** Fresh requests count for so long. */
-    static final long SPAN = 10_000_000;
+    static final long WINDOW_US = 10_000_000;
 
     private final Terms terms;
-    private final Window fresh = new Window(250_000, SPAN);
-    private final Window spent = new Window(250_000, SPAN);
+    private final SlidingWindowCounter fresh = new SlidingWindowCounter(250_000, WINDOW_US);
+    private final SlidingWindowCounter spent = new SlidingWindowCounter(250_000, WINDOW_US);
     long denied;
 
     RetryBudget(Terms terms) {
@@ -25,9 +25,9 @@
         spent.add(now, 1);
     }
 
-    boolean may(long now) {
-        double budget = terms.retryShare() * fresh.sum(now, SPAN) + terms.retryLeast() * SPAN / 1e6;
-        boolean may = spent.sum(now, SPAN) + 1 <= budget;
+    boolean mayRetry(long now) {
+        double budget = terms.retryShare() * fresh.sum(now, WINDOW_US) + terms.retryLeast() * WINDOW_US / 1e6;
+        boolean may = spent.sum(now, WINDOW_US) + 1 <= budget;
         denied += may ? 0 : 1;
         return may;
     }
--- a/src/main/java/dockshed/storm/Damper.java
+++ b/src/main/java/dockshed/storm/RetryStormFilter.java
@@ -2,9 +2,9 @@
 
 import dockshed.Director;
 import dockshed.DirectorFilter;
-import dockshed.storm.Visits.Standing;
-import dockshed.storm.Visits.Visit;
-import dockshed.storm.WaitingRoom.Waiter;
+import dockshed.storm.AdmissionQueue.QueuedRequest;
+import dockshed.storm.RequestHistory.ReturnKind;
+import dockshed.storm.RequestHistory.ViewerRecord;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -18,54 +18,55 @@
  * a request may wait for its turn or be turned away before the module sees it, every refusal becomes an appointment, and
  * the module is told what the budget of further attempts and the pace of cold boxes leave.
  */
-public final class Damper extends DirectorFilter {
+public final class RetryStormFilter extends DirectorFilter {
     private static final String KEY = "storm";
     /** Between turns while requests wait, and between looks while none does. */
-    private static final long TURN = 20_000;
+    private static final long QUEUE_INTERVAL_US = 20_000;
 
-    private static final long LOOK = 250_000;
+    private static final long IDLE_INTERVAL_US = 250_000;
     /** Of the room expected, what returns get at least however many fresh viewers come. */
-    private static final double RETURNS_PART = 0.3;
+    private static final double MIN_RETURN_SHARE = 0.3;
 
-    private static final double LEAST_RETURNS = 0.2;
+    private static final double MIN_RETURNS_PER_SECOND = 0.2;
     /** Peers' promises are believed for so long. */
-    private static final long BELIEVED = 3_000_000;
+    private static final long PEER_STATUS_VALIDITY_US = 3_000_000;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Damper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RetryStormFilter.class);
 
     /** Counts since the start. */
     public static final class Counts {
         public long requests;
         public long waited;
         public long turnedAway;
-        public long appointed;
-        public long unplaced;
-        public long kept;
-        public long early;
-        public long untold;
+        public long returnTimesGiven;
+        public long unscheduledReturnTimes;
+        public long returnsOnTime;
+        public long returnsEarly;
+        public long returnsWithoutTime;
         public long retriesDenied;
-        public long notesSent;
-        public long notesHeard;
-        public long notesPassedOver;
-        public long forgotten;
+        public long messagesSent;
+        public long messagesReceived;
+        public long messagesDiscarded;
+        public long evictedViewers;
 
         @Override
         public String toString() {
             return "requests=" + requests + " waited=" + waited + " turned_away=" + turnedAway + " appointed="
-                    + appointed + " unplaced=" + unplaced + " kept=" + kept + " early=" + early + " retries_denied="
+                    + returnTimesGiven + " unplaced=" + unscheduledReturnTimes + " kept=" + returnsOnTime + " early="
+                    + returnsEarly + " retries_denied="
                     + retriesDenied;
         }
     }
 
     /** A request that the module holds. */
-    private static final class Held {
-        final Visit visit;
+    private static final class ActiveRequest {
+        final ViewerRecord visit;
         final String key;
-        final Standing standing;
+        final ReturnKind standing;
         final boolean again;
         int attempts;
 
-        Held(Visit visit, String key, Standing standing, boolean again) {
+        ActiveRequest(ViewerRecord visit, String key, ReturnKind standing, boolean again) {
             this.again = again;
             this.visit = visit;
             this.key = key;
@@ -73,35 +74,35 @@
         }
     }
 
-    private record Told(Note note, long at) {}
+    private record PeerStatus(StormMessage note, long at) {}
 
     private final Settings settings;
     private final Terms terms;
     private final Director.Actions out;
     private final SplittableRandom random;
     private final Map<String, SessionClass> classes = new HashMap<>();
-    private final Map<String, Held> held = new HashMap<>(); // bounded by the broker's own table
-    private final Map<Integer, Told> peers = new HashMap<>(); // bounded by the tier
-    private final Watch watch;
-    private final Calendar calendar;
-    private final Visits visits;
-    private final WaitingRoom waiting;
+    private final Map<String, ActiveRequest> held = new HashMap<>(); // bounded by the broker's own table
+    private final Map<Integer, PeerStatus> peers = new HashMap<>(); // bounded by the tier
+    private final StormDetector detector;
+    private final ReturnCalendar calendar;
+    private final RequestHistory history;
+    private final AdmissionQueue queue;
     private final RetryBudget budget;
-    private final ColdPace cold;
-    private final Room room = new Room();
-    private final Window fresh = new Window(100_000, Watch.FAST);
+    private final ColdServerLimiter coldServers;
+    private final CapacityEstimate capacity = new CapacityEstimate();
+    private final SlidingWindowCounter freshRequests = new SlidingWindowCounter(100_000, StormDetector.FAST_WINDOW_US);
     private final Counts counts = new Counts();
     private long now;
-    private long notedAt;
-    private long armedFor = Long.MAX_VALUE;
+    private long lastMessageAt;
+    private long timerAt = Long.MAX_VALUE;
 
     /** Puts the part between a broker's actions and the module that is built on them. */
     public static Function<Director.Actions, Director> before(
             Settings settings, Terms terms, long seed, Function<Director.Actions, Director> module) {
-        return actions -> new Damper(settings, terms, seed, actions, module);
+        return actions -> new RetryStormFilter(settings, terms, seed, actions, module);
     }
 
-    Damper(
+    RetryStormFilter(
             Settings settings,
             Terms terms,
             long seed,
@@ -113,40 +114,41 @@
         random = new SplittableRandom(seed);
         settings.classes().forEach(c -> classes.put(c.name(), c));
         List<Double> rates = settings.ladder().rates();
-        double usual = settings.ladder().linksKb() / (rates.get(rates.size() / 2) * USUAL_STAY) / settings.brokers();
-        watch = new Watch(terms, Math.max(0.5, usual), settings.brokers());
-        calendar = new Calendar(terms.slot());
-        visits = new Visits(terms);
-        waiting = new WaitingRoom(terms);
+        double usual =
+                settings.ladder().linksKb() / (rates.get(rates.size() / 2) * ASSUMED_SESSION_S) / settings.brokers();
+        detector = new StormDetector(terms, Math.max(0.5, usual), settings.brokers());
+        calendar = new ReturnCalendar(terms.slot());
+        history = new RequestHistory(terms);
+        queue = new AdmissionQueue(terms);
         budget = new RetryBudget(terms);
-        cold = new ColdPace(settings, terms);
-        this.nextDirector = module.apply(new Inner());
+        coldServers = new ColdServerLimiter(settings, terms);
+        this.nextDirector = module.apply(new ModuleActions());
     }
 
     /** Seconds of a session, before any was seen. */
-    private static final double USUAL_STAY = 25;
+    private static final double ASSUMED_SESSION_S = 25;
 
     public Counts counts() {
         counts.retriesDenied = budget.denied;
-        counts.forgotten = visits.forgotten;
+        counts.evictedViewers = history.evicted;
         return counts;
     }
 
     /** For the log and measurements: CALM, RISING, STORM or EBBING. */
     public String state() {
-        return watch.state().name();
+        return detector.state().name();
     }
 
-    int remembered() {
-        return visits.size();
+    int trackedViewers() {
+        return history.size();
     }
 
-    int waitingNow() {
-        return waiting.size();
+    int queuedRequests() {
+        return queue.size();
     }
 
-    int promised() {
-        return calendar.promised(now);
+    int pendingReturns() {
+        return calendar.pending(now);
     }
 
     // ---- Requests.
@@ -160,48 +162,48 @@
             return;
         }
         counts.requests++;
-        String key = Visits.key(r.viewer(), r.title(), r.className());
-        Visit visit = visits.come(at, key);
-        Standing standing = visits.standing(at, visit);
-        boolean again = visit.tries > 1 || r.retry() || r.afterRefusal();
-        watch.arrived(at, again && !r.afterMove());
+        String key = RequestHistory.key(r.viewer(), r.title(), r.className());
+        ViewerRecord visit = history.recordRequest(at, key);
+        ReturnKind standing = history.returnKind(at, visit);
+        boolean again = visit.requests > 1 || r.retry() || r.afterRefusal();
+        detector.recordArrival(at, again && !r.afterMove());
         if (!again) {
-            fresh.add(at, 1);
+            freshRequests.add(at, 1);
             budget.fresh(at);
         }
-        counts.kept += standing == Standing.KEPT ? 1 : 0;
-        counts.early += standing == Standing.EARLY ? 1 : 0;
-        counts.untold += standing == Standing.UNTOLD ? 1 : 0;
-        if (standing == Standing.KEPT) {
+        counts.returnsOnTime += standing == ReturnKind.KEPT ? 1 : 0;
+        counts.returnsEarly += standing == ReturnKind.EARLY ? 1 : 0;
+        counts.returnsWithoutTime += standing == ReturnKind.UNTOLD ? 1 : 0;
+        if (standing == ReturnKind.KEPT) {
             unbook(visit);
         }
         look(at);
-        Waiter w = new Waiter(r, cls, visit, standing, at);
-        double pace = cold.all(at);
-        if (waiting.isEmpty() && room.open(at, pace)) {
+        QueuedRequest w = new QueuedRequest(r, cls, visit, standing, at);
+        double pace = coldServers.totalRate(at);
+        if (queue.isEmpty() && capacity.mayAdmit(at, pace)) {
             pass(w);
             return;
         }
-        Waiter away = terms.hold() == 0 ? w : waiting.offer(at, w, Room.rate(pace));
+        QueuedRequest away = terms.hold() == 0 ? w : queue.offer(at, w, CapacityEstimate.admissionRate(pace));
         counts.waited += away != w ? 1 : 0;
         if (away != null) {
             turnAway(away);
         }
-        arm(at + TURN);
+        arm(at + QUEUE_INTERVAL_US);
     }
 
     /** Hands a request to the module. */
-    private void pass(Waiter w) {
-        room.passed(cold.all(now));
+    private void pass(QueuedRequest w) {
+        capacity.recordAdmitted(coldServers.totalRate(now));
         Request r = w.request();
         held.put(
                 r.id(),
-                new Held(
-                        w.visit(),
-                        Visits.key(r.viewer(), r.title(), r.className()),
-                        w.standing(),
-                        w.visit().tries > 1 || r.retry() || r.afterRefusal()));
-        long waited = now - w.came();
+                new ActiveRequest(
+                        w.viewerRecord(),
+                        RequestHistory.key(r.viewer(), r.title(), r.className()),
+                        w.returnKind(),
+                        w.viewerRecord().requests > 1 || r.retry() || r.afterRefusal()));
+        long waited = now - w.arrivedAt();
         nextDirector.request(
                 now,
                 waited == 0
@@ -222,43 +224,43 @@
     }
 
     /** Refuses, at once, a request that never went out. */
-    private void turnAway(Waiter w) {
+    private void turnAway(QueuedRequest w) {
         counts.turnedAway++;
-        watch.troubled(now);
-        out.refuse(w.request().id(), appoint(w.request().id(), w.visit(), w.standing()));
+        detector.recordFailure(now);
+        out.refuse(w.request().id(), appoint(w.request().id(), w.viewerRecord(), w.returnKind()));
     }
 
     private void turn(long at) {
-        for (Waiter w : waiting.over(at)) {
+        for (QueuedRequest w : queue.removeExpired(at)) {
             turnAway(w);
         }
-        double pace = cold.all(at);
-        while (!waiting.isEmpty() && room.open(at, pace)) {
-            pass(waiting.next(at));
+        double pace = coldServers.totalRate(at);
+        while (!queue.isEmpty() && capacity.mayAdmit(at, pace)) {
+            pass(queue.poll(at));
         }
     }
 
     // ---- Appointments.
 
-    private void unbook(Visit v) {
+    private void unbook(ViewerRecord v) {
         if (v.booked) {
-            calendar.cancel(v.appointed);
+            calendar.cancel(v.returnAt);
             v.booked = false;
         }
     }
 
     /** When the viewer is to come back, from now; 0 where no time may be told. */
-    private long appoint(String request, Visit v, Standing standing) {
+    private long appoint(String request, ViewerRecord v, ReturnKind standing) {
         long longest = settings.limits().maxRetryAfter();
         longest = terms.longest() > 0 ? Math.min(terms.longest(), longest) : longest;
         long unit = Math.max(1, out.retryAfterUnit(request));
         if (longest < unit) {
-            v.appointed = 0;
+            v.returnAt = 0;
             return 0;
         }
-        if (standing == Standing.EARLY && v.appointed > now) {
+        if (standing == ReturnKind.EARLY && v.returnAt > now) {
             v.refusedAt = now;
-            return inUnits(v, v.appointed - now, longest, unit); // what it had, neither more nor less
+            return inUnits(v, v.returnAt - now, longest, unit); // what it had, neither more nor less
         }
         unbook(v);
         long soonest = Math.min(terms.soonest(), longest);
@@ -276,24 +278,24 @@
                     this::promisedElsewhere,
                     random.nextDouble());
             v.booked = found >= 0;
-            counts.unplaced += v.booked ? 0 : 1;
+            counts.unscheduledReturnTimes += v.booked ? 0 : 1;
             back = v.booked ? found - now : longest / 2 + random.nextLong(longest / 2 + 1);
         }
-        counts.appointed++;
+        counts.returnTimesGiven++;
         v.refusedAt = now;
-        v.appointed = now + back;
+        v.returnAt = now + back;
         return inUnits(v, back, longest, unit);
     }
 
     /** In whole units, up or down by chance so that the mean and the spread survive. */
-    private long inUnits(Visit v, long back, long longest, long unit) {
+    private long inUnits(ViewerRecord v, long back, long longest, long unit) {
         long whole = back / unit + (random.nextLong(unit) < back % unit ? 1 : 0);
         long told = Math.max(1, Math.min(whole, longest / unit)) * unit;
-        if (v.booked && calendar.slotOf(v.appointed) != calendar.slotOf(now + told)) {
-            calendar.cancel(v.appointed);
-            calendar.expect(now + told);
+        if (v.booked && calendar.slotOf(v.returnAt) != calendar.slotOf(now + told)) {
+            calendar.cancel(v.returnAt);
+            calendar.bookUnconditionally(now + told);
         }
-        v.appointed = now + told;
+        v.returnAt = now + told;
         return told;
     }
 
@@ -301,31 +303,34 @@
     private double returnsPerSecond() {
         double all = ownRoom();
         int known = 1;
-        for (Told t : peers.values()) {
-            if (now - t.at() < BELIEVED) {
+        for (PeerStatus t : peers.values()) {
+            if (now - t.at() < PEER_STATUS_VALIDITY_US) {
                 known++;
-                all += t.note().room();
+                all += t.note().returnCapacity();
             }
         }
-        return Math.max(LEAST_RETURNS, all / known);
+        return Math.max(MIN_RETURNS_PER_SECOND, all / known);
     }
 
     /** The returns a second that may be promised here: the room expected, less what fresh viewers take of it. */
     private double ownRoom() {
-        double rate = Math.min(Room.rate(cold.all(now)), Math.max(room.measured(now), watch.usual()));
-        double left = rate - fresh.sum(now, Watch.FAST) * 1e6 / Watch.FAST;
-        return room.promise(Math.max(RETURNS_PART * rate, left));
+        double rate = Math.min(
+                CapacityEstimate.admissionRate(coldServers.totalRate(now)),
+                Math.max(capacity.setUpRate(now), detector.baselineRate()));
+        double left = rate - freshRequests.sum(now, StormDetector.FAST_WINDOW_US) * 1e6 / StormDetector.FAST_WINDOW_US;
+        return capacity.promisableRate(Math.max(MIN_RETURN_SHARE * rate, left));
     }
 
     /** What a slot holds beyond own promises, if the fleet's are spread evenly over those that live. */
     private double promisedElsewhere(long slot) {
         double others = 0;
         int known = 1;
-        for (Told t : peers.values()) {
+        for (PeerStatus t : peers.values()) {
             long i = slot - t.note().firstSlot();
-            if (now - t.at() < BELIEVED && t.note().slotMillis() * 1000L == terms.slot()) {
+            if (now - t.at() < PEER_STATUS_VALIDITY_US && t.note().slotMillis() * 1000L == terms.slot()) {
                 known++;
-                others += i >= 0 && i < t.note().promised().length ? t.note().promised()[(int) i] : 0;
+                others +=
+                        i >= 0 && i < t.note().bookedReturns().length ? t.note().bookedReturns()[(int) i] : 0;
             }
         }
         double own = calendar.booked(slot);
@@ -339,30 +344,30 @@
         now = Math.max(now, at);
         double shared = out.newSessionShare();
         if (shared >= 0) {
-            cold.part(shared); // leased: no guess by the others' notes is needed
+            coldServers.part(shared); // leased: no guess by the others' notes is needed
         }
-        if (armedFor == Long.MAX_VALUE) {
-            arm(now + LOOK);
+        if (timerAt == Long.MAX_VALUE) {
+            arm(now + IDLE_INTERVAL_US);
         }
     }
 
     private void arm(long at) {
-        if (at < armedFor) {
-            armedFor = at;
+        if (at < timerAt) {
+            timerAt = at;
             out.timer(KEY, at);
         }
     }
 
     private void look(long at) {
-        Watch.Change change = watch.look(at);
+        StormDetector.Transition change = detector.evaluate(at);
         if (change != null) {
             LOG.info(
                     "storm: state={} was={} {} waiting={} promised={} {}",
                     change.to(),
                     change.from(),
-                    change.signs(),
-                    waiting.size(),
-                    calendar.promised(at),
+                    change.indicators(),
+                    queue.size(),
+                    calendar.pending(at),
                     counts());
         }
     }
@@ -374,71 +379,71 @@
             nextDirector.timer(at, key);
             return;
         }
-        if (at < armedFor) {
+        if (at < timerAt) {
             return; // one that a sooner one has replaced
         }
-        armedFor = Long.MAX_VALUE;
+        timerAt = Long.MAX_VALUE;
         look(at);
         turn(at);
         note(at);
-        arm(at + (waiting.isEmpty() ? LOOK : TURN));
+        arm(at + (queue.isEmpty() ? IDLE_INTERVAL_US : QUEUE_INTERVAL_US));
     }
 
     /** Tells the other brokers, where the settings and terms let it, and there is something to tell. */
     private void note(long at) {
-        if (terms.notesEvery() == 0 || !settings.limits().peers() || at - notedAt < terms.notesEvery()) {
+        if (terms.notesEvery() == 0 || !settings.limits().peers() || at - lastMessageAt < terms.notesEvery()) {
             return;
         }
-        notedAt = at;
+        lastMessageAt = at;
         long first = calendar.slotOf(at);
         int slots = 0;
-        int[] promised = new int[Note.MOST_SLOTS];
+        int[] promised = new int[StormMessage.MAX_SLOTS];
         for (int i = 0; i < promised.length; i++) {
             promised[i] = calendar.booked(first + i);
             slots = promised[i] > 0 ? i + 1 : slots;
         }
-        counts.notesSent++;
-        out.broadcast(new Note(
-                        watch.state(),
+        counts.messagesSent++;
+        out.broadcast(new StormMessage(
+                        detector.state(),
                         (int) (terms.slot() / 1000),
-                        watch.fast(at),
+                        detector.arrivalRate(at),
                         ownRoom(),
                         first,
                         java.util.Arrays.copyOf(promised, slots),
-                        cold.spent(at, Note.MOST_BOXES),
-                        cold.knows(at, Note.MOST_BOXES))
-                .write());
+                        coldServers.usage(at, StormMessage.MAX_SERVERS),
+                        coldServers.knowsAllCold(at, StormMessage.MAX_SERVERS))
+                .encode());
     }
 
     @Override
     public void peerMessageReceived(long at, int from, byte[] message) {
         beforeEvent(at);
-        if (!Note.mine(message)) {
+        if (!StormMessage.isStormMessage(message)) {
             nextDirector.peerMessageReceived(at, from, message);
             return;
         }
-        Note n = Note.read(message);
+        StormMessage n = StormMessage.decode(message);
         if (n == null || from < 0 || from >= settings.brokers() || from == settings.brokerNumber()) {
-            counts.notesPassedOver++;
+            counts.messagesDiscarded++;
             return;
         }
-        counts.notesHeard++;
-        watch.heard(at, from);
-        peers.put(from, new Told(n, at));
-        cold.heard(at, from, n.spent(), n.knows());
-        double all = watch.fast(at);
+        counts.messagesReceived++;
+        detector.heard(at, from);
+        peers.put(from, new PeerStatus(n, at));
+        coldServers.applyPeerUsage(at, from, n.coldServers(), n.knowsAllCold());
+        double all = detector.arrivalRate(at);
         double own = all;
         int known = 1;
-        for (Told t : peers.values()) {
-            if (at - t.at() < BELIEVED) {
+        for (PeerStatus t : peers.values()) {
+            if (at - t.at() < PEER_STATUS_VALIDITY_US) {
                 known++;
-                all += t.note().arrivals();
+                all += t.note().arrivalRate();
             }
         }
         // Those that are silent may be starting: their even share is left to them.
         double spoken = known / (double) settings.brokers();
         if (out.newSessionShare() < 0) {
-            cold.part(all > 0 ? spoken * own / all : 1.0 / settings.brokers());
+            coldServers.part(all > 0 ? spoken * own / all : 1.0 / settings.brokers());
         }
     }
 
@@ -447,20 +452,20 @@
     @Override
     public void connected(long at) {
         beforeEvent(at);
-        watch.connected(at);
+        detector.recordConnection(at);
         nextDirector.connected(at);
     }
 
     @Override
     public void sessionStarted(long at, String request, int attempt, String server) {
         beforeEvent(at);
-        Held h = held.remove(request);
+        ActiveRequest h = held.remove(request);
         if (h != null) {
-            if (h.again && h.standing != Standing.EARLY) {
-                room.kept(true);
+            if (h.again && h.standing != ReturnKind.EARLY) {
+                capacity.recordReturn(true);
             }
             unbook(h.visit);
-            visits.over(h.key);
+            history.remove(h.key);
         }
         nextDirector.sessionStarted(at, request, attempt, server);
     }
@@ -470,10 +475,10 @@
             long at, String request, int attempt, String server, Outcome outcome, boolean last, LoadReport report) {
         beforeEvent(at);
         if (outcome == Outcome.TIMEOUT && !last) {
-            watch.troubled(at);
+            detector.recordFailure(at);
         }
         if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET && last) {
-            cold.lost(at, server);
+            coldServers.recordLost(at, server);
         }
         nextDirector.outcome(at, request, attempt, server, outcome, last, report);
         if (last) {
@@ -484,7 +489,7 @@
     @Override
     public void requestCancelled(long at, String request) {
         beforeEvent(at);
-        if (waiting.remove(request) == null) {
+        if (queue.remove(request) == null) {
             held.remove(request);
             nextDirector.requestCancelled(at, request);
         }
@@ -494,57 +499,57 @@
     public void serversChanged(long at, ListScope scope, List<Server> servers) {
         beforeEvent(at);
         if (scope != ListScope.ERROR) {
-            cold.members(at, scope, servers);
+            coldServers.updateServers(at, scope, servers);
         }
         nextDirector.serversChanged(at, scope, servers);
     }
 
     /** What the module may do, on its way to the broker. */
-    private final class Inner extends ForwardingActions {
-        Inner() {
-            super(Damper.this.out);
+    private final class ModuleActions extends ForwardingActions {
+        ModuleActions() {
+            super(RetryStormFilter.this.out);
         }
 
         @Override
         public void send(String request, String server, long allow) {
-            Held h = held.get(request);
+            ActiveRequest h = held.get(request);
             if (h != null && h.attempts++ > 0) {
                 budget.spent(now);
             } else {
-                room.sent(now);
+                capacity.recordSetUp(now);
             }
-            cold.sent(now, server);
+            coldServers.recordSetUp(now, server);
             delegate.send(request, server, allow);
         }
 
         @Override
         public void refuse(String request, long comeBack) {
-            Held h = held.remove(request);
-            watch.troubled(now);
-            if (h != null && h.again && h.standing != Standing.EARLY) {
-                room.kept(false);
+            ActiveRequest h = held.remove(request);
+            detector.recordFailure(now);
+            if (h != null && h.again && h.standing != ReturnKind.EARLY) {
+                capacity.recordReturn(false);
             }
             delegate.refuse(request, h == null ? comeBack : appoint(request, h.visit, h.standing));
         }
 
         @Override
         public void fail(String request) {
-            Held h = held.remove(request);
+            ActiveRequest h = held.remove(request);
             if (h != null) {
                 unbook(h.visit);
-                visits.over(h.key); // it may have run: its viewer is told so, not to come again
+                history.remove(h.key); // it may have run: its viewer is told so, not to come again
             }
             delegate.fail(request);
         }
 
         @Override
         public boolean mayRetry() {
-            return budget.may(now) && delegate.mayRetry();
+            return budget.mayRetry(now) && delegate.mayRetry();
         }
 
         @Override
         public Pace pace(String server) {
-            return cold.may(now, server) ? Pace.WITHIN : Pace.OVER;
+            return coldServers.permits(now, server) ? Pace.WITHIN : Pace.OVER;
         }
     }
 }
--- a/src/main/java/dockshed/storm/Calendar.java
+++ b/src/main/java/dockshed/storm/ReturnCalendar.java
@@ -7,15 +7,15 @@
  * Return times that have been told, in slots. Invariant: the appointments between now and the end of any slot are at
  * most what the room expected takes by then, and one more. A slot that is past is empty by itself.
  */
-final class Calendar {
+final class ReturnCalendar {
     /** Slots ahead, at most: a minute of quarter seconds is longer than any viewer honours. */
-    static final int MOST_SLOTS = 256;
+    static final int MAX_SLOTS = 256;
 
     private final long slot;
-    private final int[] booked = new int[MOST_SLOTS];
-    private final long[] number = new long[MOST_SLOTS];
+    private final int[] booked = new int[MAX_SLOTS];
+    private final long[] number = new long[MAX_SLOTS];
 
-    Calendar(long slot) {
+    ReturnCalendar(long slot) {
         this.slot = slot;
         Arrays.fill(number, Long.MIN_VALUE);
     }
@@ -25,12 +25,12 @@
     }
 
     int booked(long slotNumber) {
-        int i = (int) Math.floorMod(slotNumber, (long) MOST_SLOTS);
+        int i = (int) Math.floorMod(slotNumber, (long) MAX_SLOTS);
         return number[i] == slotNumber ? booked[i] : 0;
     }
 
     private void add(long slotNumber, int n) {
-        int i = (int) Math.floorMod(slotNumber, (long) MOST_SLOTS);
+        int i = (int) Math.floorMod(slotNumber, (long) MAX_SLOTS);
         if (number[i] != slotNumber) {
             number[i] = slotNumber;
             booked[i] = 0;
@@ -46,7 +46,7 @@
     long book(long now, long earliest, long latest, double perSecond, LongToDoubleFunction others, double dice) {
         long first = slotOf(now);
         long from = slotOf(Math.max(now, earliest));
-        int slots = (int) Math.min(slotOf(latest) - first + 1, MOST_SLOTS);
+        int slots = (int) Math.min(slotOf(latest) - first + 1, MAX_SLOTS);
         double each = Math.max(1, Math.ceil(perSecond * slot / 1e6));
         double[] here = new double[slots];
         double[] spare = new double[slots]; // places that are free by the end of a slot and of all booked ones behind
@@ -71,7 +71,7 @@
     }
 
     /** Someone is told that time whatever the room: by whole seconds. */
-    void expect(long at) {
+    void bookUnconditionally(long at) {
         add(slotOf(at), 1);
     }
 
@@ -83,9 +83,9 @@
     }
 
     /** Appointments still to come. */
-    int promised(long now) {
+    int pending(long now) {
         int all = 0;
-        for (long k = slotOf(now); k < slotOf(now) + MOST_SLOTS; k++) {
+        for (long k = slotOf(now); k < slotOf(now) + MAX_SLOTS; k++) {
             all += booked(k);
         }
         return all;
--- a/src/main/java/dockshed/storm/Window.java
+++ b/src/main/java/dockshed/storm/SlidingWindowCounter.java
@@ -1,13 +1,13 @@
 package dockshed.storm;
 
 /** Counts of what happened lately, in buckets: a ring, so its size is fixed however much comes. */
-final class Window {
+final class SlidingWindowCounter {
     private final long width;
     private final double[] counts;
     private long latest = Long.MIN_VALUE; // number of the newest bucket
 
     /** Holds at least {@code span} microseconds in buckets of {@code width}. */
-    Window(long width, long span) {
+    SlidingWindowCounter(long width, long span) {
         this.width = width;
         counts = new double[(int) (span / width) + 1];
     }
--- a/src/main/java/dockshed/storm/Note.java
+++ b/src/main/java/dockshed/storm/StormMessage.java
@@ -1,6 +1,6 @@
 package dockshed.storm;
 
-import dockshed.storm.ColdPace.Spent;
+import dockshed.storm.ColdServerLimiter.ServerUsage;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,39 +15,39 @@
  * slots 1 (at most 40), a count each 1, boxes 1 (at most 30), for each the CRC-32C of its id 4 and a count 1
  * </pre>
  */
-record Note(
-        Watch.State state,
+record StormMessage(
+        StormDetector.State state,
         int slotMillis,
-        double arrivals,
-        double room,
+        double arrivalRate,
+        double returnCapacity,
         long firstSlot,
-        int[] promised,
-        List<Spent> spent,
-        boolean knows) {
+        int[] bookedReturns,
+        List<ServerUsage> coldServers,
+        boolean knowsAllCold) {
     static final int MAGIC = 0xd5;
     static final int VERSION = 1;
-    static final int MOST_SLOTS = 40;
-    static final int MOST_BOXES = 30;
+    static final int MAX_SLOTS = 40;
+    static final int MAX_SERVERS = 30;
     /** The platform's limit on a datagram; the longest note has 19 + 40 + 150 bytes. */
-    static final int MOST_BYTES = 256;
+    static final int MAX_BYTES = 256;
 
-    private static final int HEAD = 17;
+    private static final int HEADER_BYTES = 17;
 
-    byte[] write() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + 1 + promised.length + 1 + 5 * spent.size());
+    byte[] encode() {
+        ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + 1 + bookedReturns.length + 1 + 5 * coldServers.size());
         b.put((byte) MAGIC)
                 .put((byte) VERSION)
-                .put((byte) (state.ordinal() | (knows ? 0x80 : 0)))
+                .put((byte) (state.ordinal() | (knowsAllCold ? 0x80 : 0)))
                 .putShort((short) slotMillis)
-                .putShort(tenths(arrivals))
-                .putShort(tenths(room))
+                .putShort(tenths(arrivalRate))
+                .putShort(tenths(returnCapacity))
                 .putLong(firstSlot);
-        b.put((byte) promised.length);
-        for (int n : promised) {
+        b.put((byte) bookedReturns.length);
+        for (int n : bookedReturns) {
             b.put((byte) Math.min(255, n));
         }
-        b.put((byte) spent.size());
-        spent.forEach(s -> b.putInt(s.hash()).put((byte) Math.min(255, s.count())));
+        b.put((byte) coldServers.size());
+        coldServers.forEach(s -> b.putInt(s.idHash()).put((byte) Math.min(255, s.setUps())));
         return b.array();
     }
 
@@ -56,13 +56,16 @@
     }
 
     /** Whether this is a note of this part's, good or bad, and not a message of the module's. */
-    static boolean mine(byte[] bytes) {
+    static boolean isStormMessage(byte[] bytes) {
         return bytes.length > 0 && (bytes[0] & 0xff) == MAGIC;
     }
 
     /** Null where it is of another version, or cannot be read. */
-    static Note read(byte[] bytes) {
-        if (bytes.length < HEAD + 2 || bytes.length > MOST_BYTES || !mine(bytes) || bytes[1] != VERSION) {
+    static StormMessage decode(byte[] bytes) {
+        if (bytes.length < HEADER_BYTES + 2
+                || bytes.length > MAX_BYTES
+                || !isStormMessage(bytes)
+                || bytes[1] != VERSION) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
@@ -73,7 +76,7 @@
         double room = (b.getShort() & 0xffff) / 10.0;
         long first = b.getLong();
         int slots = b.get() & 0xff;
-        if (state >= Watch.State.values().length || slots > MOST_SLOTS || b.remaining() < slots + 1) {
+        if (state >= StormDetector.State.values().length || slots > MAX_SLOTS || b.remaining() < slots + 1) {
             return null;
         }
         int[] promised = new int[slots];
@@ -81,14 +84,21 @@
             promised[i] = b.get() & 0xff;
         }
         int boxes = b.get() & 0xff;
-        if (boxes > MOST_BOXES || b.remaining() != 5 * boxes) {
+        if (boxes > MAX_SERVERS || b.remaining() != 5 * boxes) {
             return null;
         }
-        List<Spent> spent = new ArrayList<>();
+        List<ServerUsage> spent = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
-            spent.add(new Spent(b.getInt(), b.get() & 0xff));
+            spent.add(new ServerUsage(b.getInt(), b.get() & 0xff));
         }
-        return new Note(
-                Watch.State.values()[state], width, arrivals, room, first, promised, spent, (flags & 0x80) != 0);
+        return new StormMessage(
+                StormDetector.State.values()[state],
+                width,
+                arrivals,
+                room,
+                first,
+                promised,
+                spent,
+                (flags & 0x80) != 0);
     }
 }
--- a/src/main/java/dockshed/storm/Terms.java
+++ b/src/main/java/dockshed/storm/Terms.java
@@ -45,7 +45,7 @@
     }
 
     /** Figures that suit sessions of half a minute and patience of seconds; the note on design has their reasons. */
-    public static final Terms USUAL = new Terms(
+    public static final Terms DEFAULTS = new Terms(
             Returns.CALENDAR,
             250_000,
             0,
--- a/src/test/java/dockshed/config/ConfFileTest.java
+++ b/src/test/java/dockshed/config/ConfFileTest.java
@@ -36,8 +36,8 @@
         assertEquals(0.5, t.retryLeast(), 1e-12);
         assertEquals(6_000_000, t.calmAfter());
         assertEquals(0, t.notesEvery());
-        assertEquals(Terms.USUAL.hold(), t.hold());
-        assertEquals(Terms.USUAL, storm("storm {\n}"));
+        assertEquals(Terms.DEFAULTS.hold(), t.hold());
+        assertEquals(Terms.DEFAULTS, storm("storm {\n}"));
         assertNull(storm(""));
         assertNull(storm("storm {\nenabled no\n}"));
     }
@@ -130,7 +130,7 @@
 
     @Test
     void theFileUnderDeployHoldsTheDefaults() {
-        assertEquals(Terms.USUAL, OperatorConfig.load("deploy/dockshed.conf").storm());
+        assertEquals(Terms.DEFAULTS, OperatorConfig.load("deploy/dockshed.conf").storm());
     }
 
     @Test
--- a/src/test/java/dockshed/rig/AnsweringBox.java
+++ b/src/test/java/dockshed/rig/AnsweringEdgeServer.java
@@ -12,19 +12,19 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** An edge server that answers each set-up at once and says nothing of loads. */
-public final class AnsweringBox implements AutoCloseable {
+public final class AnsweringEdgeServer implements AutoCloseable {
     private static final int BACKLOG = 100;
 
     private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-    private final Map<String, Integer> paid;
+    private final Map<String, Integer> paidSetUps;
 
     /** {@code paid}: set-ups of the paid class by session, counted there. */
-    AnsweringBox(Map<String, Integer> paid) throws IOException {
-        this.paid = paid;
+    AnsweringEdgeServer(Map<String, Integer> paid) throws IOException {
+        this.paidSetUps = paid;
         daemon(this::serve);
     }
 
-    public AnsweringBox() throws IOException {
+    public AnsweringEdgeServer() throws IOException {
         this(new ConcurrentHashMap<>());
     }
 
@@ -58,7 +58,7 @@
                 if (m.get("type").getAsString().equals("setup")) {
                     String id = m.get("id").getAsString();
                     if (m.getAsJsonObject("fields").get("class").getAsString().equals("cert-lesson")) {
-                        paid.merge(id, 1, Integer::sum);
+                        paidSetUps.merge(id, 1, Integer::sum);
                     }
                     line.getOutputStream()
                             .write(("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=0\"}\n")
--- a/src/test/java/dockshed/rig/BrokerConfig.java
+++ b/src/test/java/dockshed/rig/BrokerConfig.java
@@ -9,18 +9,18 @@
 /**
  * The configuration file of a broker as a process.
  *
- * @param me         its number
- * @param sockets    descriptors that it may use
- * @param peerListen where it listens for the other brokers
- * @param peers      where it finds each broker, by number
- * @param boxes      where the edge servers listen
+ * @param brokerNumber         its number
+ * @param maxSockets    descriptors that it may use
+ * @param peerListenAddress where it listens for the other brokers
+ * @param peerAddresses      where it finds each broker, by number
+ * @param edgeServerAddresses      where the edge servers listen
  */
 public record BrokerConfig(
-        int me,
-        int sockets,
-        InetSocketAddress peerListen,
-        List<InetSocketAddress> peers,
-        List<InetSocketAddress> boxes) {
+        int brokerNumber,
+        int maxSockets,
+        InetSocketAddress peerListenAddress,
+        List<InetSocketAddress> peerAddresses,
+        List<InetSocketAddress> edgeServerAddresses) {
     private static final String TEMPLATE = "{'name':'n%d','listen':'127.0.0.1:0','seed':'%016x','limits':{'cores':1,"
             + "'memory_mb':192,'sockets':%d},'peer_listen':'127.0.0.1:%d','peers':[%s],'known':{'rev':2,'notices':[{'rev':1,"
             + "'pool':{'complete':true,'members':[%s]}},{'rev':2,'pool':{'complete':false,'members':[]}}]},'settings':{'me':%d,"
@@ -35,20 +35,22 @@
             + "'max_retry_after':2000},'prices':{},'report':{'fields':['busy_reqs','x0']}}}";
 
     /** As the file holds it. */
-    public String json() {
+    public String toJson() {
         return String.format(
                 Locale.ROOT,
                 TEMPLATE.replace('\'', '"'),
-                me,
-                me + 1,
-                sockets,
-                peerListen.getPort(),
-                peers.stream()
+                brokerNumber,
+                brokerNumber + 1,
+                maxSockets,
+                peerListenAddress.getPort(),
+                peerAddresses.stream()
                         .map(peer -> "\"127.0.0.1:" + peer.getPort() + '"')
                         .collect(Collectors.joining(",")),
-                IntStream.range(0, boxes.size()).mapToObj(this::member).collect(Collectors.joining(",")),
-                me,
-                peers.size());
+                IntStream.range(0, edgeServerAddresses.size())
+                        .mapToObj(this::member)
+                        .collect(Collectors.joining(",")),
+                brokerNumber,
+                peerAddresses.size());
     }
 
     private String member(int box) {
@@ -57,7 +59,7 @@
                         "{'id':'s-%d','host_port':'127.0.0.1:%d',"
                                 + "'locality':'east','flavor':'std','cell':%d,'phase':'active','size':1}",
                         box,
-                        boxes.get(box).getPort(),
+                        edgeServerAddresses.get(box).getPort(),
                         box % 3)
                 .replace('\'', '"');
     }
--- a/src/test/java/dockshed/rig/BrokerProcess.java
+++ b/src/test/java/dockshed/rig/BrokerProcess.java
@@ -13,13 +13,13 @@
 
 /** A broker in a process of its own, with what it logs; tests wait on its lines. */
 final class BrokerProcess {
-    private static final long PATIENCE = 60; // seconds for a line to come; only a failure takes so long
+    private static final long WAIT_LIMIT_S = 60; // seconds for a line to come; only a failure takes so long
 
     private final List<String> command;
     private final Path config;
     private final List<String> lines = new ArrayList<>();
     private Process process;
-    private InetSocketAddress listens;
+    private InetSocketAddress listenAddress;
 
     BrokerProcess(Path config, Path conf) {
         this.config = config;
@@ -61,37 +61,37 @@
                 "log of a broker");
         reader.setDaemon(true);
         reader.start();
-        String serving = await(mark() == 0 ? 0 : mark() - 1, l -> l.contains("serving: name="));
+        String serving = awaitLine(logPosition() == 0 ? 0 : logPosition() - 1, l -> l.contains("serving: name="));
         String at = serving.replaceAll(".*listen=/([0-9.:]+) .*", "$1");
-        listens = new InetSocketAddress(
+        listenAddress = new InetSocketAddress(
                 at.substring(0, at.indexOf(':')), Integer.parseInt(at.substring(at.indexOf(':') + 1)));
         return this;
     }
 
-    InetSocketAddress listens() {
-        return listens;
+    InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    boolean up() {
+    boolean isUp() {
         return process != null && process.isAlive();
     }
 
     /** Lines so far; what is awaited from here on is later. */
-    int mark() {
+    int logPosition() {
         synchronized (lines) {
             return lines.size();
         }
     }
 
-    List<String> since(int mark) {
+    List<String> linesSince(int mark) {
         synchronized (lines) {
             return List.copyOf(lines.subList(mark, lines.size()));
         }
     }
 
     /** The first line from a mark on that meets a condition. */
-    String await(int mark, Predicate<String> what) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
+    String awaitLine(int mark, Predicate<String> what) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_LIMIT_S);
         synchronized (lines) {
             for (int i = mark; ; i++) {
                 while (i >= lines.size()) {
@@ -121,8 +121,8 @@
         process.destroyForcibly().waitFor();
     }
 
-    int awaitEnd() throws Exception {
-        if (!process.waitFor(PATIENCE, TimeUnit.SECONDS)) {
+    int awaitExit() throws Exception {
+        if (!process.waitFor(WAIT_LIMIT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("did not end");
         }
         return process.exitValue();
--- a/src/test/java/dockshed/rig/World.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -27,7 +27,7 @@
 import dockshed.fleet.FleetSettings;
 import dockshed.fleet.FleetSnapshot;
 import dockshed.fleet.GossipNode;
-import dockshed.storm.Damper;
+import dockshed.storm.RetryStormFilter;
 import dockshed.storm.Terms;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -45,69 +45,69 @@
  * Stand-ins for viewers, lesson boxes, name server and network on a virtual clock, round real brokers with the real
  * module. One seed replays a run to the last event. Times are microseconds, rates kB a second.
  */
-public final class World {
-    public static final long MS = 1000;
-    public static final long S = 1_000_000;
-    public static final long START = 1_000_000 * S;
+public final class BrokerSimulation {
+    public static final long MILLISECOND_US = 1000;
+    public static final long SECOND_US = 1_000_000;
+    public static final long START_US = 1_000_000 * SECOND_US;
     private static final double[] RATES = {255, 425, 706, 1174, 1951};
     private static final double[] WORTHS = {.17, .41, .62, .81, 1};
     private static final double STALL = 7;
     private static final double LINK = 30_000;
-    private static final long SEE = S;
-    private static final long TELL = 2_750 * MS;
-    private static final long TICK = 100 * MS;
+    private static final long SEE = SECOND_US;
+    private static final long TELL = 2_750 * MILLISECOND_US;
+    private static final long TICK = 100 * MILLISECOND_US;
 
     /** What viewers heed of a refusal's advice. */
-    public enum Heeds {
-        MILLIS,
-        SECONDS,
-        NOTHING,
-        DOUBLES
+    public enum RetryPolicy {
+        ADVISED_MILLIS,
+        ADVISED_SECONDS,
+        IGNORES_ADVICE,
+        EXPONENTIAL_BACKOFF
     }
 
     /** What happens, all of it set before the run. */
-    public static final class Script {
+    public static final class Scenario {
         public int brokers = 3;
-        public int boxes = 16;
-        public int streams = 110;
-        public double arrivals = 12;
-        public double surge = 1;
+        public int servers = 16;
+        public int streamsPerServer = 110;
+        public double arrivalsPerSecond = 12;
+        public double surgeFactor = 1;
         public long surgeFrom;
         public long surgeTo;
-        public long length = 60 * S;
-        public long longest = 2 * S;
-        public double ignore = 0.2; // of the viewers; of the rest a third each heeds one way
-        public double lostReplies; // set-ups that run and whose answer is lost
+        public long duration = 60 * SECOND_US;
+        public long maxReturnDelay = 2 * SECOND_US;
+        public double ignoringShare = 0.2; // of the viewers; of the rest a third each heeds one way
+        public double lostReplyShare; // set-ups that run and whose answer is lost
         public double datagramLoss = 0.05;
         public Terms terms; // null: without the part
         public FleetSettings fleet; // null: without the part
-        public boolean atOnce; // all brokers are told everything without loss or delay
-        public int liar = -1; // a byzantine broker, at full rate
-        public long stayLeast = 22 * S; // of viewers, evenly between the one and both
-        public long stayMore = 40 * S;
-        public int slow; // so many boxes give a third of their links, between these times
+        public boolean instantExchange; // all brokers are told everything without loss or delay
+        public int byzantineBroker = -1; // a byzantine broker, at full rate
+        public long minStay = 22 * SECOND_US; // of viewers, evenly between the one and both
+        public long extraStay = 40 * SECOND_US;
+        public int slowServers; // so many boxes give a third of their links, between these times
         public long slowFrom;
         public long slowTo;
-        public boolean namesReachable = true;
+        public boolean nameServerReachable = true;
         final List<long[]> outages = new ArrayList<>(); // broker, from, to
         final List<long[]> restarts = new ArrayList<>(); // box, at
         long stallAt = -1;
-        long stallFor;
+        long stallDuration;
 
-        public Script outage(int broker, long from, long to) {
+        public Scenario outage(int broker, long from, long to) {
             outages.add(new long[] {broker, from, to});
             return this;
         }
 
-        public Script restart(int box, long at) {
+        public Scenario restart(int box, long at) {
             restarts.add(new long[] {box, at});
             return this;
         }
 
         /** Broker 0's loop stands still. */
-        public Script stall(long at, long micros) {
+        public Scenario stall(long at, long micros) {
             stallAt = at;
-            stallFor = micros;
+            stallDuration = micros;
             return this;
         }
     }
@@ -119,67 +119,67 @@
         }
     }
 
-    private final Script script;
+    private final Scenario script;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<Station> stations = new ArrayList<>();
-    private final List<Box> boxes = new ArrayList<>();
-    private final List<Viewer> viewers = new ArrayList<>();
+    private final List<SimulatedBroker> simulatedBrokers = new ArrayList<>();
+    private final List<SimulatedEdgeServer> servers = new ArrayList<>();
+    private final List<SimulatedViewer> viewers = new ArrayList<>();
     private final List<SessionClass> classes = List.of(
-            new SessionClass("refresher", Effect.SAFE, 800 * MS, 3 * S, 1, 1, 0, 4, 0),
-            new SessionClass("cert-lesson", Effect.AT_MOST_ONCE, S, 4 * S, 3, 1, 1, 4, 0),
-            new SessionClass("audio-guide", Effect.SAFE, 1500 * MS, 3 * S, 1, .7, 0, 4, 0));
+            new SessionClass("refresher", Effect.SAFE, 800 * MILLISECOND_US, 3 * SECOND_US, 1, 1, 0, 4, 0),
+            new SessionClass("cert-lesson", Effect.AT_MOST_ONCE, SECOND_US, 4 * SECOND_US, 3, 1, 1, 4, 0),
+            new SessionClass("audio-guide", Effect.SAFE, 1500 * MILLISECOND_US, 3 * SECOND_US, 1, .7, 0, 4, 0));
     private long serials;
     private long names;
-    private long now = START;
+    private long now = START_US;
 
     // What is measured.
-    public final double[] offered; // worth by second
-    public final double[] earned;
-    public final int[] came; // requests and refusals, by second
-    public final int[] refusedIn;
-    public final int[] playing; // sessions, by second
-    public final double[] fill; // asked of all links over what they give; mean rung
-    public final double[] rungs;
-    public int tries;
-    public int people;
+    public final double[] offeredBySecond; // worth by second
+    public final double[] earnedBySecond;
+    public final int[] requestsBySecond; // requests and refusals, by second
+    public final int[] refusalsBySecond;
+    public final int[] sessionsBySecond; // sessions, by second
+    public final double[] linkLoadBySecond; // asked of all links over what they give; mean rung
+    public final double[] meanRenditionBySecond;
+    public int requests;
+    public int viewerCount;
     public int refused;
     public int failed;
     public int served;
-    public int lost;
-    public int paidTwice;
-    public int keptTimes;
-    public int earlyTimes;
-    public int boxesFallen;
-    public int belowFloor;
-    public int refusedAfterRun;
-    public double coldPeak; // most set-ups within the rule's window at a cold box, over its allowed ones
-    public long brokerNanos; // processor's time in the brokers
-    public int furtherAttempts; // the last two: first tries within the surge
-    public int paidAsked;
+    public int unanswered;
+    public int duplicatePaidSetUps;
+    public int returnsOnTime;
+    public int returnsEarly;
+    public int crashedServers;
+    public int renditionsBelowFloor;
+    public int paidRefusedAfterRun;
+    public double coldPeakRatio; // most set-ups within the rule's window at a cold box, over its allowed ones
+    public long brokerCpuNanos; // processor's time in the brokers
+    public int brokerRetries; // the last two: first tries within the surge
+    public int paidRequests;
     public int paidServed;
-    public double shareSumMax;
-    public double judged;
-    public double judgedAlike;
+    public double maxShareSum;
+    public double shedDecisions;
+    public double agreeingShedDecisions;
     public long fleetBytes;
     private final java.util.BitSet calm = new java.util.BitSet(); // by tick: every broker is calm
     public final List<String> stormLog = new ArrayList<>();
 
-    private World(Script script, long seed) {
+    private BrokerSimulation(Scenario script, long seed) {
         this.script = script;
         random = new SplittableRandom(seed);
-        int seconds = (int) (script.length / S) + 1;
-        offered = new double[seconds];
-        earned = new double[seconds];
-        came = new int[seconds];
-        refusedIn = new int[seconds];
-        playing = new int[seconds];
-        fill = new double[seconds];
-        rungs = new double[seconds];
+        int seconds = (int) (script.duration / SECOND_US) + 1;
+        offeredBySecond = new double[seconds];
+        earnedBySecond = new double[seconds];
+        requestsBySecond = new int[seconds];
+        refusalsBySecond = new int[seconds];
+        sessionsBySecond = new int[seconds];
+        linkLoadBySecond = new double[seconds];
+        meanRenditionBySecond = new double[seconds];
     }
 
-    public static World run(Script script, long seed) {
-        World w = new World(script, seed);
+    public static BrokerSimulation run(Scenario script, long seed) {
+        BrokerSimulation w = new BrokerSimulation(script, seed);
         w.play();
         return w;
     }
@@ -189,32 +189,33 @@
     }
 
     private void play() {
-        for (int i = 0; i < script.boxes; i++) {
-            boxes.add(new Box(i));
+        for (int i = 0; i < script.servers; i++) {
+            servers.add(new SimulatedEdgeServer(i));
         }
         for (int i = 0; i < script.brokers; i++) {
-            stations.add(new Station(i));
-            stations.get(i).start();
+            simulatedBrokers.add(new SimulatedBroker(i));
+            simulatedBrokers.get(i).start();
         }
         for (long[] o : script.outages) {
-            at(START + o[1], () -> stations.get((int) o[0]).die());
-            at(START + o[2], () -> stations.get((int) o[0]).start());
+            at(START_US + o[1], () -> simulatedBrokers.get((int) o[0]).die());
+            at(START_US + o[2], () -> simulatedBrokers.get((int) o[0]).start());
         }
         for (long[] r : script.restarts) {
-            at(START + r[1], () -> boxes.get((int) r[0]).restart());
+            at(START_US + r[1], () -> servers.get((int) r[0]).restart());
         }
-        at(START, this::arrive);
-        if (script.liar >= 0) {
-            ByzantinePeer byzantine = new ByzantinePeer(script.liar, script.brokers, START, script.brokers);
-            at(START + 5 * S, () -> lie(byzantine));
+        at(START_US, this::arrive);
+        if (script.byzantineBroker >= 0) {
+            ByzantinePeer byzantine =
+                    new ByzantinePeer(script.byzantineBroker, script.brokers, START_US, script.brokers);
+            at(START_US + 5 * SECOND_US, () -> lie(byzantine));
         }
-        at(START + TICK, this::measure);
-        at(START + TELL, this::tell);
-        long end = START + script.length;
+        at(START_US + TICK, this::measure);
+        at(START_US + TELL, this::tell);
+        long end = START_US + script.duration;
         while (now < end) {
-            Station due = null;
+            SimulatedBroker due = null;
             long next = events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
-            for (Station s : stations) {
+            for (SimulatedBroker s : simulatedBrokers) {
                 if (s.broker != null && s.ready() < next) {
                     next = s.ready();
                     due = s;
@@ -231,14 +232,14 @@
                 events.poll().what.run();
             }
         }
-        people = viewers.size();
-        for (Station s : stations) {
+        viewerCount = viewers.size();
+        for (SimulatedBroker s : simulatedBrokers) {
             fleetBytes += s.node == null ? 0 : s.node.counts().bytes;
         }
-        for (Viewer v : viewers) {
-            lost += v.name != null
+        for (SimulatedViewer v : viewers) {
+            unanswered += v.name != null
                             && !v.answered
-                            && now - v.askedAt > v.patience() + 50 * MS
+                            && now - v.askedAt > v.patience() + 50 * MILLISECOND_US
                             && v.at.alive()
                             && v.at.since <= v.askedAt
                     ? 1
@@ -247,10 +248,10 @@
     }
 
     private void lie(ByzantinePeer byzantine) {
-        at(now + 10 * MS, () -> lie(byzantine));
-        for (Station s : stations) {
+        at(now + 10 * MILLISECOND_US, () -> lie(byzantine));
+        for (SimulatedBroker s : simulatedBrokers) {
             byte[] made = byzantine.next(now);
-            if (s.me != script.liar && s.node != null) {
+            if (s.me != script.byzantineBroker && s.node != null) {
                 s.node.receive(now, made, s::carry);
             }
         }
@@ -259,35 +260,35 @@
     private void timed(Runnable what) {
         long began = System.nanoTime();
         what.run();
-        brokerNanos += System.nanoTime() - began;
+        brokerCpuNanos += System.nanoTime() - began;
     }
 
     // ---- Viewers.
 
     private void arrive() {
-        double t = now - START;
-        double rate = script.arrivals * (t >= script.surgeFrom && t < script.surgeTo ? script.surge : 1);
-        Viewer v = new Viewer();
+        double t = now - START_US;
+        double rate = script.arrivalsPerSecond * (t >= script.surgeFrom && t < script.surgeTo ? script.surgeFactor : 1);
+        SimulatedViewer v = new SimulatedViewer();
         viewers.add(v);
         v.ask(false);
-        at(now + (long) (-Math.log(1 - random.nextDouble()) / rate * S), this::arrive);
+        at(now + (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND_US), this::arrive);
     }
 
-    final class Viewer {
+    final class SimulatedViewer {
         final String id = "v" + viewers.size();
         final SessionClass cls = classes.get(random.nextDouble() < .3 ? 0 : random.nextDouble() < .36 ? 1 : 2);
         final int top = random.nextDouble() < .26 ? 2 : 4;
         final long firstTry = now;
-        final long until = now + script.stayLeast + random.nextLong(script.stayMore);
-        final Heeds heeds = random.nextDouble() < script.ignore
-                ? Heeds.NOTHING
-                : Heeds.values()[new int[] {0, 1, 3}[random.nextInt(3)]];
+        final long until = now + script.minStay + random.nextLong(script.extraStay);
+        final RetryPolicy heeds = random.nextDouble() < script.ignoringShare
+                ? RetryPolicy.IGNORES_ADVICE
+                : RetryPolicy.values()[new int[] {0, 1, 3}[random.nextInt(3)]];
         int mine;
-        long wait = 500 * MS;
+        long wait = 500 * MILLISECOND_US;
         long askedAt;
         String name;
-        Station at;
-        Box box;
+        SimulatedBroker at;
+        SimulatedEdgeServer box;
         int rung;
         boolean answered;
         boolean plays;
@@ -298,32 +299,34 @@
         }
 
         void ask(boolean again) {
-            if (now > until - 2 * S) {
+            if (now > until - 2 * SECOND_US) {
                 return;
             }
             mine++;
-            tries++;
-            int sec = (int) ((now - START) / S);
-            if (sec < came.length) {
-                came[sec]++;
+            requests++;
+            int sec = (int) ((now - START_US) / SECOND_US);
+            if (sec < requestsBySecond.length) {
+                requestsBySecond[sec]++;
             }
             askedAt = now;
             answered = false;
-            Station to = stations.get(random.nextInt(script.brokers));
+            SimulatedBroker to = simulatedBrokers.get(random.nextInt(script.brokers));
             if (!to.admitted()) { // the front has noticed: another one
-                List<Station> up = stations.stream().filter(Station::admitted).toList();
+                List<SimulatedBroker> up = simulatedBrokers.stream()
+                        .filter(SimulatedBroker::admitted)
+                        .toList();
                 to = up.isEmpty() ? to : up.get(random.nextInt(up.size()));
             }
             at = to;
             inSurge = cls.effect() != Effect.SAFE
                     && mine == 1
-                    && now - START >= script.surgeFrom
-                    && now - START < script.surgeTo;
-            paidAsked += inSurge ? 1 : 0;
+                    && now - START_US >= script.surgeFrom
+                    && now - START_US < script.surgeTo;
+            paidRequests += inSurge ? 1 : 0;
             name = String.format("%016x", ++names);
             if (!to.alive()) {
                 name = null;
-                back(740 * MS + random.nextLong(2_160 * MS)); // the connection is refused
+                back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US)); // the connection is refused
                 return;
             }
             String asked = name;
@@ -335,7 +338,7 @@
                     }
                     ended();
                     if (cls.effect() == Effect.SAFE) {
-                        back(740 * MS + random.nextLong(2_160 * MS));
+                        back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US));
                     }
                 }
             });
@@ -348,21 +351,22 @@
         void refused(long comeBack) {
             answered = true;
             refused++;
-            int sec = (int) ((now - START) / S);
-            refusedIn[Math.min(sec, refusedIn.length - 1)]++;
+            int sec = (int) ((now - START_US) / SECOND_US);
+            refusalsBySecond[Math.min(sec, refusalsBySecond.length - 1)]++;
             ended();
-            long own = 740 * MS + random.nextLong(2_160 * MS);
+            long own = 740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US);
             if (random.nextDouble() < 0.1) {
                 return; // stays away
             }
-            long jitter = random.nextLong(30 * MS);
+            long jitter = random.nextLong(30 * MILLISECOND_US);
             switch (heeds) {
-                case MILLIS -> back(comeBack > 0 ? comeBack + jitter : own);
-                case SECONDS -> back(comeBack > 0 ? Math.max(1, Math.round(comeBack / 1e6)) * S + jitter : own);
-                case NOTHING -> back(own);
-                case DOUBLES -> {
+                case ADVISED_MILLIS -> back(comeBack > 0 ? comeBack + jitter : own);
+                case ADVISED_SECONDS ->
+                    back(comeBack > 0 ? Math.max(1, Math.round(comeBack / 1e6)) * SECOND_US + jitter : own);
+                case IGNORES_ADVICE -> back(own);
+                case EXPONENTIAL_BACKOFF -> {
                     back(wait + jitter);
-                    wait = Math.min(wait * 2, 8 * S);
+                    wait = Math.min(wait * 2, 8 * SECOND_US);
                 }
             }
         }
@@ -383,34 +387,34 @@
             ended();
             answered = true;
             if (!mayHaveRun && random.nextDouble() < .9) {
-                back(740 * MS + random.nextLong(2_160 * MS));
+                back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US));
             }
         }
     }
 
     // ---- Boxes.
 
-    final class Box {
+    final class SimulatedEdgeServer {
         final int number;
         final String id;
-        final Map<String, Viewer> load = new LinkedHashMap<>();
+        final Map<String, SimulatedViewer> load = new LinkedHashMap<>();
         final ArrayDeque<Long> cold = new ArrayDeque<>();
         final Set<String> ran = new HashSet<>();
         long since; // of its start; 0 long ago
         boolean fallen;
 
-        Box(int number) {
+        SimulatedEdgeServer(int number) {
             this.number = number;
             id = "box" + number;
         }
 
         double warmth() {
-            return since == 0 || now - since >= 12 * S ? 1 : 0.4 + 0.6 * (now - since) / (12.0 * S);
+            return since == 0 || now - since >= 12 * SECOND_US ? 1 : 0.4 + 0.6 * (now - since) / (12.0 * SECOND_US);
         }
 
         boolean slow() {
-            long t = now - START;
-            return number < script.slow && t >= script.slowFrom && t < script.slowTo;
+            long t = now - START_US;
+            return number < script.slowServers && t >= script.slowFrom && t < script.slowTo;
         }
 
         /** Of its link. */
@@ -433,14 +437,14 @@
             drop();
             since = now;
             cold.clear();
-            for (Station s : stations) {
-                at(now + 500 * MS + random.nextLong(900 * MS), () -> s.told(this));
+            for (SimulatedBroker s : simulatedBrokers) {
+                at(now + 500 * MILLISECOND_US + random.nextLong(900 * MILLISECOND_US), () -> s.told(this));
             }
         }
 
         void drop() {
-            for (Viewer v : List.copyOf(load.values())) {
-                Station s = v.at;
+            for (SimulatedViewer v : List.copyOf(load.values())) {
+                SimulatedBroker s = v.at;
                 String name = v.name;
                 if (s.alive()) {
                     s.broker.ended(now, id, name, Outcome.RESET, LoadReport.NONE);
@@ -455,18 +459,18 @@
                 return false;
             }
             if (!ran.add(name) && cls.effect() != Effect.SAFE) {
-                paidTwice++;
+                duplicatePaidSetUps++;
             }
             if (warmth() < 1) {
                 cold.add(now);
-                while (cold.peekFirst() < now - 2 * S) {
+                while (cold.peekFirst() < now - 2 * SECOND_US) {
                     cold.removeFirst();
                 }
-                double allowed = script.streams / 12.0 * warmth() * 2;
-                coldPeak = Math.max(coldPeak, cold.size() / allowed);
+                double allowed = script.streamsPerServer / 12.0 * warmth() * 2;
+                coldPeakRatio = Math.max(coldPeakRatio, cold.size() / allowed);
                 if (cold.size() > 2.5 * allowed + 1) {
                     fallen = true;
-                    boxesFallen++;
+                    crashedServers++;
                     drop();
                     return false;
                 }
@@ -485,11 +489,11 @@
 
     private void tell() {
         at(now + TELL, this::tell);
-        for (Box b : boxes) {
+        for (SimulatedEdgeServer b : servers) {
             double fill = b.asked() / (LINK * b.gives());
-            Set<Station> heard = new HashSet<>();
-            for (Viewer v : List.copyOf(b.load.values())) {
-                Station s = v.at;
+            Set<SimulatedBroker> heard = new HashSet<>();
+            for (SimulatedViewer v : List.copyOf(b.load.values())) {
+                SimulatedBroker s = v.at;
                 String name = v.name;
                 if (heard.add(s)) {
                     at(now + SEE, () -> {
@@ -504,10 +508,10 @@
 
     // ---- Brokers.
 
-    final class Station implements Front, ServerAdapter {
+    final class SimulatedBroker implements Front, ServerAdapter {
         final int me;
         Broker broker;
-        Damper damper;
+        RetryStormFilter damper;
         GossipNode node;
         AdmissionFilter admission;
         FleetSnapshot snapshot = FleetSnapshot.ALONE;
@@ -517,9 +521,9 @@
         long since;
         long diedAt = Long.MIN_VALUE;
         long noticed;
-        final Map<String, Viewer> asking = new HashMap<>();
+        final Map<String, SimulatedViewer> asking = new HashMap<>();
 
-        Station(int me) {
+        SimulatedBroker(int me) {
             this.me = me;
         }
 
@@ -534,9 +538,9 @@
 
         long ready() {
             long next = deadlines.nextDue();
-            long stall = START + script.stallAt;
-            return me == 0 && script.stallAt >= 0 && next >= stall && next < stall + script.stallFor
-                    ? stall + script.stallFor
+            long stall = START_US + script.stallAt;
+            return me == 0 && script.stallAt >= 0 && next >= stall && next < stall + script.stallDuration
+                    ? stall + script.stallDuration
                     : next;
         }
 
@@ -548,20 +552,20 @@
                     script.brokers,
                     "east",
                     classes,
-                    List.of(new ServerKind("std", script.streams)),
+                    List.of(new ServerKind("std", script.streamsPerServer)),
                     new Ladder(
                             list(RATES),
                             list(WORTHS),
-                            LINK * script.boxes,
+                            LINK * script.servers,
                             LINK,
-                            LINK * script.boxes,
+                            LINK * script.servers,
                             2,
                             3,
                             0,
                             STALL,
-                            490 * MS),
-                    new Limits(5, false, true, 250 * MS, script.longest, SEE, TELL),
-                    new Rules(S, 0.4, 12 * S, 2.5, 2 * S, 0, 0, 0),
+                            490 * MILLISECOND_US),
+                    new Limits(5, false, true, 250 * MILLISECOND_US, script.maxReturnDelay, SEE, TELL),
+                    new Rules(SECOND_US, 0.4, 12 * SECOND_US, 2.5, 2 * SECOND_US, 0, 0, 0),
                     new Prices(0, 0, 0, 0),
                     List.of(ReportField.LINK));
             long seed = random.nextLong();
@@ -569,9 +573,9 @@
             Function<Director.Actions, Director> whole = script.terms == null
                     ? module
                     : a -> {
-                        Director d = Damper.before(s, script.terms, seed ^ 0x5eed, module)
+                        Director d = RetryStormFilter.before(s, script.terms, seed ^ 0x5eed, module)
                                 .apply(a);
-                        damper = (Damper) d;
+                        damper = (RetryStormFilter) d;
                         return d;
                     };
             if (script.fleet != null) {
@@ -600,17 +604,19 @@
             broker.serversChanged(
                     now,
                     "names",
-                    now == START ? ListScope.SNAPSHOT : ListScope.DISK,
-                    boxes.stream().map(Box::listed).toList());
+                    now == START_US ? ListScope.SNAPSHOT : ListScope.DISK,
+                    servers.stream().map(SimulatedEdgeServer::listed).toList());
             Broker mine = broker;
-            if (now > START && script.namesReachable) {
-                at(now + 300 * MS + random.nextLong(500 * MS), () -> {
+            if (now > START_US && script.nameServerReachable) {
+                at(now + 300 * MILLISECOND_US + random.nextLong(500 * MILLISECOND_US), () -> {
                     if (broker == mine) {
                         broker.serversChanged(
                                 now,
                                 "names",
                                 ListScope.SNAPSHOT,
-                                boxes.stream().map(Box::listed).toList());
+                                servers.stream()
+                                        .map(SimulatedEdgeServer::listed)
+                                        .toList());
                     }
                 });
             }
@@ -620,16 +626,18 @@
             if (node == of) {
                 node.tick(now, this::carry);
                 snapshot = node.snapshot(now);
-                at(Math.min(now + (script.atOnce ? 20 : 100) * MS, node.next(now)), () -> beat(of));
+                at(
+                        Math.min(now + (script.instantExchange ? 20 : 100) * MILLISECOND_US, node.next(now)),
+                        () -> beat(of));
             }
         }
 
         void carry(int to, byte[] bytes) {
-            Station s = stations.get(to);
-            if (me == script.liar || !script.atOnce && random.nextDouble() < script.datagramLoss) {
+            SimulatedBroker s = simulatedBrokers.get(to);
+            if (me == script.byzantineBroker || !script.instantExchange && random.nextDouble() < script.datagramLoss) {
                 return;
             }
-            at(now + (script.atOnce ? 1 : 1_100 + random.nextLong(34 * MS)), () -> {
+            at(now + (script.instantExchange ? 1 : 1_100 + random.nextLong(34 * MILLISECOND_US)), () -> {
                 if (s.node != null) {
                     s.node.receive(now, bytes, s::carry);
                 }
@@ -651,8 +659,8 @@
             node = null;
             admission = null;
             diedAt = now;
-            noticed = now + 1_200 * MS + random.nextLong(2_200 * MS);
-            for (Viewer v : viewers) {
+            noticed = now + 1_200 * MILLISECOND_US + random.nextLong(2_200 * MILLISECOND_US);
+            for (SimulatedViewer v : viewers) {
                 if (v.at == this && v.name != null) {
                     v.cut();
                 }
@@ -660,13 +668,13 @@
             asking.clear();
         }
 
-        void told(Box b) {
+        void told(SimulatedEdgeServer b) {
             if (broker != null) {
                 broker.serversChanged(now, "names", ListScope.CHANGES, List.of(b.listed()));
             }
         }
 
-        void ask(Viewer v, boolean again) {
+        void ask(SimulatedViewer v, boolean again) {
             asking.put(v.name, v);
             long connection = broker.connected(now, this, h -> {});
             if (!broker.request(
@@ -696,9 +704,9 @@
             if (bytes.length > 256) {
                 throw new IllegalStateException("datagram too long");
             }
-            for (Station s : stations) {
+            for (SimulatedBroker s : simulatedBrokers) {
                 if (s != this && random.nextDouble() >= script.datagramLoss) {
-                    at(now + 1_100 + random.nextLong(34 * MS), () -> {
+                    at(now + 1_100 + random.nextLong(34 * MILLISECOND_US), () -> {
                         if (s.broker != null) {
                             s.broker.peerMessageReceived(now, me, bytes);
                         }
@@ -710,7 +718,7 @@
         // Front.
         @Override
         public void served(long connection, String name, Grant g) {
-            Viewer v = asking.get(name);
+            SimulatedViewer v = asking.get(name);
             if (v == null || !name.equals(v.name)) {
                 broker.answerUndelivered(now, name);
                 return;
@@ -718,36 +726,36 @@
             v.answered = true;
             v.plays = true;
             paidServed += v.inSurge ? 1 : 0;
-            v.box = boxes.get(Integer.parseInt(g.server().substring(3)));
+            v.box = servers.get(Integer.parseInt(g.server().substring(3)));
             served++;
         }
 
         @Override
         public void refused(long connection, String name, long comeBack) {
-            Viewer v = asking.remove(name);
+            SimulatedViewer v = asking.remove(name);
             if (v != null && name.equals(v.name)) {
-                refusedAfterRun +=
-                        v.cls.effect() != Effect.SAFE && boxes.stream().anyMatch(b -> b.ran.contains(name)) ? 1 : 0;
+                paidRefusedAfterRun +=
+                        v.cls.effect() != Effect.SAFE && servers.stream().anyMatch(b -> b.ran.contains(name)) ? 1 : 0;
                 v.refused(comeBack);
             }
         }
 
         @Override
         public void failed(long connection, String name, boolean late) {
-            Viewer v = asking.remove(name);
+            SimulatedViewer v = asking.remove(name);
             if (v != null && name.equals(v.name)) {
                 failed++;
                 v.answered = true;
                 v.ended();
                 if (v.cls.effect() == Effect.SAFE) {
-                    v.back(740 * MS + random.nextLong(2_160 * MS));
+                    v.back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US));
                 }
             }
         }
 
         @Override
         public void sessionEnded(long connection, String name, Outcome outcome) {
-            Viewer v = asking.remove(name);
+            SimulatedViewer v = asking.remove(name);
             if (v != null && name.equals(v.name) && outcome != Outcome.OK) {
                 v.cut();
             } else if (v != null && name.equals(v.name)) {
@@ -768,22 +776,22 @@
         // Boxes, over a network.
         @Override
         public void setUp(String server, SetUp s) {
-            Box b = boxes.get(Integer.parseInt(server.substring(3)));
-            Viewer v = asking.get(s.name());
+            SimulatedEdgeServer b = servers.get(Integer.parseInt(server.substring(3)));
+            SimulatedViewer v = asking.get(s.name());
             Broker mine = broker;
-            belowFloor += s.highestRendition() < s.lowestRendition() ? 1 : 0;
-            furtherAttempts += attempts.merge(s.name(), 1, Integer::sum) > 1 ? 1 : 0;
-            boolean noAnswer = script.lostReplies > 0 && random.nextDouble() < script.lostReplies;
-            at(now + 3 * MS, () -> {
+            renditionsBelowFloor += s.highestRendition() < s.lowestRendition() ? 1 : 0;
+            brokerRetries += attempts.merge(s.name(), 1, Integer::sum) > 1 ? 1 : 0;
+            boolean noAnswer = script.lostReplyShare > 0 && random.nextDouble() < script.lostReplyShare;
+            at(now + 3 * MILLISECOND_US, () -> {
                 if (b.takes(s.name(), v.cls)) {
                     if (noAnswer) {
                         return; // it ran, and its answer is lost
                     }
                     at(
                             now
-                                    + 15 * MS
-                                    + random.nextLong(25 * MS)
-                                    + (b.slow() ? 300 * MS + random.nextLong(900 * MS) : 0),
+                                    + 15 * MILLISECOND_US
+                                    + random.nextLong(25 * MILLISECOND_US)
+                                    + (b.slow() ? 300 * MILLISECOND_US + random.nextLong(900 * MILLISECOND_US) : 0),
                             () -> {
                                 if (broker == mine && !b.fallen && v.name != null && v.name.equals(s.name())) {
                                     v.rung = s.highestRendition();
@@ -803,16 +811,16 @@
 
         @Override
         public void setRendition(String server, String name, int rung) {
-            Viewer v = asking.get(name);
+            SimulatedViewer v = asking.get(name);
             if (v != null && name.equals(v.name)) {
-                belowFloor += rung < v.cls.floor() ? 1 : 0;
+                renditionsBelowFloor += rung < v.cls.floor() ? 1 : 0;
                 v.rung = rung;
             }
         }
 
         @Override
         public void release(String server, String name) {
-            boxes.get(Integer.parseInt(server.substring(3))).load.remove(name);
+            servers.get(Integer.parseInt(server.substring(3))).load.remove(name);
         }
 
         @Override
@@ -826,22 +834,22 @@
 
     private void measure() {
         at(now + TICK, this::measure);
-        int sec = (int) ((now - START) / S);
-        if (sec >= offered.length) {
+        int sec = (int) ((now - START_US) / SECOND_US);
+        if (sec >= offeredBySecond.length) {
             return;
         }
-        Map<Box, Double> worth = new HashMap<>();
-        for (Box b : boxes) {
+        Map<SimulatedEdgeServer, Double> worth = new HashMap<>();
+        for (SimulatedEdgeServer b : servers) {
             double share = b.share();
             worth.put(b, share >= 0.98 ? 1 : Math.max(0, 1 - STALL * (0.98 - share)));
             if (share < 0.98) {
                 int n = 0;
-                for (Viewer v : b.load.values()) {
+                for (SimulatedViewer v : b.load.values()) {
                     if (n++ == 0 && v.at.alive()) {
                         String name = v.name;
-                        Station s = v.at;
+                        SimulatedBroker s = v.at;
                         at(now + SEE, () -> {
-                            if (s.alive() && now / S != (now - TICK) / S) {
+                            if (s.alive() && now / SECOND_US != (now - TICK) / SECOND_US) {
                                 s.broker.metricReceived(now, b.id, name, Metric.DELIVERED, share);
                             }
                         });
@@ -849,19 +857,23 @@
                 }
             }
         }
-        playing[sec] = boxes.stream().mapToInt(b -> b.load.size()).sum();
-        fill[sec] = boxes.stream().mapToDouble(Box::asked).sum()
-                / (LINK * boxes.stream().mapToDouble(Box::warmth).sum());
-        rungs[sec] = viewers.stream()
+        sessionsBySecond[sec] = servers.stream().mapToInt(b -> b.load.size()).sum();
+        linkLoadBySecond[sec] =
+                servers.stream().mapToDouble(SimulatedEdgeServer::asked).sum()
+                        / (LINK
+                                * servers.stream()
+                                        .mapToDouble(SimulatedEdgeServer::warmth)
+                                        .sum());
+        meanRenditionBySecond[sec] = viewers.stream()
                 .filter(v -> v.plays)
                 .mapToInt(v -> v.rung)
                 .average()
                 .orElse(0);
-        for (Viewer v : viewers) {
+        for (SimulatedViewer v : viewers) {
             if (now < v.until) {
-                offered[sec] += v.cls.worth() * WORTHS[v.top] * TICK / S;
-                earned[sec] += v.plays && v.box != null
-                        ? v.cls.worth() * WORTHS[Math.min(v.rung, v.top)] * worth.get(v.box) * TICK / S
+                offeredBySecond[sec] += v.cls.worth() * WORTHS[v.top] * TICK / SECOND_US;
+                earnedBySecond[sec] += v.plays && v.box != null
+                        ? v.cls.worth() * WORTHS[Math.min(v.rung, v.top)] * worth.get(v.box) * TICK / SECOND_US
                         : 0;
             } else if (v.plays && v.at.alive() && v.box != null) {
                 v.at.broker.ended(now, v.box.id, v.name, Outcome.OK, v.box.report());
@@ -869,19 +881,19 @@
         }
         shares();
         int uncalm = 0;
-        for (Station s : stations) {
+        for (SimulatedBroker s : simulatedBrokers) {
             String state = s.damper == null ? "NONE" : s.damper.state();
             if (!state.equals(s.state)) {
                 stormLog.add(
-                        String.format(java.util.Locale.ROOT, "%.1f broker=%d %s", (now - START) / 1e6, s.me, state));
+                        String.format(java.util.Locale.ROOT, "%.1f broker=%d %s", (now - START_US) / 1e6, s.me, state));
                 s.state = state;
             }
             uncalm += s.damper != null && !s.damper.state().equals("CALM") ? 1 : 0;
         }
-        calm.set((int) ((now - START) / TICK), uncalm == 0);
+        calm.set((int) ((now - START_US) / TICK), uncalm == 0);
         int before = viewers.size();
-        viewers.removeIf(v -> now > v.until + 5 * S && v.name == null);
-        gone += before - viewers.size();
+        viewers.removeIf(v -> now > v.until + 5 * SECOND_US && v.name == null);
+        departedViewers += before - viewers.size();
     }
 
     /** Looks whether shares add up, and whether a viewer is judged alike at all brokers. */
@@ -895,7 +907,7 @@
                 classes.get(random.nextInt(classes.size())).name(),
                 "v" + random.nextInt(100_000),
                 "lesson",
-                S,
+                SECOND_US,
                 0,
                 0,
                 3,
@@ -903,32 +915,32 @@
                 false,
                 false,
                 false);
-        for (Station s : stations) {
-            if (s.node != null && s.me != script.liar) {
+        for (SimulatedBroker s : simulatedBrokers) {
+            if (s.node != null && s.me != script.byzantineBroker) {
                 sum += s.node.newSessionShare(now);
                 cut |= s.snapshot.sheddingThreshold() > 0;
                 under += s.admission.isShed(now, r) ? 1 : 0;
                 asked++;
             }
         }
-        shareSumMax = Math.max(shareSumMax, sum);
+        maxShareSum = Math.max(maxShareSum, sum);
         if (cut && asked > 1) {
-            judged += asked;
-            judgedAlike += Math.max(under, asked - under);
+            shedDecisions += asked;
+            agreeingShedDecisions += Math.max(under, asked - under);
         }
     }
 
-    private int gone;
+    private int departedViewers;
 
     /** People who came at all. */
-    public int people() {
-        return people + gone;
+    public int viewerCount() {
+        return viewerCount + departedViewers;
     }
 
     /** Seconds from a time until all brokers are calm, for a second at least; -1: never. */
-    public double calmAfter(long from) {
-        int second = (int) (S / TICK);
-        for (int i = (int) (from / TICK); i + second < script.length / TICK; i++) {
+    public double secondsUntilCalm(long from) {
+        int second = (int) (SECOND_US / TICK);
+        for (int i = (int) (from / TICK); i + second < script.duration / TICK; i++) {
             if (calm.nextClearBit(i) >= i + second) {
                 return (i * TICK - from) / 1e6;
             }
@@ -937,27 +949,27 @@
     }
 
     /** Worth earned over worth asked for, over a run from one second to another. */
-    public double service(int from, int to) {
+    public double serviceRatio(int from, int to) {
         double asked = 0;
         double got = 0;
-        for (int i = from; i < Math.min(to, offered.length - 1); i++) {
-            asked += offered[i];
-            got += earned[i];
+        for (int i = from; i < Math.min(to, offeredBySecond.length - 1); i++) {
+            asked += offeredBySecond[i];
+            got += earnedBySecond[i];
         }
         return asked == 0 ? 1 : got / asked;
     }
 
     /** The worst 10 s from one second on. */
-    public double worst(int from) {
+    public double worstTenSeconds(int from) {
         double worst = 1;
-        for (int i = from; i + 10 <= offered.length - 1; i++) {
-            worst = Math.min(worst, service(i, i + 10));
+        for (int i = from; i + 10 <= offeredBySecond.length - 1; i++) {
+            worst = Math.min(worst, serviceRatio(i, i + 10));
         }
         return worst;
     }
 
-    public List<Damper> dampers() {
-        return stations.stream()
+    public List<RetryStormFilter> dampers() {
+        return simulatedBrokers.stream()
                 .filter(s -> s.damper != null)
                 .map(s -> s.damper)
                 .toList();
--- a/src/test/java/dockshed/rig/EndingsTest.java
+++ b/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
@@ -34,16 +34,16 @@
  * Ends that cross, seen on the wires at both ends: viewers' front, broker and lines to two servers on loopback sockets, the
  * module scripted. The loop is held until both sides of a crossing have come. Afterwards every table is empty.
  */
-class EndingsTest {
+class ConcurrentEndingsTest {
     private static final String ID = "0123456789abcdef";
 
     /** A server, which the test plays. */
-    private static final class Box implements AutoCloseable {
+    private static final class ScriptedEdgeServer implements AutoCloseable {
         final ServerSocket at = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Socket line;
         BufferedReader reads;
 
-        Box() throws IOException {
+        ScriptedEdgeServer() throws IOException {
             at.setSoTimeout(20_000);
         }
 
@@ -154,14 +154,14 @@
     private Director.Actions act;
     private Broker broker;
     private InetSocketAddress at;
-    private Box a;
-    private Box b;
+    private ScriptedEdgeServer a;
+    private ScriptedEdgeServer b;
     private Viewer viewer;
 
     @BeforeEach
     void start() throws Exception {
-        a = new Box();
-        b = new Box();
+        a = new ScriptedEdgeServer();
+        b = new ScriptedEdgeServer();
         RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
             TimerQueue deadlines = new TimerQueue(clock::wakeAt);
--- a/src/test/java/dockshed/rig/FleetBench.java
+++ b/src/test/java/dockshed/rig/FleetBench.java
@@ -7,10 +7,10 @@
 
 /** The measurement behind bench/fleet.sh, on the virtual clock: overload with the part off, on, and told all at once. */
 public final class FleetBench {
-    private static final long S = World.S;
-    private static final int FROM = 40;
-    private static final int TO = 60;
-    private static final int END = 90;
+    private static final long SECOND_US = BrokerSimulation.SECOND_US;
+    private static final int OVERLOAD_FROM_S = 40;
+    private static final int OVERLOAD_TO_S = 60;
+    private static final int END_S = 90;
 
     private FleetBench() {}
 
@@ -22,40 +22,40 @@
     }
 
     /** Twice the room for 20 s, half the boxes slow, a broker killed. */
-    static World.Script overload(int brokers) {
-        World.Script s = new World.Script();
+    static BrokerSimulation.Scenario overload(int brokers) {
+        BrokerSimulation.Scenario s = new BrokerSimulation.Scenario();
         s.brokers = brokers;
-        s.length = END * S;
-        s.arrivals = 48;
-        s.surge = 2.4;
-        s.stayLeast = 4 * S; // so that the load's end is the end of what is asked for, too
-        s.stayMore = 8 * S;
-        s.surgeFrom = FROM * S;
-        s.surgeTo = TO * S;
-        s.slow = s.boxes / 2;
-        s.slowFrom = FROM * S;
-        s.slowTo = TO * S;
-        return s.outage(1, (FROM + 5) * S, (FROM + 10) * S);
+        s.duration = END_S * SECOND_US;
+        s.arrivalsPerSecond = 48;
+        s.surgeFactor = 2.4;
+        s.minStay = 4 * SECOND_US; // so that the load's end is the end of what is asked for, too
+        s.extraStay = 8 * SECOND_US;
+        s.surgeFrom = OVERLOAD_FROM_S * SECOND_US;
+        s.surgeTo = OVERLOAD_TO_S * SECOND_US;
+        s.slowServers = s.servers / 2;
+        s.slowFrom = OVERLOAD_FROM_S * SECOND_US;
+        s.slowTo = OVERLOAD_TO_S * SECOND_US;
+        return s.outage(1, (OVERLOAD_FROM_S + 5) * SECOND_US, (OVERLOAD_FROM_S + 10) * SECOND_US);
     }
 
-    private static World play(Variant v, int brokers, long seed) {
-        World.Script s = overload(brokers);
+    private static BrokerSimulation play(Variant v, int brokers, long seed) {
+        BrokerSimulation.Scenario s = overload(brokers);
         if (v != Variant.OFF) {
             s.fleet = v == Variant.AT_ONCE
                     ? new FleetSettings(100_000, 0, 0.5, true, true, true)
                     : FleetSettings.DEFAULTS;
-            s.atOnce = v == Variant.AT_ONCE;
-            s.liar = v == Variant.LIAR ? brokers - 1 : -1;
+            s.instantExchange = v == Variant.AT_ONCE;
+            s.byzantineBroker = v == Variant.LIAR ? brokers - 1 : -1;
         }
-        return World.run(s, seed);
+        return BrokerSimulation.run(s, seed);
     }
 
     /** Seconds after the load's end until a second's service is 0.95 of that before the load; -1: not within the run. */
-    private static double recovered(World w) {
-        double usual = w.service(FROM - 10, FROM);
-        for (int i = TO; i + 2 < END; i++) {
-            if (w.service(i, i + 2) >= 0.95 * usual) {
-                return i - TO;
+    private static double recovered(BrokerSimulation w) {
+        double usual = w.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S);
+        for (int i = OVERLOAD_TO_S; i + 2 < END_S; i++) {
+            if (w.serviceRatio(i, i + 2) >= 0.95 * usual) {
+                return i - OVERLOAD_TO_S;
             }
         }
         return -1;
@@ -83,35 +83,35 @@
         for (Variant v : Variant.values()) {
             int i = v.ordinal();
             for (int seed = 1; seed <= seeds; seed++) {
-                World w = play(v, brokers, seed);
+                BrokerSimulation w = play(v, brokers, seed);
                 double r = recovered(w);
-                during[i] += w.service(FROM, TO) / seeds;
-                after[i] += w.service(TO, TO + 15) / seeds;
-                recover[i] += (r < 0 ? END - TO : r) / seeds;
-                paid[i] += w.paidServed / (double) Math.max(1, w.paidAsked) / seeds;
-                further[i] += w.furtherAttempts / (double) Math.max(1, w.people()) / seeds;
-                lost += w.lost;
-                twice += w.paidTwice;
+                during[i] += w.serviceRatio(OVERLOAD_FROM_S, OVERLOAD_TO_S) / seeds;
+                after[i] += w.serviceRatio(OVERLOAD_TO_S, OVERLOAD_TO_S + 15) / seeds;
+                recover[i] += (r < 0 ? END_S - OVERLOAD_TO_S : r) / seeds;
+                paid[i] += w.paidServed / (double) Math.max(1, w.paidRequests) / seeds;
+                further[i] += w.brokerRetries / (double) Math.max(1, w.viewerCount()) / seeds;
+                lost += w.unanswered;
+                twice += w.duplicatePaidSetUps;
                 if (v == Variant.ON) {
-                    alike += w.judgedAlike;
-                    judged += w.judged;
-                    shares = Math.max(shares, w.shareSumMax);
-                    bytes += w.fleetBytes / (double) END / brokers / seeds;
+                    alike += w.agreeingShedDecisions;
+                    judged += w.shedDecisions;
+                    shares = Math.max(shares, w.maxShareSum);
+                    bytes += w.fleetBytes / (double) END_S / brokers / seeds;
                 }
                 System.out.printf(
                         Locale.ROOT,
                         "| %s | %d | %.3f | %.3f | %.3f | %.0f | %d | %.3f | %.3f | %.3f | %.3f |%n",
                         v,
                         seed,
-                        w.service(FROM - 10, FROM),
-                        w.service(FROM, TO),
-                        w.service(TO, TO + 15),
+                        w.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S),
+                        w.serviceRatio(OVERLOAD_FROM_S, OVERLOAD_TO_S),
+                        w.serviceRatio(OVERLOAD_TO_S, OVERLOAD_TO_S + 15),
                         r,
                         w.refused,
-                        w.paidServed / (double) Math.max(1, w.paidAsked),
-                        w.furtherAttempts / (double) w.people(),
-                        w.shareSumMax,
-                        w.judged == 0 ? 1 : w.judgedAlike / w.judged);
+                        w.paidServed / (double) Math.max(1, w.paidRequests),
+                        w.brokerRetries / (double) w.viewerCount(),
+                        w.maxShareSum,
+                        w.shedDecisions == 0 ? 1 : w.agreeingShedDecisions / w.shedDecisions);
             }
         }
         FleetCosts.ByteRates five = FleetCosts.byteRates(5, 30);
--- a/src/test/java/dockshed/rig/FleetProcessTest.java
+++ b/src/test/java/dockshed/rig/FleetProcessTest.java
@@ -32,8 +32,8 @@
 
     private static void serves(FleetRig rig, int... at) throws Exception {
         for (int b : at) {
-            assertEquals(200, rig.ask(b, "cert-lesson"));
-            assertEquals(200, rig.ask(b, "refresher"));
+            assertEquals(200, rig.requestSession(b, "cert-lesson"));
+            assertEquals(200, rig.requestSession(b, "refresher"));
         }
     }
 
@@ -41,11 +41,11 @@
     @Timeout(170) // each wait is for a line that comes; suspicions take some seconds each
     void brokersFindLoseAndFindOneAnotherAndServeAllTheWhile() throws Exception {
         try (FleetRig rig = new FleetRig(dir, N, 3, "fleet {\n}\n")) {
-            rig.fabric.loss = 0.05;
-            rig.fabric.twice = 0.05;
-            rig.fabric.mostMillis = 15;
+            rig.network.loss = 0.05;
+            rig.network.duplication = 0.05;
+            rig.network.maxDelayMillis = 15;
             for (BrokerProcess b : rig.brokers) {
-                b.await(0, present(N));
+                b.awaitLine(0, present(N));
             }
             serves(rig, 0, 1, 2, 3, 4);
 
@@ -53,66 +53,67 @@
             int[] marks = marks(rig);
             rig.brokers.get(3).kill();
             for (int i : new int[] {0, 1, 2, 4}) {
-                rig.brokers.get(i).await(marks[i], lost(3));
+                rig.brokers.get(i).awaitLine(marks[i], lost(3));
             }
             serves(rig, 0, 1, 2, 4);
             marks = marks(rig);
             rig.brokers.get(3).start();
-            rig.brokers.get(3).await(marks[3], present(N));
+            rig.brokers.get(3).awaitLine(marks[3], present(N));
             for (int i : new int[] {0, 1, 2, 4}) {
-                rig.brokers.get(i).await(marks[i], present(N));
+                rig.brokers.get(i).awaitLine(marks[i], present(N));
             }
             serves(rig, 3);
 
             // Stopped until the others have noticed, and let go on: it calls nobody dead.
             marks = marks(rig);
             rig.brokers.get(1).signal("STOP");
-            rig.brokers.get(0).await(marks[0], lost(1));
+            rig.brokers.get(0).awaitLine(marks[0], lost(1));
             serves(rig, 0, 2, 3, 4);
             rig.brokers.get(1).signal("CONT");
-            rig.brokers.get(0).await(marks[0], present(N));
-            rig.brokers.get(1).await(marks[1], l -> l.contains("stalls=1"));
+            rig.brokers.get(0).awaitLine(marks[0], present(N));
+            rig.brokers.get(1).awaitLine(marks[1], l -> l.contains("stalls=1"));
             assertTrue(
-                    rig.brokers.get(1).since(marks[1]).stream().noneMatch(l -> l.matches(".* lost=\\[\\d.* fleet")),
-                    "it called somebody dead: " + rig.brokers.get(1).since(marks[1]));
+                    rig.brokers.get(1).linesSince(marks[1]).stream()
+                            .noneMatch(l -> l.matches(".* lost=\\[\\d.* fleet")),
+                    "it called somebody dead: " + rig.brokers.get(1).linesSince(marks[1]));
             serves(rig, 1);
 
             // Cut in two, and healed; both parts serve.
             marks = marks(rig);
-            rig.fabric.halve(2, true);
-            rig.brokers.get(0).await(marks[0], present(2));
-            rig.brokers.get(4).await(marks[4], present(3));
+            rig.network.split(2, true);
+            rig.brokers.get(0).awaitLine(marks[0], present(2));
+            rig.brokers.get(4).awaitLine(marks[4], present(3));
             serves(rig, 0, 1, 2, 3, 4);
             marks = marks(rig);
-            rig.fabric.halve(2, false);
+            rig.network.split(2, false);
             for (int i = 0; i < N; i++) {
-                rig.brokers.get(i).await(marks[i], present(N));
+                rig.brokers.get(i).awaitLine(marks[i], present(N));
             }
 
             // A planned end is told; the place is taken by a byzantine peer.
             marks = marks(rig);
             rig.brokers.get(4).signal("TERM");
-            assertEquals(0, rig.brokers.get(4).awaitEnd());
-            rig.brokers.get(0).await(marks[0], lost(4));
+            assertEquals(0, rig.brokers.get(4).awaitExit());
+            rig.brokers.get(0).awaitLine(marks[0], lost(4));
             marks = marks(rig);
-            rig.lie(4, 1000);
+            rig.injectByzantine(4, 1000);
             for (int i = 0; i < 4; i++) {
                 int me = i;
                 assertTrue(
-                        rig.brokers.get(i).since(marks[i]).stream()
+                        rig.brokers.get(i).linesSince(marks[i]).stream()
                                 .noneMatch(l -> l.matches(".* lost=\\[[0-3].* fleet")),
                         "a byzantine peer took somebody away at " + me);
-                assertTrue(rig.brokers.get(i).since(marks[i]).stream().noneMatch(l -> l.contains("ERROR")));
+                assertTrue(rig.brokers.get(i).linesSince(marks[i]).stream().noneMatch(l -> l.contains("ERROR")));
             }
             serves(rig, 0, 1, 2, 3);
             assertEquals(0, rig.failed.get());
-            assertTrue(rig.paid.values().stream().allMatch(n -> n == 1), "a paid set-up ran twice");
+            assertTrue(rig.paidSetUps.values().stream().allMatch(n -> n == 1), "a paid set-up ran twice");
             assertSharesHold(rig);
         }
     }
 
     private static int[] marks(FleetRig rig) {
-        return rig.brokers.stream().mapToInt(BrokerProcess::mark).toArray();
+        return rig.brokers.stream().mapToInt(BrokerProcess::logPosition).toArray();
     }
 
     /** All leases of all processes, on the one clock of this machine: at no time more than what is not guaranteed. */
@@ -121,7 +122,7 @@
         int leases = 0;
         for (BrokerProcess b : rig.brokers) {
             List<double[]> mine = new ArrayList<>();
-            for (String line : b.since(0)) {
+            for (String line : b.linesSince(0)) {
                 Matcher m = LEASE.matcher(line);
                 if (m.matches()) {
                     mine.add(new double[] {
--- a/src/test/java/dockshed/rig/FleetRig.java
+++ b/src/test/java/dockshed/rig/FleetRig.java
@@ -26,12 +26,12 @@
     private static final int SOCKETS = 512;
 
     final List<BrokerProcess> brokers = new ArrayList<>();
-    final Fabric fabric;
+    final LossyNetwork network;
     final AtomicInteger answered = new AtomicInteger();
     final AtomicInteger failed = new AtomicInteger();
-    final Map<String, Integer> paid = new ConcurrentHashMap<>(); // set-ups of the paid class by session
+    final Map<String, Integer> paidSetUps = new ConcurrentHashMap<>(); // set-ups of the paid class by session
     private final Net net = new Net("rig");
-    private final List<AnsweringBox> boxes = new ArrayList<>();
+    private final List<AnsweringEdgeServer> edgeServers = new ArrayList<>();
     private final AtomicInteger names = new AtomicInteger();
 
     /** Brokers that all read the same operator's file. */
@@ -42,7 +42,7 @@
     /** {@code conf}: each broker's operator's file. */
     FleetRig(Path dir, int count, int boxCount, IntFunction<String> conf) throws Exception {
         for (int i = 0; i < boxCount; i++) {
-            boxes.add(new AnsweringBox(paid));
+            edgeServers.add(new AnsweringEdgeServer(paidSetUps));
         }
         InetSocketAddress[] listens = new InetSocketAddress[count];
         List<DatagramSocket> held = new ArrayList<>();
@@ -52,11 +52,11 @@
             listens[i] = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         held.forEach(DatagramSocket::close);
-        fabric = new Fabric(net, listens);
+        network = new LossyNetwork(net, listens);
         for (int i = 0; i < count; i++) {
             Path config = Files.writeString(
                     dir.resolve("broker" + i + ".json"),
-                    config(i, count, listens[i]).json());
+                    config(i, count, listens[i]).toJson());
             Path file = Files.writeString(dir.resolve("broker" + i + ".conf"), conf.apply(i));
             brokers.add(new BrokerProcess(config, file));
         }
@@ -68,18 +68,18 @@
     private BrokerConfig config(int me, int count, InetSocketAddress listens) {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (int other = 0; other < count; other++) {
-            peers.add(fabric.address(me, other));
+            peers.add(network.addressOf(me, other));
         }
         List<InetSocketAddress> addresses =
-                boxes.stream().map(AnsweringBox::address).toList();
+                edgeServers.stream().map(AnsweringEdgeServer::address).toList();
         return new BrokerConfig(me, SOCKETS, listens, peers, addresses);
     }
 
     /** A viewer of a broker: asks, waits for the one final answer, and leaves. Returns its status; 0: the connection ended. */
-    int ask(int broker, String cls) throws IOException {
+    int requestSession(int broker, String cls) throws IOException {
         String session = String.format("%016x", names.incrementAndGet());
         try (Socket s = new Socket()) {
-            s.connect(brokers.get(broker).listens(), 5000);
+            s.connect(brokers.get(broker).listenAddress(), 5000);
             s.setSoTimeout(20_000);
             Map<String, String> h = new LinkedHashMap<>();
             h.put("CSeq", "1");
@@ -109,7 +109,7 @@
     }
 
     /** One broker's place is taken by a byzantine peer, so many datagrams; waits until they are sent. */
-    void lie(int liar, int datagrams) throws Exception {
+    void injectByzantine(int liar, int datagrams) throws Exception {
         ByzantinePeer byzantine =
                 new ByzantinePeer(liar, brokers.size(), System.currentTimeMillis() * 1000 + 5_000_000, 3);
         for (int i = 0; i < datagrams; i++) {
@@ -118,7 +118,7 @@
                             () -> {
                                 for (int to = 0; to < brokers.size(); to++) {
                                     if (to != liar) {
-                                        fabric.carry(liar, to, byzantine.next(System.currentTimeMillis() * 1000));
+                                        network.forward(liar, to, byzantine.next(System.currentTimeMillis() * 1000));
                                     }
                                 }
                             },
@@ -131,11 +131,11 @@
     @Override
     public void close() throws Exception {
         for (BrokerProcess b : brokers) {
-            if (b.up()) {
+            if (b.isUp()) {
                 b.kill();
             }
         }
-        for (AnsweringBox box : boxes) {
+        for (AnsweringEdgeServer box : edgeServers) {
             box.close();
         }
         net.close();
--- a/src/test/java/dockshed/rig/Fabric.java
+++ b/src/test/java/dockshed/rig/LossyNetwork.java
@@ -15,17 +15,17 @@
  * What carries datagrams between brokers that run as processes: one socket for each ordered pair, so that each broker knows
  * each other by an address of its own. It loses, delays, repeats and reorders, and is cut one way or both.
  */
-public final class Fabric {
+public final class LossyNetwork {
     private final Net net;
     private final Channel[][] from; // [a][b]: what a knows as b
     private final InetSocketAddress[] listens;
     private final boolean[][] cut;
     private final SplittableRandom random = new SplittableRandom(5);
     volatile double loss;
-    volatile double twice;
-    volatile int mostMillis;
+    volatile double duplication;
+    volatile int maxDelayMillis;
 
-    public Fabric(Net net, InetSocketAddress[] listens) {
+    public LossyNetwork(Net net, InetSocketAddress[] listens) {
         this.net = net;
         this.listens = listens;
         int n = listens.length;
@@ -44,7 +44,7 @@
                         new SimpleChannelInboundHandler<DatagramPacket>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-                                carry(a, b, Net.toBytes(p.content()));
+                                forward(a, b, Net.toBytes(p.content()));
                             }
 
                             @Override
@@ -56,12 +56,12 @@
     }
 
     /** The address under which a knows b. */
-    public InetSocketAddress address(int a, int b) {
+    public InetSocketAddress addressOf(int a, int b) {
         return a == b ? listens[a] : (InetSocketAddress) from[a][b].localAddress();
     }
 
     /** The share of datagrams that it loses from now on. */
-    public void lose(double share) {
+    public void setLoss(double share) {
         loss = share;
     }
 
@@ -78,15 +78,15 @@
     }
 
     /** From a to b, as if a had sent it; on the loop's thread. */
-    void carry(int a, int b, byte[] datagram) {
+    void forward(int a, int b, byte[] datagram) {
         if (cut[a][b] || random.nextDouble() < loss) {
             return;
         }
-        int times = random.nextDouble() < twice ? 2 : 1;
+        int times = random.nextDouble() < duplication ? 2 : 1;
         for (int i = 0; i < times; i++) {
             Runnable deliver = () -> from[b][a].writeAndFlush(new DatagramPacket(Net.toByteBuf(datagram), listens[b]));
-            if (mostMillis > 0) {
-                net.loop().schedule(deliver, random.nextInt(mostMillis + 1), TimeUnit.MILLISECONDS);
+            if (maxDelayMillis > 0) {
+                net.loop().schedule(deliver, random.nextInt(maxDelayMillis + 1), TimeUnit.MILLISECONDS);
             } else {
                 deliver.run();
             }
@@ -116,7 +116,7 @@
     }
 
     /** Cuts the first brokers off from the others, both ways, or joins them again. */
-    void halve(int first, boolean is) {
+    void split(int first, boolean is) {
         cutWhere((a, b) -> is && a < first != b < first);
     }
 }
--- a/src/test/java/dockshed/rig/ReadyBench.java
+++ b/src/test/java/dockshed/rig/ReadyBench.java
@@ -24,7 +24,7 @@
     private static final byte[] TEST = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
             .getBytes(StandardCharsets.UTF_8);
     /** Seconds after which a broker is not waited for any more: the platform's bound, twice. */
-    private static final long PATIENCE = 60;
+    private static final long READY_TIMEOUT_S = 60;
 
     private ReadyBench() {}
 
@@ -82,7 +82,7 @@
     }
 
     private static double passed(int port, long begin) {
-        long until = begin + TimeUnit.SECONDS.toNanos(PATIENCE);
+        long until = begin + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S);
         while (System.nanoTime() < until) {
             try (Socket s = new Socket()) {
                 s.connect(new InetSocketAddress("127.0.0.1", port), 1000);
@@ -97,10 +97,10 @@
                     Thread.sleep(50); // not there yet; this is a measurement, not a test
                 } catch (InterruptedException i) {
                     Thread.currentThread().interrupt();
-                    return PATIENCE;
+                    return READY_TIMEOUT_S;
                 }
             }
         }
-        return PATIENCE;
+        return READY_TIMEOUT_S;
     }
 }
--- a/src/test/java/dockshed/rig/RolloutProcessTest.java
+++ b/src/test/java/dockshed/rig/RolloutProcessTest.java
@@ -57,7 +57,7 @@
     /** Waits until brokers have a version or a later one in force. */
     private void awaitInForce(long version, int... brokers) throws Exception {
         for (int b : brokers) {
-            broker(b).await(0, l -> inForce(l, version));
+            broker(b).awaitLine(0, l -> inForce(l, version));
         }
     }
 
@@ -74,10 +74,11 @@
     private long change(int broker, long first, int port) throws Exception {
         long version = first;
         while (true) {
-            int mark = broker(broker).mark();
+            int mark = broker(broker).logPosition();
             propose(broker, text(version, port));
             String line = broker(broker)
-                    .await(mark, l -> l.matches(".*configuration (chosen: version=|unchanged: version=|not taken).*"));
+                    .awaitLine(
+                            mark, l -> l.matches(".*configuration (chosen: version=|unchanged: version=|not taken).*"));
             if (!line.contains("configuration not taken")) {
                 return version;
             }
@@ -93,11 +94,11 @@
     void aChangeComesInForceEverywhereWhateverIsKilledOrCut() throws Exception {
         try (FleetRig made = new FleetRig(dir, N, 1, this::conf)) {
             rig = made;
-            rig.fabric.loss = 0.05;
-            rig.fabric.twice = 0.05;
-            rig.fabric.mostMillis = 5;
+            rig.network.loss = 0.05;
+            rig.network.duplication = 0.05;
+            rig.network.maxDelayMillis = 5;
             for (int v : VOTERS) {
-                broker(v).await(0, l -> l.contains("voter votes: above=0"));
+                broker(v).awaitLine(0, l -> l.contains("voter votes: above=0"));
             }
             propose(0, text(1, 1001));
             awaitInForce(1, ALL);
@@ -112,16 +113,16 @@
             broker(1).kill();
             propose(0, text(2, 1002));
             awaitInForce(2, 0, 2, LEARNER);
-            int mark = broker(1).mark();
+            int mark = broker(1).logPosition();
             broker(1).start();
             awaitInForce(2, ALL);
-            assertTrue(broker(1).since(mark).stream().noneMatch(l -> l.contains("voter abstains")));
+            assertTrue(broker(1).linesSince(mark).stream().noneMatch(l -> l.contains("voter abstains")));
 
             // One that is heard by nobody keeps what it has until it is.
-            rig.fabric.mute(LEARNER, true);
+            rig.network.mute(LEARNER, true);
             propose(1, text(3, 1003));
             awaitInForce(3, VOTERS);
-            rig.fabric.mute(LEARNER, false);
+            rig.network.mute(LEARNER, false);
             awaitInForce(3, ALL);
 
             // The proposer is killed as it begins, and as it has ended; others go on.
@@ -134,40 +135,40 @@
             broker(2).kill();
             Files.delete(state(2).resolve("voter"));
             Files.write(state(2).resolve("in-force"), new byte[] {1, 2, 3});
-            mark = broker(2).mark();
+            mark = broker(2).logPosition();
             broker(2).start();
-            broker(2).await(mark, l -> l.contains("voter abstains until it has asked the others"));
+            broker(2).awaitLine(mark, l -> l.contains("voter abstains until it has asked the others"));
             long floor = version;
-            broker(2).await(mark, l -> l.matches(".*voter votes: above=" + floor + ".*"));
+            broker(2).awaitLine(mark, l -> l.matches(".*voter votes: above=" + floor + ".*"));
 
             // Two at once: whoever loses hears of it, and the next number goes through.
-            int zero = broker(0).mark();
-            int one = broker(1).mark();
+            int zero = broker(0).logPosition();
+            int one = broker(1).logPosition();
             propose(0, text(version + 1, 2001));
             propose(1, text(version + 1, 2002));
             String ended = "configuration (chosen: version=|not taken, the old one stands: why=).*";
-            broker(0).await(zero, l -> l.matches(".*" + ended));
-            broker(1).await(one, l -> l.matches(".*" + ended));
+            broker(0).awaitLine(zero, l -> l.matches(".*" + ended));
+            broker(1).awaitLine(one, l -> l.matches(".*" + ended));
             version = change(2, version + 2, 2003);
             awaitInForce(version, ALL);
             assertOneContentAVersionAndNeverBack();
-            assertTrue(broker(WITHOUT).since(0).stream().noneMatch(l -> l.contains("ERROR") || inForce(l, 0)));
-            assertEquals(200, rig.ask(WITHOUT, "cert-lesson"));
-            assertEquals(200, rig.ask(LEARNER, "cert-lesson"));
+            assertTrue(broker(WITHOUT).linesSince(0).stream().noneMatch(l -> l.contains("ERROR") || inForce(l, 0)));
+            assertEquals(200, rig.requestSession(WITHOUT, "cert-lesson"));
+            assertEquals(200, rig.requestSession(LEARNER, "cert-lesson"));
         }
     }
 
     private void refused(int broker, String text, String why) throws Exception {
-        int mark = broker(broker).mark();
+        int mark = broker(broker).logPosition();
         propose(broker, text);
-        broker(broker).await(mark, l -> l.contains("why=" + document(broker) + why));
+        broker(broker).awaitLine(mark, l -> l.contains("why=" + document(broker) + why));
     }
 
     /** Kills a proposer when it has logged something, and starts it again; another makes a change go through. */
     private long killed(int proposer, long version, String logged) throws Exception {
-        int mark = broker(proposer).mark();
+        int mark = broker(proposer).logPosition();
         propose(proposer, text(version, 3000 + proposer));
-        broker(proposer).await(mark, l -> l.contains(logged));
+        broker(proposer).awaitLine(mark, l -> l.contains(logged));
         broker(proposer).kill();
         long next = change(2, version + 1, 3100 + proposer);
         broker(proposer).start();
@@ -178,7 +179,7 @@
         Map<Long, String> digests = new HashMap<>();
         for (int b : ALL) {
             long highest = 0;
-            for (String line : broker(b).since(0)) {
+            for (String line : broker(b).linesSince(0)) {
                 Matcher m = IN_FORCE.matcher(line);
                 if (m.matches()) {
                     long version = Long.parseLong(m.group(1));
--- a/src/test/java/dockshed/rig/SocketStorm.java
+++ b/src/test/java/dockshed/rig/SocketStorm.java
@@ -44,8 +44,8 @@
     private final SplittableRandom random = new SplittableRandom(17);
     private final Path dir;
     private final String conf; // null: without the part
-    private final List<Box> boxes = new ArrayList<>();
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<StubEdgeServer> boxes = new ArrayList<>();
+    private final List<BrokerNode> nodes = new ArrayList<>();
     private final List<Viewer> viewers = new ArrayList<>();
     private final Set<String> ran = new HashSet<>();
     private final double[] offered = new double[300];
@@ -76,9 +76,9 @@
 
     // ---- Boxes.
 
-    private final class Box {
+    private final class StubEdgeServer {
         final Map<String, Viewer> playing = new HashMap<>();
-        final Map<String, Line> lineOf = new HashMap<>();
+        final Map<String, EdgeConnection> lineOf = new HashMap<>();
         int port;
 
         double fill() {
@@ -88,7 +88,7 @@
                     / LINK;
         }
 
-        private final class Line extends ByteHandler {
+        private final class EdgeConnection extends ByteHandler {
             private final ByteArrayOutputStream held = new ByteArrayOutputStream();
             private Channel channel;
 
@@ -188,15 +188,15 @@
         }
 
         void tell() {
-            Map<Line, String> one = new HashMap<>();
+            Map<EdgeConnection, String> one = new HashMap<>();
             lineOf.forEach((id, line) -> one.put(line, id));
-            one.forEach(Line::note);
+            one.forEach(EdgeConnection::note);
             after(1000, this::tell);
         }
 
         /** The session has come to its natural end. */
         void over(String id) {
-            Line l = lineOf.remove(id);
+            EdgeConnection l = lineOf.remove(id);
             playing.remove(id);
             if (l != null) {
                 l.say("release", id, 16, "", null);
@@ -206,15 +206,15 @@
 
     // ---- Brokers.
 
-    private final class Node {
+    private final class BrokerNode {
         final int me;
         final int port = free();
         final int peerPort;
-        final Lane[] lanes = new Lane[LANES];
+        final ViewerConnection[] lanes = new ViewerConnection[LANES];
         Process process;
         long noticed;
 
-        Node(int me, int peerPort) {
+        BrokerNode(int me, int peerPort) {
             this.me = me;
             this.peerPort = peerPort;
         }
@@ -260,7 +260,7 @@
                 lanes[i].on.removeIf(o -> o.lane != lanes[i] || o.name == null);
             }
             if (lanes[i] == null) {
-                lanes[i] = new Lane(this, i);
+                lanes[i] = new ViewerConnection(this, i);
                 net.connect(new InetSocketAddress("127.0.0.1", port), 500, lanes[i]::handler)
                         .addListener(done -> {
                             if (!done.isSuccess()) {
@@ -273,14 +273,14 @@
     }
 
     /** A connection that carries many viewers. */
-    private final class Lane {
-        final Node node;
+    private final class ViewerConnection {
+        final BrokerNode node;
         final int index;
         final Set<Viewer> on = new HashSet<>();
         final ByteArrayOutputStream early = new ByteArrayOutputStream();
         Channel channel;
 
-        Lane(Node node, int index) {
+        ViewerConnection(BrokerNode node, int index) {
             this.node = node;
             this.index = index;
         }
@@ -364,8 +364,8 @@
         final long patience;
         final String id;
         String name;
-        Node node;
-        Lane lane;
+        BrokerNode node;
+        ViewerConnection lane;
         int rung;
         long wait = 500;
         boolean plays;
@@ -399,7 +399,7 @@
             in.tries++;
             node = in.nodes.get(in.random.nextInt(BROKERS));
             if (!node.up() && in.clock.now() > node.noticed) {
-                List<Node> up = in.nodes.stream().filter(Node::up).toList();
+                List<BrokerNode> up = in.nodes.stream().filter(BrokerNode::up).toList();
                 node = up.get(in.random.nextInt(up.size()));
             }
             name = String.format("%08x%08x", Integer.parseInt(id.substring(1)), ++in.names);
@@ -478,7 +478,7 @@
         }
     }
 
-    private String config(Node n, List<Integer> peerPorts) {
+    private String config(BrokerNode n, List<Integer> peerPorts) {
         JsonObject c = JsonParser.parseString(TEMPLATE).getAsJsonObject();
         c.addProperty("name", "n" + n.me);
         c.addProperty("listen", "127.0.0.1:" + n.port);
@@ -545,29 +545,30 @@
         clock = net.callOnLoop(() -> new LoopClock(net.loop()));
         List<Integer> peerPorts = new ArrayList<>();
         for (int i = 0; i < BOXES; i++) {
-            Box b = new Box();
+            StubEdgeServer b = new StubEdgeServer();
             boxes.add(b);
-            b.port = ((InetSocketAddress) net.listen(new InetSocketAddress("127.0.0.1", 0), () -> b.new Line())
-                            .sync()
-                            .channel()
-                            .localAddress())
+            b.port = ((InetSocketAddress)
+                            net.listen(new InetSocketAddress("127.0.0.1", 0), () -> b.new EdgeConnection())
+                                    .sync()
+                                    .channel()
+                                    .localAddress())
                     .getPort();
         }
         for (int i = 0; i < BROKERS; i++) {
             peerPorts.add(free());
-            nodes.add(new Node(i, peerPorts.get(i)));
+            nodes.add(new BrokerNode(i, peerPorts.get(i)));
         }
-        for (Node n : nodes) {
+        for (BrokerNode n : nodes) {
             n.begin(peerPorts);
         }
         Thread.sleep(2500); // a measurement, no test: the brokers come up
         net.callOnLoop(() -> {
-            for (Node n : nodes) { // starting costs the same each time, and is no part of the overhead
+            for (BrokerNode n : nodes) { // starting costs the same each time, and is no part of the overhead
                 used = used.minus(n.process.info().totalCpuDuration().orElse(Duration.ZERO));
             }
             start = clock.now();
             ends = start + seconds * 1_000_000L;
-            boxes.forEach(Box::tell);
+            boxes.forEach(StubEdgeServer::tell);
             arrive(perSecond);
             measure();
             if (killAt > 0) {
@@ -598,7 +599,7 @@
                 asked += offered[i];
                 got += earned[i];
             }
-            nodes.stream().filter(Node::up).forEach(Node::kill);
+            nodes.stream().filter(BrokerNode::up).forEach(BrokerNode::kill);
             return new double[] {worst, got / asked, tries / (double) viewers.size(), used.toMillis(), viewers.size()};
         });
         net.close();
--- a/src/test/java/dockshed/rig/StormBench.java
+++ b/src/test/java/dockshed/rig/StormBench.java
@@ -1,6 +1,6 @@
 package dockshed.rig;
 
-import dockshed.storm.Damper;
+import dockshed.storm.RetryStormFilter;
 import dockshed.storm.Terms;
 import dockshed.storm.Terms.Returns;
 import java.util.LinkedHashMap;
@@ -12,15 +12,15 @@
 
 /** The measurement behind bench/storm.sh: scripted outages, the part on and off, several seeds, on the virtual clock. */
 public final class StormBench {
-    static final long S = World.S;
-    private static final int FROM = 30; // second from which the fleet is full
+    static final long SECOND_US = BrokerSimulation.SECOND_US;
+    private static final int MEASURE_FROM_S = 30; // second from which the fleet is full
     private static final String OFF = "off";
     private static final String ON = "calendar+notes";
 
     private StormBench() {}
 
     /** One variant in one scenario, over the seeds; thousandths in the histograms. */
-    private static final class Row {
+    private static final class ResultRow {
         final Histogram worst = new Histogram(3);
         final Histogram whole = new Histogram(3);
         final Histogram tries = new Histogram(3);
@@ -36,26 +36,26 @@
         int runs;
         int never;
 
-        void add(World w, long lastRestart) {
+        void add(BrokerSimulation w, long lastRestart) {
             runs++;
-            worst.recordValue(Math.round(w.worst(FROM) * 1000));
-            whole.recordValue(Math.round(w.service(FROM, w.offered.length) * 1000));
-            tries.recordValue(Math.round(w.tries * 1000.0 / w.people()));
+            worst.recordValue(Math.round(w.worstTenSeconds(MEASURE_FROM_S) * 1000));
+            whole.recordValue(Math.round(w.serviceRatio(MEASURE_FROM_S, w.offeredBySecond.length) * 1000));
+            tries.recordValue(Math.round(w.requests * 1000.0 / w.viewerCount()));
             refused += w.refused;
-            cold = Math.max(cold, w.coldPeak);
+            cold = Math.max(cold, w.coldPeakRatio);
             long all = 0;
             long came = 0;
-            for (Damper d : w.dampers()) {
-                came += d.counts().kept;
-                all += d.counts().kept + d.counts().early;
+            for (RetryStormFilter d : w.dampers()) {
+                came += d.counts().returnsOnTime;
+                all += d.counts().returnsOnTime + d.counts().returnsEarly;
             }
             kept += all == 0 ? 0 : came / (double) all;
-            twice += w.paidTwice;
-            lost += w.lost;
-            fallen += w.boxesFallen;
-            below += w.belowFloor;
-            after += w.refusedAfterRun;
-            double calmed = w.calmAfter(lastRestart);
+            twice += w.duplicatePaidSetUps;
+            lost += w.unanswered;
+            fallen += w.crashedServers;
+            below += w.renditionsBelowFloor;
+            after += w.paidRefusedAfterRun;
+            double calmed = w.secondsUntilCalm(lastRestart);
             if (calmed < 0) {
                 never++;
             } else {
@@ -73,7 +73,7 @@
     }
 
     static Terms terms(Returns returns, boolean notes) {
-        Terms u = Terms.USUAL;
+        Terms u = Terms.DEFAULTS;
         return new Terms(
                 returns,
                 u.soonest(),
@@ -93,54 +93,59 @@
                 notes ? u.notesEvery() : 0);
     }
 
-    private record Scenario(String name, long lastRestart, Supplier<World.Script> script) {}
+    private record NamedScenario(String name, long lastRestart, Supplier<BrokerSimulation.Scenario> script) {}
 
-    static World.Script base() {
-        World.Script s = new World.Script();
-        s.length = 80 * S;
+    static BrokerSimulation.Scenario baseScenario() {
+        BrokerSimulation.Scenario s = new BrokerSimulation.Scenario();
+        s.duration = 80 * SECOND_US;
         return s;
     }
 
-    static World.Script one() {
-        return base().outage(0, 35 * S, 39 * S);
+    static BrokerSimulation.Scenario singleOutage() {
+        return baseScenario().outage(0, 35 * SECOND_US, 39 * SECOND_US);
     }
 
-    static World.Script inTurn() {
-        return one().outage(1, 43 * S, 47 * S).outage(2, 51 * S, 55 * S);
+    static BrokerSimulation.Scenario outagesInTurn() {
+        return singleOutage().outage(1, 43 * SECOND_US, 47 * SECOND_US).outage(2, 51 * SECOND_US, 55 * SECOND_US);
     }
 
-    static World.Script cold(World.Script s, int every, long longest) {
-        for (int i = 0; i < s.boxes; i += every) {
-            s.restart(i, 35 * S);
+    static BrokerSimulation.Scenario withColdServers(BrokerSimulation.Scenario s, int every, long longest) {
+        for (int i = 0; i < s.servers; i += every) {
+            s.restart(i, 35 * SECOND_US);
         }
-        s.longest = longest;
+        s.maxReturnDelay = longest;
         return s;
     }
 
-    static World.Script surge(World.Script s) {
-        s.surge = 2;
-        s.surgeFrom = 35 * S;
-        s.surgeTo = 50 * S;
+    static BrokerSimulation.Scenario withSurge(BrokerSimulation.Scenario s) {
+        s.surgeFactor = 2;
+        s.surgeFrom = 35 * SECOND_US;
+        s.surgeTo = 50 * SECOND_US;
         return s;
     }
 
-    private static List<Scenario> scenarios() {
+    private static List<NamedScenario> scenarios() {
         return List.of(
-                new Scenario("no outage", 35 * S, StormBench::base),
-                new Scenario("one of three", 39 * S, StormBench::one),
-                new Scenario("all in turn", 55 * S, StormBench::inTurn),
-                new Scenario("in turn, list out of reach", 55 * S, () -> {
-                    World.Script s = inTurn();
-                    s.namesReachable = false;
+                new NamedScenario("no outage", 35 * SECOND_US, StormBench::baseScenario),
+                new NamedScenario("one of three", 39 * SECOND_US, StormBench::singleOutage),
+                new NamedScenario("all in turn", 55 * SECOND_US, StormBench::outagesInTurn),
+                new NamedScenario("in turn, list out of reach", 55 * SECOND_US, () -> {
+                    BrokerSimulation.Scenario s = outagesInTurn();
+                    s.nameServerReachable = false;
                     return s;
                 }),
-                new Scenario("one, fleet cold", 39 * S, () -> cold(one(), 1, 2 * S)),
-                new Scenario("one, fleet cold, 10 s", 39 * S, () -> cold(one(), 1, 10 * S)),
-                new Scenario("one, half cold", 39 * S, () -> cold(one(), 2, 2 * S)),
-                new Scenario("one, surge", 50 * S, () -> surge(one())),
-                new Scenario("one, nobody heeds", 39 * S, () -> {
-                    World.Script s = one();
-                    s.ignore = 1;
+                new NamedScenario(
+                        "one, fleet cold", 39 * SECOND_US, () -> withColdServers(singleOutage(), 1, 2 * SECOND_US)),
+                new NamedScenario(
+                        "one, fleet cold, 10 s",
+                        39 * SECOND_US,
+                        () -> withColdServers(singleOutage(), 1, 10 * SECOND_US)),
+                new NamedScenario(
+                        "one, half cold", 39 * SECOND_US, () -> withColdServers(singleOutage(), 2, 2 * SECOND_US)),
+                new NamedScenario("one, surge", 50 * SECOND_US, () -> withSurge(singleOutage())),
+                new NamedScenario("one, nobody heeds", 39 * SECOND_US, () -> {
+                    BrokerSimulation.Scenario s = singleOutage();
+                    s.ignoringShare = 1;
                     return s;
                 }));
     }
@@ -154,19 +159,19 @@
         variants.put("jitter", terms(Returns.JITTER, false));
         variants.put("calendar", terms(Returns.CALENDAR, false));
         variants.put(ON, terms(Returns.CALENDAR, true));
-        Map<String, Row> rows = new LinkedHashMap<>();
+        Map<String, ResultRow> rows = new LinkedHashMap<>();
         System.out.println(
                 "| scenario | variant | worst 10 s | whole | refused | tries a viewer | cold peak | kept | calm after, s |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         int fallen = 0;
         int broken = 0;
-        for (Scenario sc : scenarios()) {
+        for (NamedScenario sc : scenarios()) {
             for (Map.Entry<String, Terms> v : variants.entrySet()) {
-                Row r = rows.computeIfAbsent(sc.name() + "/" + v.getKey(), k -> new Row());
+                ResultRow r = rows.computeIfAbsent(sc.name() + "/" + v.getKey(), k -> new ResultRow());
                 for (int seed = 1; seed <= seeds; seed++) {
-                    World.Script s = sc.script().get();
+                    BrokerSimulation.Scenario s = sc.script().get();
                     s.terms = v.getValue();
-                    r.add(World.run(s, seed), sc.lastRestart());
+                    r.add(BrokerSimulation.run(s, seed), sc.lastRestart());
                 }
                 fallen += r.fallen;
                 broken += r.below + r.after;
@@ -175,10 +180,10 @@
                         "| %s | %s | %s | %s | %.0f | %s | %.2f | %s | %s |%n",
                         sc.name(),
                         v.getKey(),
-                        Row.mean(r.worst),
-                        Row.mean(r.whole),
+                        ResultRow.mean(r.worst),
+                        ResultRow.mean(r.whole),
                         r.refused / r.runs,
-                        Row.mean(r.tries),
+                        ResultRow.mean(r.tries),
                         r.cold,
                         v.getValue() == null ? "-" : String.format(Locale.ROOT, "%.2f", r.kept / r.runs),
                         v.getValue() == null
@@ -191,10 +196,10 @@
         double[] cost = overhead(quick ? 2 : 6);
         System.out.printf(
                 Locale.ROOT, "processor in the brokers on a calm run: off %.1f ms, on %.1f ms%n", cost[0], cost[1]);
-        Row off = rows.get("one of three/" + OFF);
-        Row on = rows.get("one of three/" + ON);
-        Row coldOff = rows.get("one, fleet cold, 10 s/" + OFF);
-        Row coldOn = rows.get("one, fleet cold, 10 s/" + ON);
+        ResultRow off = rows.get("one of three/" + OFF);
+        ResultRow on = rows.get("one of three/" + ON);
+        ResultRow coldOff = rows.get("one, fleet cold, 10 s/" + OFF);
+        ResultRow coldOn = rows.get("one, fleet cold, 10 s/" + ON);
         int twice = rows.values().stream().mapToInt(r -> r.twice).sum();
         int lost = rows.values().stream().mapToInt(r -> r.lost).sum();
         System.out.printf(
@@ -225,10 +230,10 @@
     private static double[] overhead(int runs) {
         double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
         for (int i = 0; i < 2 * runs; i++) {
-            World.Script s = base();
-            s.arrivals = 6;
+            BrokerSimulation.Scenario s = baseScenario();
+            s.arrivalsPerSecond = 6;
             s.terms = i % 2 == 0 ? null : terms(Returns.CALENDAR, true);
-            least[i % 2] = Math.min(least[i % 2], World.run(s, 7).brokerNanos / 1e6);
+            least[i % 2] = Math.min(least[i % 2], BrokerSimulation.run(s, 7).brokerCpuNanos / 1e6);
         }
         return least;
     }
--- a/src/test/java/dockshed/rig/ZonedFleetProcessTest.java
+++ b/src/test/java/dockshed/rig/ZonedFleetProcessTest.java
@@ -29,23 +29,23 @@
 
     private static void await(FleetRig rig, int[] brokers, int[] marks, Predicate<String> line) throws Exception {
         for (int broker : brokers) {
-            rig.brokers.get(broker).await(marks[broker], line);
+            rig.brokers.get(broker).awaitLine(marks[broker], line);
         }
     }
 
     private static int[] marks(FleetRig rig) {
-        return rig.brokers.stream().mapToInt(BrokerProcess::mark).toArray();
+        return rig.brokers.stream().mapToInt(BrokerProcess::logPosition).toArray();
     }
 
     private static void serve(FleetRig rig, int[] brokers) throws Exception {
         for (int broker : brokers) {
-            assertEquals(200, rig.ask(broker, "refresher"));
+            assertEquals(200, rig.requestSession(broker, "refresher"));
         }
     }
 
     private static void assertNever(FleetRig rig, int[] brokers, int[] marks, String pattern) {
         for (int broker : brokers) {
-            List<String> lines = rig.brokers.get(broker).since(marks[broker]);
+            List<String> lines = rig.brokers.get(broker).linesSince(marks[broker]);
             assertTrue(lines.stream().noneMatch(line -> line.matches(pattern)), "at " + broker + ": " + lines);
         }
     }
@@ -54,8 +54,8 @@
     @Timeout(170) // each wait is for a line that comes
     void zonesLoseAndFindOneAnotherAndNobodyIsCalledDeadForIt() throws Exception {
         try (FleetRig rig = new FleetRig(dir, 6, 3, CONF)) {
-            rig.fabric.loss = 0.05;
-            rig.fabric.mostMillis = 10;
+            rig.network.loss = 0.05;
+            rig.network.maxDelayMillis = 10;
             int[] begin = new int[6];
             await(rig, NORTH, begin, zone("south", true));
             await(rig, SOUTH, begin, zone("north", true));
@@ -81,13 +81,13 @@
 
             // One way only: the north hears nothing of the south, which hears it all the while.
             int[] cut = marks(rig);
-            rig.fabric.cut(SOUTH, NORTH, true);
+            rig.network.cut(SOUTH, NORTH, true);
             await(rig, NORTH, cut, zone("south", false));
             serve(rig, NORTH);
             serve(rig, SOUTH);
             assertNever(rig, SOUTH, cut, ".*zone=north .*known=false.*");
             int[] healed = marks(rig);
-            rig.fabric.cut(SOUTH, NORTH, false);
+            rig.network.cut(SOUTH, NORTH, false);
             await(rig, NORTH, healed, zone("south", true));
             assertNever(rig, NORTH, cut, ".* lost=\\[\\d.* fleet");
             assertNever(rig, SOUTH, cut, ".* lost=\\[\\d.* fleet");
--- a/src/test/java/dockshed/scale/RealBrokers.java
+++ b/src/test/java/dockshed/scale/RealBrokers.java
@@ -1,9 +1,9 @@
 package dockshed.scale;
 
 import dockshed.net.Net;
-import dockshed.rig.AnsweringBox;
+import dockshed.rig.AnsweringEdgeServer;
 import dockshed.rig.BrokerConfig;
-import dockshed.rig.Fabric;
+import dockshed.rig.LossyNetwork;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -35,8 +35,8 @@
     private final ProcessGuard guard;
     private final LongConsumer started;
     private final Net net = new Net("viewers");
-    private final Fabric fabric;
-    private final List<AnsweringBox> boxes = new ArrayList<>();
+    private final LossyNetwork fabric;
+    private final List<AnsweringEdgeServer> boxes = new ArrayList<>();
     private final Map<Integer, RealBroker> running = new TreeMap<>();
     private final Map<Integer, HeldConnections> viewers = new TreeMap<>();
     private final Observations ofEarlierLives = Observations.empty();
@@ -66,9 +66,9 @@
         for (int i = 0; i < numbers.length; i++) {
             listens[i] = addresses.get(numbers[i]);
         }
-        fabric = new Fabric(net, listens);
+        fabric = new LossyNetwork(net, listens);
         for (int i = 0; i < BOXES; i++) {
-            boxes.add(new AnsweringBox());
+            boxes.add(new AnsweringEdgeServer());
         }
     }
 
@@ -89,13 +89,13 @@
         int number = numbers[index];
         List<InetSocketAddress> peers = new ArrayList<>(addresses);
         for (int other = 0; other < numbers.length; other++) {
-            peers.set(numbers[other], fabric.address(index, other));
+            peers.set(numbers[other], fabric.addressOf(index, other));
         }
         List<InetSocketAddress> servers =
-                boxes.stream().map(AnsweringBox::address).toList();
+                boxes.stream().map(AnsweringEdgeServer::address).toList();
         BrokerConfig config = new BrokerConfig(number, SOCKETS, addresses.get(number), peers, servers);
         try {
-            Path file = Files.writeString(directory.resolve("real" + number + ".json"), config.json());
+            Path file = Files.writeString(directory.resolve("real" + number + ".json"), config.toJson());
             RealBroker broker = new RealBroker(number, visibility, jar, file, operatorFile, guard);
             running.put(number, broker);
             started.accept(broker.pid());
@@ -151,7 +151,7 @@
     }
 
     void faults(LinkFaults faults) {
-        fabric.lose(faults.loss());
+        fabric.setLoss(faults.loss());
         fabric.cutWhere((from, to) -> faults.cut(numbers[from], numbers[to]));
     }
 
@@ -197,7 +197,7 @@
         viewers.values().forEach(HeldConnections::stop);
         running.values().forEach(RealBroker::kill);
         net.close();
-        for (AnsweringBox box : boxes) {
+        for (AnsweringEdgeServer box : boxes) {
             try {
                 box.close();
             } catch (IOException e) {
--- a/src/test/java/dockshed/storm/DamperTest.java
+++ b/src/test/java/dockshed/storm/RetryStormFilterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The part between a module and a broker that the test plays. */
-class DamperTest {
+class RetryStormFilterTest {
     private static final long MS = 1000;
     private static final long S = 1_000_000;
     private static final long T0 = 1_000_000 * S;
@@ -27,9 +27,9 @@
     private final List<Long> told = new ArrayList<>();
     private long unit = 1000;
     private Director.Actions inner;
-    private Damper damper = damper(module.settings);
+    private RetryStormFilter damper = damper(module.settings);
 
-    private Damper damper(Settings settings) {
+    private RetryStormFilter damper(Settings settings) {
         Director.Actions broker = (Director.Actions) Proxy.newProxyInstance(
                 getClass().getClassLoader(),
                 new Class<?>[] {Director.Actions.class},
@@ -44,7 +44,7 @@
                     case "mayTryAgain" -> true;
                     default -> note(method.getName() + " " + args[0]);
                 });
-        return new Damper(settings, Terms.USUAL, 1, broker, a -> {
+        return new RetryStormFilter(settings, Terms.DEFAULTS, 1, broker, a -> {
             inner = a;
             return module;
         });
@@ -68,11 +68,11 @@
         module.onRequest = r -> inner.refuse(r.id(), 2 * S);
         ask(T0, "1", "v");
         assertEquals(List.of("refuse 1"), out);
-        assertTrue(told.get(0) >= Terms.USUAL.soonest() && told.get(0) <= 2 * S);
+        assertTrue(told.get(0) >= Terms.DEFAULTS.soonest() && told.get(0) <= 2 * S);
         module.onRequest = r -> inner.fail(r.id());
         ask(T0, "2", "w");
         assertEquals("fail 2", out.get(1));
-        assertEquals(1, damper.remembered(), "one that may have run is not told to come again");
+        assertEquals(1, damper.trackedViewers(), "one that may have run is not told to come again");
     }
 
     @Test
@@ -85,9 +85,9 @@
         long due = T0 + told.get(12);
         ask(T0 + 100 * MS, "2", "v");
         assertEquals(due, T0 + 100 * MS + told.get(13), 1000);
-        assertEquals(1, damper.counts().early);
+        assertEquals(1, damper.counts().returnsEarly);
         ask(due, "3", "v");
-        assertEquals(1, damper.counts().kept);
+        assertEquals(1, damper.counts().returnsOnTime);
     }
 
     @Test
@@ -127,13 +127,13 @@
             ask(T0, "r" + i, "v" + i);
         }
         assertEquals(1, out.stream().filter(l -> l.startsWith("send")).count());
-        assertEquals(10, out.size() + damper.waitingNow(), "answered at once, or waiting for a turn in time");
+        assertEquals(10, out.size() + damper.queuedRequests(), "answered at once, or waiting for a turn in time");
         // Whoever leaves while it waits was never the module's.
         module.log.clear();
         damper.requestCancelled(T0 + MS, "r1");
-        assertTrue(module.log.isEmpty() || damper.waitingNow() == 0);
-        damper.timer(T0 + Terms.USUAL.hold() + 300 * MS, "storm");
-        assertEquals(0, damper.waitingNow());
+        assertTrue(module.log.isEmpty() || damper.queuedRequests() == 0);
+        damper.timer(T0 + Terms.DEFAULTS.hold() + 300 * MS, "storm");
+        assertEquals(0, damper.queuedRequests());
     }
 
     @Test
@@ -141,10 +141,10 @@
         damper.timer(T0, "sweep");
         damper.peerMessageReceived(T0, 1, new byte[] {1, 2, 3});
         assertTrue(module.log.containsAll(List.of("module timer sweep", "module told 1")), module.log.toString());
-        damper.peerMessageReceived(T0, 1, new byte[] {(byte) Note.MAGIC, 99});
+        damper.peerMessageReceived(T0, 1, new byte[] {(byte) StormMessage.MAGIC, 99});
         damper.peerMessageReceived(
-                T0, 7, new Note(Watch.State.CALM, 250, 1, 1, 0, new int[0], List.of(), false).write());
-        assertEquals(2, damper.counts().notesPassedOver, "of another version, from nobody in the tier");
+                T0, 7, new StormMessage(StormDetector.State.CALM, 250, 1, 1, 0, new int[0], List.of(), false).encode());
+        assertEquals(2, damper.counts().messagesDiscarded, "of another version, from nobody in the tier");
         assertEquals(1, module.count("module told"));
     }
 
