--- a/src/test/java/dockshed/rig/BrokerSimulation.java
+++ b/src/test/java/dockshed/rig/BrokerSimulation.java
@@ -42,22 +42,22 @@
 import java.util.function.Function;
 
 /**
- * Stand-ins for viewers, lesson boxes, name server and network on a virtual clock, round real brokers with the real
- * module. One seed replays a run to the last event. Times are microseconds, rates kB a second.
+ * Simulated viewers, edge servers, name server and network on a virtual clock, around real brokers with the real decision
+ * module. The same seed replays the same run. Times are microseconds and rates kB a second unless a comment says otherwise.
  */
 public final class BrokerSimulation {
-    public static final long MILLISECOND_US = 1000;
+    public static final long MS = 1000; // microseconds in a millisecond
     public static final long SECOND_US = 1_000_000;
     public static final long START_US = 1_000_000 * SECOND_US;
     private static final double[] RATES = {255, 425, 706, 1174, 1951};
     private static final double[] WORTHS = {.17, .41, .62, .81, 1};
-    private static final double STALL = 7;
-    private static final double LINK = 30_000;
-    private static final long SEE = SECOND_US;
-    private static final long TELL = 2_750 * MILLISECOND_US;
-    private static final long TICK = 100 * MILLISECOND_US;
+    private static final double STALL_PENALTY = 7; // of its worth, per share of a rendition's rate that doesn't arrive
+    private static final double LINK_KB_S = 30_000; // of each edge server
+    private static final long REPORT_DELAY_US = SECOND_US; // until a measured load reaches the brokers
+    private static final long REPORT_INTERVAL_US = 2_750 * MS;
+    private static final long TICK_US = 100 * MS; // time between measurements
 
-    /** What viewers heed of a refusal's advice. */
+    /** When a refused viewer returns: after the advised milliseconds or whole seconds, or as it chooses itself. */
     public enum RetryPolicy {
         ADVISED_MILLIS,
         ADVISED_SECONDS,
@@ -65,110 +65,112 @@
         EXPONENTIAL_BACKOFF
     }
 
-    /** What happens, all of it set before the run. */
+    /** Load and faults of a run, set before it starts; times are from its start. */
     public static final class Scenario {
         public int brokers = 3;
         public int servers = 16;
         public int streamsPerServer = 110;
         public double arrivalsPerSecond = 12;
-        public double surgeFactor = 1;
+        public double surgeFactor = 1; // of the arrivals, from surgeFrom to surgeTo
         public long surgeFrom;
         public long surgeTo;
         public long duration = 60 * SECOND_US;
-        public long maxReturnDelay = 2 * SECOND_US;
-        public double ignoringShare = 0.2; // of the viewers; of the rest a third each heeds one way
-        public double lostReplyShare; // set-ups that run and whose answer is lost
-        public double datagramLoss = 0.05;
-        public Terms terms; // null: without the part
-        public FleetSettings fleet; // null: without the part
-        public boolean instantExchange; // all brokers are told everything without loss or delay
-        public int byzantineBroker = -1; // a byzantine broker, at full rate
-        public long minStay = 22 * SECOND_US; // of viewers, evenly between the one and both
+        public long maxReturnDelay = 2 * SECOND_US; // the longest return time that brokers may advise
+        public double ignoringShare = 0.2; // of the viewers; a third of the others follows each other retry policy
+        public double lostReplyShare; // share of set-ups that run and whose answer is lost
+        public double datagramLoss = 0.05; // share of datagrams between brokers
+        public Terms terms; // null: without the retry storm filter
+        public FleetSettings fleet; // null: without membership and admission control of the fleet
+        public boolean instantExchange; // brokers exchange everything without loss or delay
+        public int byzantineBroker = -1; // sends invalid datagrams at full rate; -1: none does
+        public long minStay = 22 * SECOND_US; // of viewers: evenly from minStay to minStay + extraStay
         public long extraStay = 40 * SECOND_US;
-        public int slowServers; // so many boxes give a third of their links, between these times
+        public int slowServers; // deliver a third of their link, from slowFrom to slowTo
         public long slowFrom;
         public long slowTo;
         public boolean nameServerReachable = true;
         final List<long[]> outages = new ArrayList<>(); // broker, from, to
-        final List<long[]> restarts = new ArrayList<>(); // box, at
-        long stallAt = -1;
+        final List<long[]> restarts = new ArrayList<>(); // edge server, time
+        long stallAt = -1; // -1: no stall
         long stallDuration;
 
+        /** Kills a broker and starts it again. */
         public Scenario outage(int broker, long from, long to) {
             outages.add(new long[] {broker, from, to});
             return this;
         }
 
-        public Scenario restart(int box, long at) {
-            restarts.add(new long[] {box, at});
+        /** Restarts an edge server, which is cold from then on. */
+        public Scenario restart(int server, long at) {
+            restarts.add(new long[] {server, at});
             return this;
         }
 
-        /** Broker 0's loop stands still. */
-        public Scenario stall(long at, long micros) {
+        /** Stops the event loop of broker 0 for a time. */
+        public Scenario stall(long at, long duration) {
             stallAt = at;
-            stallDuration = micros;
+            stallDuration = duration;
             return this;
         }
     }
 
-    private record Event(long at, long serial, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long serial, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(serial, o.serial);
+        public int compareTo(Event other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(serial, other.serial);
         }
     }
 
-    private final Scenario script;
+    private final Scenario scenario;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<SimulatedBroker> simulatedBrokers = new ArrayList<>();
-    private final List<SimulatedEdgeServer> servers = new ArrayList<>();
-    private final List<SimulatedViewer> viewers = new ArrayList<>();
+    private final List<BrokerNode> nodes = new ArrayList<>();
+    private final List<EdgeServer> servers = new ArrayList<>();
+    private final List<Viewer> viewers = new ArrayList<>();
     private final List<SessionClass> classes = List.of(
-            new SessionClass("refresher", Effect.SAFE, 800 * MILLISECOND_US, 3 * SECOND_US, 1, 1, 0, 4, 0),
+            new SessionClass("refresher", Effect.SAFE, 800 * MS, 3 * SECOND_US, 1, 1, 0, 4, 0),
             new SessionClass("cert-lesson", Effect.AT_MOST_ONCE, SECOND_US, 4 * SECOND_US, 3, 1, 1, 4, 0),
-            new SessionClass("audio-guide", Effect.SAFE, 1500 * MILLISECOND_US, 3 * SECOND_US, 1, .7, 0, 4, 0));
-    private long serials;
-    private long names;
+            new SessionClass("audio-guide", Effect.SAFE, 1500 * MS, 3 * SECOND_US, 1, .7, 0, 4, 0));
+    private long eventSerial;
+    private long lastRequestId;
     private long now = START_US;
 
-    // What is measured.
-    public final double[] offeredBySecond; // worth by second
-    public final double[] earnedBySecond;
-    public final int[] requestsBySecond; // requests and refusals, by second
+    // Results; arrays hold a value per second of the run.
+    public final double[] offeredBySecond; // worth of the sessions that viewers want
+    public final double[] earnedBySecond; // worth of the sessions that play, less the stall penalty
+    public final int[] requestsBySecond;
     public final int[] refusalsBySecond;
-    public final int[] sessionsBySecond; // sessions, by second
-    public final double[] linkLoadBySecond; // asked of all links over what they give; mean rung
+    public final int[] sessionsBySecond;
+    public final double[] linkLoadBySecond; // demand on all links over their capacity
     public final double[] meanRenditionBySecond;
     public int requests;
     public int viewerCount;
     public int refused;
     public int failed;
     public int served;
-    public int unanswered;
-    public int duplicatePaidSetUps;
+    public int unanswered; // requests, at brokers that were up all the time
+    public int duplicatePaidSetUps; // paid set-ups that ran a second time
     public int returnsOnTime;
     public int returnsEarly;
-    public int crashedServers;
+    public int crashedServers; // cold edge servers that got more set-ups than they bear
     public int renditionsBelowFloor;
-    public int paidRefusedAfterRun;
-    public double coldPeakRatio; // most set-ups within the rule's window at a cold box, over its allowed ones
-    public long brokerCpuNanos; // processor's time in the brokers
-    public int brokerRetries; // the last two: first tries within the surge
-    public int paidRequests;
-    public int paidServed;
-    public double maxShareSum;
-    public double shedDecisions;
-    public double agreeingShedDecisions;
-    public long fleetBytes;
-    private final java.util.BitSet calm = new java.util.BitSet(); // by tick: every broker is calm
-    public final List<String> stormLog = new ArrayList<>();
-
-    private BrokerSimulation(Scenario script, long seed) {
-        this.script = script;
+    public int paidRefusedAfterRun; // paid requests refused although a set-up ran
+    public double coldPeakRatio; // most set-ups in an overload window at a cold server, over those that it accepts
+    public long brokerTimeNanos; // wall-clock time spent in the brokers
+    public int brokerRetries; // attempts after the first of a request
+    public int paidRequests; // first requests of the paid class within the surge
+    public int paidServed; // of paidRequests
+    public double maxShareSum; // of the brokers' shares of new sessions at a time
+    public double shedDecisions; // whether to shed a sample request, of all brokers
+    public double agreeingShedDecisions; // of shedDecisions, those like the majority's
+    public long fleetBytes; // of datagrams between the fleet's members
+    private final java.util.BitSet calmTicks = new java.util.BitSet(); // by number of the tick: all brokers were calm
+    public final List<String> stormLog = new ArrayList<>(); // lines such as "36.1 broker=0 RISING"
+
+    private BrokerSimulation(Scenario scenario, long seed) {
+        this.scenario = scenario;
         random = new SplittableRandom(seed);
-        int seconds = (int) (script.duration / SECOND_US) + 1;
+        int seconds = (int) (scenario.duration / SECOND_US) + 1;
         offeredBySecond = new double[seconds];
         earnedBySecond = new double[seconds];
         requestsBySecond = new int[seconds];
@@ -178,47 +180,48 @@
         meanRenditionBySecond = new double[seconds];
     }
 
-    public static BrokerSimulation run(Scenario script, long seed) {
-        BrokerSimulation w = new BrokerSimulation(script, seed);
-        w.play();
-        return w;
+    /** Runs a scenario to its end and returns the results. */
+    public static BrokerSimulation run(Scenario scenario, long seed) {
+        BrokerSimulation simulation = new BrokerSimulation(scenario, seed);
+        simulation.runScenario();
+        return simulation;
     }
 
-    private void at(long when, Runnable what) {
-        events.add(new Event(when, serials++, what));
+    private void schedule(long at, Runnable action) {
+        events.add(new Event(at, eventSerial++, action));
     }
 
-    private void play() {
-        for (int i = 0; i < script.servers; i++) {
-            servers.add(new SimulatedEdgeServer(i));
+    private void runScenario() {
+        for (int i = 0; i < scenario.servers; i++) {
+            servers.add(new EdgeServer(i));
         }
-        for (int i = 0; i < script.brokers; i++) {
-            simulatedBrokers.add(new SimulatedBroker(i));
-            simulatedBrokers.get(i).start();
+        for (int i = 0; i < scenario.brokers; i++) {
+            nodes.add(new BrokerNode(i));
+            nodes.get(i).start();
         }
-        for (long[] o : script.outages) {
-            at(START_US + o[1], () -> simulatedBrokers.get((int) o[0]).die());
-            at(START_US + o[2], () -> simulatedBrokers.get((int) o[0]).start());
+        for (long[] outage : scenario.outages) {
+            schedule(START_US + outage[1], () -> nodes.get((int) outage[0]).kill());
+            schedule(START_US + outage[2], () -> nodes.get((int) outage[0]).start());
         }
-        for (long[] r : script.restarts) {
-            at(START_US + r[1], () -> servers.get((int) r[0]).restart());
+        for (long[] restart : scenario.restarts) {
+            schedule(START_US + restart[1], () -> servers.get((int) restart[0]).restart());
         }
-        at(START_US, this::arrive);
-        if (script.byzantineBroker >= 0) {
+        schedule(START_US, this::addViewer);
+        if (scenario.byzantineBroker >= 0) {
             ByzantinePeer byzantine =
-                    new ByzantinePeer(script.byzantineBroker, script.brokers, START_US, script.brokers);
-            at(START_US + 5 * SECOND_US, () -> lie(byzantine));
+                    new ByzantinePeer(scenario.byzantineBroker, scenario.brokers, START_US, scenario.brokers);
+            schedule(START_US + 5 * SECOND_US, () -> sendByzantineDatagrams(byzantine));
         }
-        at(START_US + TICK, this::measure);
-        at(START_US + TELL, this::tell);
-        long end = START_US + script.duration;
+        schedule(START_US + TICK_US, this::measure);
+        schedule(START_US + REPORT_INTERVAL_US, this::reportLoads);
+        long end = START_US + scenario.duration;
         while (now < end) {
-            SimulatedBroker due = null;
+            BrokerNode due = null;
             long next = events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
-            for (SimulatedBroker s : simulatedBrokers) {
-                if (s.broker != null && s.ready() < next) {
-                    next = s.ready();
-                    due = s;
+            for (BrokerNode node : nodes) {
+                if (node.broker != null && node.nextDue() < next) {
+                    next = node.nextDue();
+                    due = node;
                 }
             }
             now = Math.max(now, Math.min(next, end));
@@ -227,278 +230,283 @@
             }
             if (due != null) {
                 Broker broker = due.broker;
-                timed(() -> broker.runDueTimers(now));
+                runTimed(() -> broker.runDueTimers(now));
             } else {
-                events.poll().what.run();
+                events.poll().action.run();
             }
         }
         viewerCount = viewers.size();
-        for (SimulatedBroker s : simulatedBrokers) {
-            fleetBytes += s.node == null ? 0 : s.node.counts().bytes;
-        }
-        for (SimulatedViewer v : viewers) {
-            unanswered += v.name != null
-                            && !v.answered
-                            && now - v.askedAt > v.patience() + 50 * MILLISECOND_US
-                            && v.at.alive()
-                            && v.at.since <= v.askedAt
+        for (BrokerNode node : nodes) {
+            fleetBytes += node.gossipNode == null ? 0 : node.gossipNode.counts().bytes;
+        }
+        for (Viewer viewer : viewers) {
+            unanswered += viewer.requestId != null
+                            && !viewer.answered
+                            && now - viewer.requestedAt > viewer.clientDeadline() + 50 * MS
+                            && viewer.node.isUp()
+                            && viewer.node.startedAt <= viewer.requestedAt
                     ? 1
                     : 0;
         }
     }
 
-    private void lie(ByzantinePeer byzantine) {
-        at(now + 10 * MILLISECOND_US, () -> lie(byzantine));
-        for (SimulatedBroker s : simulatedBrokers) {
-            byte[] made = byzantine.next(now);
-            if (s.me != script.byzantineBroker && s.node != null) {
-                s.node.receive(now, made, s::carry);
+    private void sendByzantineDatagrams(ByzantinePeer peer) {
+        schedule(now + 10 * MS, () -> sendByzantineDatagrams(peer));
+        for (BrokerNode node : nodes) {
+            byte[] datagram = peer.next(now);
+            if (node.number != scenario.byzantineBroker && node.gossipNode != null) {
+                node.gossipNode.receive(now, datagram, node::sendToPeer);
             }
         }
     }
 
-    private void timed(Runnable what) {
-        long began = System.nanoTime();
-        what.run();
-        brokerCpuNanos += System.nanoTime() - began;
+    private void runTimed(Runnable action) {
+        long startedAt = System.nanoTime();
+        action.run();
+        brokerTimeNanos += System.nanoTime() - startedAt;
     }
 
     // ---- Viewers.
 
-    private void arrive() {
-        double t = now - START_US;
-        double rate = script.arrivalsPerSecond * (t >= script.surgeFrom && t < script.surgeTo ? script.surgeFactor : 1);
-        SimulatedViewer v = new SimulatedViewer();
-        viewers.add(v);
-        v.ask(false);
-        at(now + (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND_US), this::arrive);
+    private void addViewer() {
+        double elapsed = now - START_US;
+        double rate = scenario.arrivalsPerSecond
+                * (elapsed >= scenario.surgeFrom && elapsed < scenario.surgeTo ? scenario.surgeFactor : 1);
+        Viewer viewer = new Viewer();
+        viewers.add(viewer);
+        viewer.sendRequest(false);
+        schedule(now + (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND_US), this::addViewer);
     }
 
-    final class SimulatedViewer {
+    /** A viewer who wants one session and requests it again until it plays or the viewer's time is over. */
+    final class Viewer {
         final String id = "v" + viewers.size();
         final SessionClass cls = classes.get(random.nextDouble() < .3 ? 0 : random.nextDouble() < .36 ? 1 : 2);
-        final int top = random.nextDouble() < .26 ? 2 : 4;
-        final long firstTry = now;
-        final long until = now + script.minStay + random.nextLong(script.extraStay);
-        final RetryPolicy heeds = random.nextDouble() < script.ignoringShare
+        final int highestRendition = random.nextDouble() < .26 ? 2 : 4;
+        final long firstRequestAt = now;
+        final long leavesAt = now + scenario.minStay + random.nextLong(scenario.extraStay);
+        final RetryPolicy retryPolicy = random.nextDouble() < scenario.ignoringShare
                 ? RetryPolicy.IGNORES_ADVICE
                 : RetryPolicy.values()[new int[] {0, 1, 3}[random.nextInt(3)]];
-        int mine;
-        long wait = 500 * MILLISECOND_US;
-        long askedAt;
-        String name;
-        SimulatedBroker at;
-        SimulatedEdgeServer box;
-        int rung;
+        int requestsSent;
+        long backoff = 500 * MS;
+        long requestedAt;
+        String requestId;
+        BrokerNode node;
+        EdgeServer server;
+        int rendition;
         boolean answered;
-        boolean plays;
+        boolean playing;
         boolean inSurge;
 
-        long patience() {
+        long clientDeadline() {
             return cls.deadline();
         }
 
-        void ask(boolean again) {
-            if (now > until - 2 * SECOND_US) {
+        void sendRequest(boolean isRetry) {
+            if (now > leavesAt - 2 * SECOND_US) {
                 return;
             }
-            mine++;
+            requestsSent++;
             requests++;
-            int sec = (int) ((now - START_US) / SECOND_US);
-            if (sec < requestsBySecond.length) {
-                requestsBySecond[sec]++;
+            int second = (int) ((now - START_US) / SECOND_US);
+            if (second < requestsBySecond.length) {
+                requestsBySecond[second]++;
             }
-            askedAt = now;
+            requestedAt = now;
             answered = false;
-            SimulatedBroker to = simulatedBrokers.get(random.nextInt(script.brokers));
-            if (!to.admitted()) { // the front has noticed: another one
-                List<SimulatedBroker> up = simulatedBrokers.stream()
-                        .filter(SimulatedBroker::admitted)
-                        .toList();
-                to = up.isEmpty() ? to : up.get(random.nextInt(up.size()));
-            }
-            at = to;
+            BrokerNode target = nodes.get(random.nextInt(scenario.brokers));
+            if (!target.receivesViewers()) { // the load balancer has noticed the failure
+                List<BrokerNode> alive =
+                        nodes.stream().filter(BrokerNode::receivesViewers).toList();
+                target = alive.isEmpty() ? target : alive.get(random.nextInt(alive.size()));
+            }
+            node = target;
             inSurge = cls.effect() != Effect.SAFE
-                    && mine == 1
-                    && now - START_US >= script.surgeFrom
-                    && now - START_US < script.surgeTo;
+                    && requestsSent == 1
+                    && now - START_US >= scenario.surgeFrom
+                    && now - START_US < scenario.surgeTo;
             paidRequests += inSurge ? 1 : 0;
-            name = String.format("%016x", ++names);
-            if (!to.alive()) {
-                name = null;
-                back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US)); // the connection is refused
+            requestId = String.format("%016x", ++lastRequestId);
+            if (!target.isUp()) {
+                requestId = null;
+                retryAfter(740 * MS + random.nextLong(2_160 * MS)); // the connection is refused
                 return;
             }
-            String asked = name;
-            timed(() -> at.ask(this, again));
-            at(now + patience(), () -> {
-                if (!answered && asked.equals(name)) {
-                    if (at.alive()) {
-                        at.broker.cancel(now, asked);
+            String sentId = requestId;
+            runTimed(() -> node.acceptRequest(this, isRetry));
+            schedule(now + clientDeadline(), () -> {
+                if (!answered && sentId.equals(requestId)) {
+                    if (node.isUp()) {
+                        node.broker.cancel(now, sentId);
                     }
-                    ended();
+                    forgetRequest();
                     if (cls.effect() == Effect.SAFE) {
-                        back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US));
+                        retryAfter(740 * MS + random.nextLong(2_160 * MS));
                     }
                 }
             });
         }
 
-        void back(long after) {
-            at(now + after, () -> ask(true));
+        void retryAfter(long delay) {
+            schedule(now + delay, () -> sendRequest(true));
         }
 
-        void refused(long comeBack) {
+        void refused(long advised) {
             answered = true;
             refused++;
-            int sec = (int) ((now - START_US) / SECOND_US);
-            refusalsBySecond[Math.min(sec, refusalsBySecond.length - 1)]++;
-            ended();
-            long own = 740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US);
+            int second = (int) ((now - START_US) / SECOND_US);
+            refusalsBySecond[Math.min(second, refusalsBySecond.length - 1)]++;
+            forgetRequest();
+            long ownDelay = 740 * MS + random.nextLong(2_160 * MS);
             if (random.nextDouble() < 0.1) {
-                return; // stays away
+                return; // the viewer leaves
             }
-            long jitter = random.nextLong(30 * MILLISECOND_US);
-            switch (heeds) {
-                case ADVISED_MILLIS -> back(comeBack > 0 ? comeBack + jitter : own);
+            long jitter = random.nextLong(30 * MS);
+            switch (retryPolicy) {
+                case ADVISED_MILLIS -> retryAfter(advised > 0 ? advised + jitter : ownDelay);
                 case ADVISED_SECONDS ->
-                    back(comeBack > 0 ? Math.max(1, Math.round(comeBack / 1e6)) * SECOND_US + jitter : own);
-                case IGNORES_ADVICE -> back(own);
+                    retryAfter(advised > 0 ? Math.max(1, Math.round(advised / 1e6)) * SECOND_US + jitter : ownDelay);
+                case IGNORES_ADVICE -> retryAfter(ownDelay);
                 case EXPONENTIAL_BACKOFF -> {
-                    back(wait + jitter);
-                    wait = Math.min(wait * 2, 8 * SECOND_US);
+                    retryAfter(backoff + jitter);
+                    backoff = Math.min(backoff * 2, 8 * SECOND_US);
                 }
             }
         }
 
-        /** The session, or the request, is no more. */
-        void ended() {
-            if (box != null) {
-                box.load.remove(name);
+        /** Ends the session or request on the viewer's side. */
+        void forgetRequest() {
+            if (server != null) {
+                server.sessions.remove(requestId);
             }
-            plays = false;
-            box = null;
-            name = null;
+            playing = false;
+            server = null;
+            requestId = null;
         }
 
-        /** Its broker or box was lost under it. */
-        void cut() {
+        /** The session or request was lost with its broker or edge server. */
+        void connectionLost() {
             boolean mayHaveRun = !answered && cls.effect() != Effect.SAFE;
-            ended();
+            forgetRequest();
             answered = true;
             if (!mayHaveRun && random.nextDouble() < .9) {
-                back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US));
+                retryAfter(740 * MS + random.nextLong(2_160 * MS));
             }
         }
     }
 
-    // ---- Boxes.
+    // ---- Edge servers.
 
-    final class SimulatedEdgeServer {
-        final int number;
+    /** An edge server, which is cold after a start and crashes under too many set-ups. */
+    final class EdgeServer {
+        final int index;
         final String id;
-        final Map<String, SimulatedViewer> load = new LinkedHashMap<>();
-        final ArrayDeque<Long> cold = new ArrayDeque<>();
-        final Set<String> ran = new HashSet<>();
-        long since; // of its start; 0 long ago
-        boolean fallen;
+        final Map<String, Viewer> sessions = new LinkedHashMap<>();
+        final ArrayDeque<Long> recentSetUps = new ArrayDeque<>();
+        final Set<String> executedSetUps = new HashSet<>();
+        long startedAt; // 0: long ago
+        boolean crashed;
 
-        SimulatedEdgeServer(int number) {
-            this.number = number;
-            id = "box" + number;
+        EdgeServer(int index) {
+            this.index = index;
+            id = "box" + index;
         }
 
         double warmth() {
-            return since == 0 || now - since >= 12 * SECOND_US ? 1 : 0.4 + 0.6 * (now - since) / (12.0 * SECOND_US);
+            return startedAt == 0 || now - startedAt >= 12 * SECOND_US
+                    ? 1
+                    : 0.4 + 0.6 * (now - startedAt) / (12.0 * SECOND_US);
         }
 
-        boolean slow() {
-            long t = now - START_US;
-            return number < script.slowServers && t >= script.slowFrom && t < script.slowTo;
+        boolean isSlow() {
+            long elapsed = now - START_US;
+            return index < scenario.slowServers && elapsed >= scenario.slowFrom && elapsed < scenario.slowTo;
         }
 
-        /** Of its link. */
-        double gives() {
-            return warmth() * (slow() ? 1 / 3.0 : 1);
+        /** Share of its link that it delivers. */
+        double capacityShare() {
+            return warmth() * (isSlow() ? 1 / 3.0 : 1);
         }
 
-        double asked() {
-            return load.values().stream()
-                    .mapToDouble(v -> RATES[v.rung] * v.cls.scale())
+        double demandKb() {
+            return sessions.values().stream()
+                    .mapToDouble(viewer -> RATES[viewer.rendition] * viewer.cls.scale())
                     .sum();
         }
 
-        double share() {
-            double gives = LINK * gives();
-            return Math.min(1, gives / Math.max(1, asked()));
+        double deliveredShare() {
+            double capacity = LINK_KB_S * capacityShare();
+            return Math.min(1, capacity / Math.max(1, demandKb()));
         }
 
         void restart() {
-            drop();
-            since = now;
-            cold.clear();
-            for (SimulatedBroker s : simulatedBrokers) {
-                at(now + 500 * MILLISECOND_US + random.nextLong(900 * MILLISECOND_US), () -> s.told(this));
+            resetSessions();
+            startedAt = now;
+            recentSetUps.clear();
+            for (BrokerNode node : nodes) {
+                schedule(now + 500 * MS + random.nextLong(900 * MS), () -> node.sendListChange(this));
             }
         }
 
-        void drop() {
-            for (SimulatedViewer v : List.copyOf(load.values())) {
-                SimulatedBroker s = v.at;
-                String name = v.name;
-                if (s.alive()) {
-                    s.broker.ended(now, id, name, Outcome.RESET, LoadReport.NONE);
+        void resetSessions() {
+            for (Viewer viewer : List.copyOf(sessions.values())) {
+                BrokerNode node = viewer.node;
+                String requestId = viewer.requestId;
+                if (node.isUp()) {
+                    node.broker.ended(now, id, requestId, Outcome.RESET, LoadReport.NONE);
                 }
             }
-            load.clear();
+            sessions.clear();
         }
 
-        /** A set-up reaches the box; whether it runs. */
-        boolean takes(String name, SessionClass cls) {
-            if (fallen) {
+        /** Receives a set-up; returns whether it runs. */
+        boolean acceptSetUp(String requestId, SessionClass sessionClass) {
+            if (crashed) {
                 return false;
             }
-            if (!ran.add(name) && cls.effect() != Effect.SAFE) {
+            if (!executedSetUps.add(requestId) && sessionClass.effect() != Effect.SAFE) {
                 duplicatePaidSetUps++;
             }
             if (warmth() < 1) {
-                cold.add(now);
-                while (cold.peekFirst() < now - 2 * SECOND_US) {
-                    cold.removeFirst();
+                recentSetUps.add(now);
+                while (recentSetUps.peekFirst() < now - 2 * SECOND_US) {
+                    recentSetUps.removeFirst();
                 }
-                double allowed = script.streamsPerServer / 12.0 * warmth() * 2;
-                coldPeakRatio = Math.max(coldPeakRatio, cold.size() / allowed);
-                if (cold.size() > 2.5 * allowed + 1) {
-                    fallen = true;
+                double allowed = scenario.streamsPerServer / 12.0 * warmth() * 2;
+                coldPeakRatio = Math.max(coldPeakRatio, recentSetUps.size() / allowed);
+                if (recentSetUps.size() > 2.5 * allowed + 1) {
+                    crashed = true;
                     crashedServers++;
-                    drop();
+                    resetSessions();
                     return false;
                 }
             }
             return true;
         }
 
-        Server listed() {
-            return new Server(id, "east", "std", number, fallen ? State.GONE : State.UP, 1, since);
+        Server listEntry() {
+            return new Server(id, "east", "std", index, crashed ? State.GONE : State.UP, 1, startedAt);
         }
 
-        LoadReport report() {
-            return new LoadReport(List.of(asked() / (LINK * gives())));
+        LoadReport loadReport() {
+            return new LoadReport(List.of(demandKb() / (LINK_KB_S * capacityShare())));
         }
     }
 
-    private void tell() {
-        at(now + TELL, this::tell);
-        for (SimulatedEdgeServer b : servers) {
-            double fill = b.asked() / (LINK * b.gives());
-            Set<SimulatedBroker> heard = new HashSet<>();
-            for (SimulatedViewer v : List.copyOf(b.load.values())) {
-                SimulatedBroker s = v.at;
-                String name = v.name;
-                if (heard.add(s)) {
-                    at(now + SEE, () -> {
-                        if (s.alive()) {
-                            timed(() -> s.broker.metricReceived(now, b.id, name, Metric.LINK, fill));
+    private void reportLoads() {
+        schedule(now + REPORT_INTERVAL_US, this::reportLoads);
+        for (EdgeServer server : servers) {
+            double linkLoad = server.demandKb() / (LINK_KB_S * server.capacityShare());
+            Set<BrokerNode> reported = new HashSet<>();
+            for (Viewer viewer : List.copyOf(server.sessions.values())) {
+                BrokerNode node = viewer.node;
+                String requestId = viewer.requestId;
+                if (reported.add(node)) {
+                    schedule(now + REPORT_DELAY_US, () -> {
+                        if (node.isUp()) {
+                            runTimed(
+                                    () -> node.broker.metricReceived(now, server.id, requestId, Metric.LINK, linkLoad));
                         }
                     });
                 }
@@ -508,264 +516,267 @@
 
     // ---- Brokers.
 
-    final class SimulatedBroker implements Front, ServerAdapter {
-        final int me;
+    /** A broker and its surroundings: its front and its connections to the edge servers. */
+    final class BrokerNode implements Front, ServerAdapter {
+        final int number;
         Broker broker;
-        RetryStormFilter damper;
-        GossipNode node;
-        AdmissionFilter admission;
+        RetryStormFilter filter;
+        GossipNode gossipNode;
+        AdmissionFilter admissionFilter;
         FleetSnapshot snapshot = FleetSnapshot.ALONE;
-        final Map<String, Integer> attempts = new HashMap<>();
-        String state = "NONE";
+        final Map<String, Integer> attemptsByRequest = new HashMap<>();
+        String loggedState = "NONE";
         TimerQueue deadlines;
-        long since;
-        long diedAt = Long.MIN_VALUE;
-        long noticed;
-        final Map<String, SimulatedViewer> asking = new HashMap<>();
+        long startedAt;
+        long killedAt = Long.MIN_VALUE;
+        long failureNoticedAt;
+        final Map<String, Viewer> viewersByRequest = new HashMap<>();
 
-        SimulatedBroker(int me) {
-            this.me = me;
+        BrokerNode(int number) {
+            this.number = number;
         }
 
-        boolean alive() {
+        boolean isUp() {
             return broker != null;
         }
 
-        /** Whether the front sends viewers here: it notices a dead broker late. */
-        boolean admitted() {
-            return broker != null || now < noticed;
+        /** Whether viewers are sent here: the load balancer notices a killed broker late. */
+        boolean receivesViewers() {
+            return broker != null || now < failureNoticedAt;
         }
 
-        long ready() {
-            long next = deadlines.nextDue();
-            long stall = START_US + script.stallAt;
-            return me == 0 && script.stallAt >= 0 && next >= stall && next < stall + script.stallDuration
-                    ? stall + script.stallDuration
-                    : next;
+        /** Time at which the broker's next timer is due; during a stall, its end. */
+        long nextDue() {
+            long due = deadlines.nextDue();
+            long stallAt = START_US + scenario.stallAt;
+            return number == 0 && scenario.stallAt >= 0 && due >= stallAt && due < stallAt + scenario.stallDuration
+                    ? stallAt + scenario.stallDuration
+                    : due;
         }
 
         void start() {
-            since = now;
-            deadlines = new TimerQueue(t -> {});
-            Settings s = new Settings(
-                    me,
-                    script.brokers,
+            startedAt = now;
+            deadlines = new TimerQueue(at -> {});
+            Settings settings = new Settings(
+                    number,
+                    scenario.brokers,
                     "east",
                     classes,
-                    List.of(new ServerKind("std", script.streamsPerServer)),
+                    List.of(new ServerKind("std", scenario.streamsPerServer)),
                     new Ladder(
-                            list(RATES),
-                            list(WORTHS),
-                            LINK * script.servers,
-                            LINK,
-                            LINK * script.servers,
+                            toList(RATES),
+                            toList(WORTHS),
+                            LINK_KB_S * scenario.servers,
+                            LINK_KB_S,
+                            LINK_KB_S * scenario.servers,
                             2,
                             3,
                             0,
-                            STALL,
-                            490 * MILLISECOND_US),
-                    new Limits(5, false, true, 250 * MILLISECOND_US, script.maxReturnDelay, SEE, TELL),
+                            STALL_PENALTY,
+                            490 * MS),
+                    new Limits(5, false, true, 250 * MS, scenario.maxReturnDelay, REPORT_DELAY_US, REPORT_INTERVAL_US),
                     new Rules(SECOND_US, 0.4, 12 * SECOND_US, 2.5, 2 * SECOND_US, 0, 0, 0),
                     new Prices(0, 0, 0, 0),
                     List.of(ReportField.LINK));
             long seed = random.nextLong();
-            Function<Director.Actions, Director> module = a -> new Choice(s, seed, a);
-            Function<Director.Actions, Director> whole = script.terms == null
+            Function<Director.Actions, Director> module = actions -> new Choice(settings, seed, actions);
+            Function<Director.Actions, Director> withFilter = scenario.terms == null
                     ? module
-                    : a -> {
-                        Director d = RetryStormFilter.before(s, script.terms, seed ^ 0x5eed, module)
-                                .apply(a);
-                        damper = (RetryStormFilter) d;
-                        return d;
+                    : actions -> {
+                        Director director = RetryStormFilter.before(settings, scenario.terms, seed ^ 0x5eed, module)
+                                .apply(actions);
+                        filter = (RetryStormFilter) director;
+                        return director;
                     };
-            if (script.fleet != null) {
-                node = new GossipNode(script.fleet, me, script.brokers, now / 1000, now, seed ^ 0xf1ee7);
+            if (scenario.fleet != null) {
+                gossipNode = new GossipNode(scenario.fleet, number, scenario.brokers, now / 1000, now, seed ^ 0xf1ee7);
                 snapshot = FleetSnapshot.ALONE;
                 broker = new Broker(
-                        s,
-                        a -> {
-                            admission = AdmissionFilter.before(
-                                            s,
+                        settings,
+                        actions -> {
+                            admissionFilter = AdmissionFilter.before(
+                                            settings,
                                             () -> snapshot,
-                                            n -> {
-                                                node.handle(now, n, this::carry);
+                                            message -> {
+                                                gossipNode.handle(now, message, this::sendToPeer);
                                                 return true;
                                             },
-                                            whole)
-                                    .apply(a);
-                            return admission;
+                                            withFilter)
+                                    .apply(actions);
+                            return admissionFilter;
                         },
-                        this::datagram,
+                        this::broadcast,
                         deadlines);
-                beat(node);
+                gossip(gossipNode);
             } else {
-                broker = new Broker(s, whole, this::datagram, deadlines);
+                broker = new Broker(settings, withFilter, this::broadcast, deadlines);
             }
             broker.serversChanged(
                     now,
                     "names",
                     now == START_US ? ListScope.SNAPSHOT : ListScope.DISK,
-                    servers.stream().map(SimulatedEdgeServer::listed).toList());
-            Broker mine = broker;
-            if (now > START_US && script.nameServerReachable) {
-                at(now + 300 * MILLISECOND_US + random.nextLong(500 * MILLISECOND_US), () -> {
-                    if (broker == mine) {
+                    servers.stream().map(EdgeServer::listEntry).toList());
+            Broker started = broker;
+            if (now > START_US && scenario.nameServerReachable) {
+                schedule(now + 300 * MS + random.nextLong(500 * MS), () -> {
+                    if (broker == started) {
                         broker.serversChanged(
                                 now,
                                 "names",
                                 ListScope.SNAPSHOT,
-                                servers.stream()
-                                        .map(SimulatedEdgeServer::listed)
-                                        .toList());
+                                servers.stream().map(EdgeServer::listEntry).toList());
                     }
                 });
             }
         }
 
-        private void beat(GossipNode of) {
-            if (node == of) {
-                node.tick(now, this::carry);
-                snapshot = node.snapshot(now);
-                at(
-                        Math.min(now + (script.instantExchange ? 20 : 100) * MILLISECOND_US, node.next(now)),
-                        () -> beat(of));
+        private void gossip(GossipNode startedNode) {
+            if (gossipNode == startedNode) {
+                gossipNode.tick(now, this::sendToPeer);
+                snapshot = gossipNode.snapshot(now);
+                schedule(
+                        Math.min(now + (scenario.instantExchange ? 20 : 100) * MS, gossipNode.next(now)),
+                        () -> gossip(startedNode));
             }
         }
 
-        void carry(int to, byte[] bytes) {
-            SimulatedBroker s = simulatedBrokers.get(to);
-            if (me == script.byzantineBroker || !script.instantExchange && random.nextDouble() < script.datagramLoss) {
+        void sendToPeer(int to, byte[] bytes) {
+            BrokerNode peer = nodes.get(to);
+            if (number == scenario.byzantineBroker
+                    || !scenario.instantExchange && random.nextDouble() < scenario.datagramLoss) {
                 return;
             }
-            at(now + (script.instantExchange ? 1 : 1_100 + random.nextLong(34 * MILLISECOND_US)), () -> {
-                if (s.node != null) {
-                    s.node.receive(now, bytes, s::carry);
+            schedule(now + (scenario.instantExchange ? 1 : 1_100 + random.nextLong(34 * MS)), () -> {
+                if (peer.gossipNode != null) {
+                    peer.gossipNode.receive(now, bytes, peer::sendToPeer);
                 }
             });
         }
 
-        private List<Double> list(double[] of) {
-            List<Double> out = new ArrayList<>();
-            for (double d : of) {
-                out.add(d);
+        private List<Double> toList(double[] values) {
+            List<Double> list = new ArrayList<>();
+            for (double value : values) {
+                list.add(value);
             }
-            return out;
+            return list;
         }
 
-        void die() {
+        void kill() {
             broker = null;
-            damper = null;
-            fleetBytes += node == null ? 0 : node.counts().bytes;
-            node = null;
-            admission = null;
-            diedAt = now;
-            noticed = now + 1_200 * MILLISECOND_US + random.nextLong(2_200 * MILLISECOND_US);
-            for (SimulatedViewer v : viewers) {
-                if (v.at == this && v.name != null) {
-                    v.cut();
+            filter = null;
+            fleetBytes += gossipNode == null ? 0 : gossipNode.counts().bytes;
+            gossipNode = null;
+            admissionFilter = null;
+            killedAt = now;
+            failureNoticedAt = now + 1_200 * MS + random.nextLong(2_200 * MS);
+            for (Viewer viewer : viewers) {
+                if (viewer.node == this && viewer.requestId != null) {
+                    viewer.connectionLost();
                 }
             }
-            asking.clear();
+            viewersByRequest.clear();
         }
 
-        void told(SimulatedEdgeServer b) {
+        void sendListChange(EdgeServer server) {
             if (broker != null) {
-                broker.serversChanged(now, "names", ListScope.CHANGES, List.of(b.listed()));
+                broker.serversChanged(now, "names", ListScope.CHANGES, List.of(server.listEntry()));
             }
         }
 
-        void ask(SimulatedViewer v, boolean again) {
-            asking.put(v.name, v);
-            long connection = broker.connected(now, this, h -> {});
+        void acceptRequest(Viewer viewer, boolean isRetry) {
+            viewersByRequest.put(viewer.requestId, viewer);
+            long connection = broker.connected(now, this, handle -> {});
             if (!broker.request(
                     now,
                     connection,
                     this,
                     this,
                     new SessionRequest(
-                            v.name,
-                            v.cls.name(),
-                            v.id,
+                            viewer.requestId,
+                            viewer.cls.name(),
+                            viewer.id,
                             "lesson",
-                            v.patience(),
-                            (long) ((v.until - now) * (.8 + .4 * random.nextDouble())),
+                            viewer.clientDeadline(),
+                            (long) ((viewer.leavesAt - now) * (.8 + .4 * random.nextDouble())),
                             0,
                             3,
-                            v.top,
-                            again,
+                            viewer.highestRendition,
+                            isRetry,
                             false,
-                            again,
+                            isRetry,
                             "sdp\n"))) {
-                throw new IllegalStateException("a viewer's request was malformed");
+                throw new IllegalStateException("broker rejected a viewer's request as malformed");
             }
         }
 
-        private void datagram(byte[] bytes) {
+        private void broadcast(byte[] bytes) {
             if (bytes.length > 256) {
-                throw new IllegalStateException("datagram too long");
+                throw new IllegalStateException("datagram between brokers exceeds 256 bytes");
             }
-            for (SimulatedBroker s : simulatedBrokers) {
-                if (s != this && random.nextDouble() >= script.datagramLoss) {
-                    at(now + 1_100 + random.nextLong(34 * MILLISECOND_US), () -> {
-                        if (s.broker != null) {
-                            s.broker.peerMessageReceived(now, me, bytes);
+            for (BrokerNode peer : nodes) {
+                if (peer != this && random.nextDouble() >= scenario.datagramLoss) {
+                    schedule(now + 1_100 + random.nextLong(34 * MS), () -> {
+                        if (peer.broker != null) {
+                            peer.broker.peerMessageReceived(now, number, bytes);
                         }
                     });
                 }
             }
         }
 
-        // Front.
+        // From the broker to its viewers.
         @Override
-        public void served(long connection, String name, Grant g) {
-            SimulatedViewer v = asking.get(name);
-            if (v == null || !name.equals(v.name)) {
-                broker.answerUndelivered(now, name);
+        public void served(long connection, String requestId, Grant grant) {
+            Viewer viewer = viewersByRequest.get(requestId);
+            if (viewer == null || !requestId.equals(viewer.requestId)) {
+                broker.answerUndelivered(now, requestId);
                 return;
             }
-            v.answered = true;
-            v.plays = true;
-            paidServed += v.inSurge ? 1 : 0;
-            v.box = servers.get(Integer.parseInt(g.server().substring(3)));
+            viewer.answered = true;
+            viewer.playing = true;
+            paidServed += viewer.inSurge ? 1 : 0;
+            viewer.server = servers.get(Integer.parseInt(grant.server().substring(3)));
             served++;
         }
 
         @Override
-        public void refused(long connection, String name, long comeBack) {
-            SimulatedViewer v = asking.remove(name);
-            if (v != null && name.equals(v.name)) {
-                paidRefusedAfterRun +=
-                        v.cls.effect() != Effect.SAFE && servers.stream().anyMatch(b -> b.ran.contains(name)) ? 1 : 0;
-                v.refused(comeBack);
+        public void refused(long connection, String requestId, long retryAfter) {
+            Viewer viewer = viewersByRequest.remove(requestId);
+            if (viewer != null && requestId.equals(viewer.requestId)) {
+                paidRefusedAfterRun += viewer.cls.effect() != Effect.SAFE
+                                && servers.stream().anyMatch(server -> server.executedSetUps.contains(requestId))
+                        ? 1
+                        : 0;
+                viewer.refused(retryAfter);
             }
         }
 
         @Override
-        public void failed(long connection, String name, boolean late) {
-            SimulatedViewer v = asking.remove(name);
-            if (v != null && name.equals(v.name)) {
+        public void failed(long connection, String requestId, boolean late) {
+            Viewer viewer = viewersByRequest.remove(requestId);
+            if (viewer != null && requestId.equals(viewer.requestId)) {
                 failed++;
-                v.answered = true;
-                v.ended();
-                if (v.cls.effect() == Effect.SAFE) {
-                    v.back(740 * MILLISECOND_US + random.nextLong(2_160 * MILLISECOND_US));
+                viewer.answered = true;
+                viewer.forgetRequest();
+                if (viewer.cls.effect() == Effect.SAFE) {
+                    viewer.retryAfter(740 * MS + random.nextLong(2_160 * MS));
                 }
             }
         }
 
         @Override
-        public void sessionEnded(long connection, String name, Outcome outcome) {
-            SimulatedViewer v = asking.remove(name);
-            if (v != null && name.equals(v.name) && outcome != Outcome.OK) {
-                v.cut();
-            } else if (v != null && name.equals(v.name)) {
-                v.ended();
+        public void sessionEnded(long connection, String requestId, Outcome outcome) {
+            Viewer viewer = viewersByRequest.remove(requestId);
+            if (viewer != null && requestId.equals(viewer.requestId) && outcome != Outcome.OK) {
+                viewer.connectionLost();
+            } else if (viewer != null && requestId.equals(viewer.requestId)) {
+                viewer.forgetRequest();
             }
         }
 
         @Override
-        public void moved(long connection, String name) {
-            sessionEnded(connection, name, Outcome.RESET);
+        public void moved(long connection, String requestId) {
+            sessionEnded(connection, requestId, Outcome.RESET);
         }
 
         @Override
@@ -773,136 +784,147 @@
             return false;
         }
 
-        // Boxes, over a network.
+        // From the broker to the edge servers, over a network.
         @Override
-        public void setUp(String server, SetUp s) {
-            SimulatedEdgeServer b = servers.get(Integer.parseInt(server.substring(3)));
-            SimulatedViewer v = asking.get(s.name());
-            Broker mine = broker;
-            renditionsBelowFloor += s.highestRendition() < s.lowestRendition() ? 1 : 0;
-            brokerRetries += attempts.merge(s.name(), 1, Integer::sum) > 1 ? 1 : 0;
-            boolean noAnswer = script.lostReplyShare > 0 && random.nextDouble() < script.lostReplyShare;
-            at(now + 3 * MILLISECOND_US, () -> {
-                if (b.takes(s.name(), v.cls)) {
+        public void setUp(String serverId, SetUp setUp) {
+            EdgeServer server = servers.get(Integer.parseInt(serverId.substring(3)));
+            Viewer viewer = viewersByRequest.get(setUp.name());
+            Broker sender = broker;
+            renditionsBelowFloor += setUp.highestRendition() < setUp.lowestRendition() ? 1 : 0;
+            brokerRetries += attemptsByRequest.merge(setUp.name(), 1, Integer::sum) > 1 ? 1 : 0;
+            boolean noAnswer = scenario.lostReplyShare > 0 && random.nextDouble() < scenario.lostReplyShare;
+            schedule(now + 3 * MS, () -> {
+                if (server.acceptSetUp(setUp.name(), viewer.cls)) {
                     if (noAnswer) {
-                        return; // it ran, and its answer is lost
+                        return; // the set-up ran, its answer is lost
                     }
-                    at(
+                    schedule(
                             now
-                                    + 15 * MILLISECOND_US
-                                    + random.nextLong(25 * MILLISECOND_US)
-                                    + (b.slow() ? 300 * MILLISECOND_US + random.nextLong(900 * MILLISECOND_US) : 0),
+                                    + 15 * MS
+                                    + random.nextLong(25 * MS)
+                                    + (server.isSlow() ? 300 * MS + random.nextLong(900 * MS) : 0),
                             () -> {
-                                if (broker == mine && !b.fallen && v.name != null && v.name.equals(s.name())) {
-                                    v.rung = s.highestRendition();
-                                    timed(() -> mine.setUpAnswered(now, server, s.name(), "sdp\n"));
-                                    if (s.name().equals(v.name) && v.plays) {
-                                        b.load.put(s.name(), v);
+                                if (broker == sender
+                                        && !server.crashed
+                                        && viewer.requestId != null
+                                        && viewer.requestId.equals(setUp.name())) {
+                                    viewer.rendition = setUp.highestRendition();
+                                    runTimed(() -> sender.setUpAnswered(now, serverId, setUp.name(), "sdp\n"));
+                                    if (setUp.name().equals(viewer.requestId) && viewer.playing) {
+                                        server.sessions.put(setUp.name(), viewer);
                                         broker.metricReceived(
-                                                now, server, s.name(), Metric.LINK, b.asked() / (LINK * b.gives()));
+                                                now,
+                                                serverId,
+                                                setUp.name(),
+                                                Metric.LINK,
+                                                server.demandKb() / (LINK_KB_S * server.capacityShare()));
                                     }
                                 }
                             });
-                } else if (broker == mine) {
-                    broker.ended(now, server, s.name(), Outcome.CONNECT_FAILED, LoadReport.NONE);
+                } else if (broker == sender) {
+                    broker.ended(now, serverId, setUp.name(), Outcome.CONNECT_FAILED, LoadReport.NONE);
                 }
             });
         }
 
         @Override
-        public void setRendition(String server, String name, int rung) {
-            SimulatedViewer v = asking.get(name);
-            if (v != null && name.equals(v.name)) {
-                renditionsBelowFloor += rung < v.cls.floor() ? 1 : 0;
-                v.rung = rung;
+        public void setRendition(String serverId, String requestId, int rendition) {
+            Viewer viewer = viewersByRequest.get(requestId);
+            if (viewer != null && requestId.equals(viewer.requestId)) {
+                renditionsBelowFloor += rendition < viewer.cls.floor() ? 1 : 0;
+                viewer.rendition = rendition;
             }
         }
 
         @Override
-        public void release(String server, String name) {
-            servers.get(Integer.parseInt(server.substring(3))).load.remove(name);
+        public void release(String serverId, String requestId) {
+            servers.get(Integer.parseInt(serverId.substring(3))).sessions.remove(requestId);
         }
 
         @Override
-        public void cancelSetUp(String server, String name) {}
+        public void cancelSetUp(String serverId, String requestId) {}
 
         @Override
-        public void setHasActiveSessions(String server, boolean sessions) {}
+        public void setHasActiveSessions(String serverId, boolean active) {}
     }
 
-    // ---- Measures.
+    // ---- Measurements.
 
     private void measure() {
-        at(now + TICK, this::measure);
-        int sec = (int) ((now - START_US) / SECOND_US);
-        if (sec >= offeredBySecond.length) {
+        schedule(now + TICK_US, this::measure);
+        int second = (int) ((now - START_US) / SECOND_US);
+        if (second >= offeredBySecond.length) {
             return;
         }
-        Map<SimulatedEdgeServer, Double> worth = new HashMap<>();
-        for (SimulatedEdgeServer b : servers) {
-            double share = b.share();
-            worth.put(b, share >= 0.98 ? 1 : Math.max(0, 1 - STALL * (0.98 - share)));
+        Map<EdgeServer, Double> deliveredWorth = new HashMap<>();
+        for (EdgeServer server : servers) {
+            double share = server.deliveredShare();
+            deliveredWorth.put(server, share >= 0.98 ? 1 : Math.max(0, 1 - STALL_PENALTY * (0.98 - share)));
             if (share < 0.98) {
-                int n = 0;
-                for (SimulatedViewer v : b.load.values()) {
-                    if (n++ == 0 && v.at.alive()) {
-                        String name = v.name;
-                        SimulatedBroker s = v.at;
-                        at(now + SEE, () -> {
-                            if (s.alive() && now / SECOND_US != (now - TICK) / SECOND_US) {
-                                s.broker.metricReceived(now, b.id, name, Metric.DELIVERED, share);
+                int count = 0;
+                for (Viewer viewer : server.sessions.values()) {
+                    if (count++ == 0 && viewer.node.isUp()) {
+                        String requestId = viewer.requestId;
+                        BrokerNode node = viewer.node;
+                        schedule(now + REPORT_DELAY_US, () -> {
+                            if (node.isUp() && now / SECOND_US != (now - TICK_US) / SECOND_US) {
+                                node.broker.metricReceived(now, server.id, requestId, Metric.DELIVERED, share);
                             }
                         });
                     }
                 }
             }
         }
-        sessionsBySecond[sec] = servers.stream().mapToInt(b -> b.load.size()).sum();
-        linkLoadBySecond[sec] =
-                servers.stream().mapToDouble(SimulatedEdgeServer::asked).sum()
-                        / (LINK
-                                * servers.stream()
-                                        .mapToDouble(SimulatedEdgeServer::warmth)
-                                        .sum());
-        meanRenditionBySecond[sec] = viewers.stream()
-                .filter(v -> v.plays)
-                .mapToInt(v -> v.rung)
+        sessionsBySecond[second] =
+                servers.stream().mapToInt(server -> server.sessions.size()).sum();
+        linkLoadBySecond[second] = servers.stream()
+                        .mapToDouble(EdgeServer::demandKb)
+                        .sum()
+                / (LINK_KB_S * servers.stream().mapToDouble(EdgeServer::warmth).sum());
+        meanRenditionBySecond[second] = viewers.stream()
+                .filter(viewer -> viewer.playing)
+                .mapToInt(viewer -> viewer.rendition)
                 .average()
                 .orElse(0);
-        for (SimulatedViewer v : viewers) {
-            if (now < v.until) {
-                offeredBySecond[sec] += v.cls.worth() * WORTHS[v.top] * TICK / SECOND_US;
-                earnedBySecond[sec] += v.plays && v.box != null
-                        ? v.cls.worth() * WORTHS[Math.min(v.rung, v.top)] * worth.get(v.box) * TICK / SECOND_US
+        for (Viewer viewer : viewers) {
+            if (now < viewer.leavesAt) {
+                offeredBySecond[second] += viewer.cls.worth() * WORTHS[viewer.highestRendition] * TICK_US / SECOND_US;
+                earnedBySecond[second] += viewer.playing && viewer.server != null
+                        ? viewer.cls.worth()
+                                * WORTHS[Math.min(viewer.rendition, viewer.highestRendition)]
+                                * deliveredWorth.get(viewer.server)
+                                * TICK_US
+                                / SECOND_US
                         : 0;
-            } else if (v.plays && v.at.alive() && v.box != null) {
-                v.at.broker.ended(now, v.box.id, v.name, Outcome.OK, v.box.report());
+            } else if (viewer.playing && viewer.node.isUp() && viewer.server != null) {
+                viewer.node.broker.ended(
+                        now, viewer.server.id, viewer.requestId, Outcome.OK, viewer.server.loadReport());
             }
         }
-        shares();
+        measureShares();
         int uncalm = 0;
-        for (SimulatedBroker s : simulatedBrokers) {
-            String state = s.damper == null ? "NONE" : s.damper.state();
-            if (!state.equals(s.state)) {
-                stormLog.add(
-                        String.format(java.util.Locale.ROOT, "%.1f broker=%d %s", (now - START_US) / 1e6, s.me, state));
-                s.state = state;
+        for (BrokerNode node : nodes) {
+            String state = node.filter == null ? "NONE" : node.filter.state();
+            if (!state.equals(node.loggedState)) {
+                stormLog.add(String.format(
+                        java.util.Locale.ROOT, "%.1f broker=%d %s", (now - START_US) / 1e6, node.number, state));
+                node.loggedState = state;
             }
-            uncalm += s.damper != null && !s.damper.state().equals("CALM") ? 1 : 0;
+            uncalm += node.filter != null && !node.filter.state().equals("CALM") ? 1 : 0;
         }
-        calm.set((int) ((now - START_US) / TICK), uncalm == 0);
+        calmTicks.set((int) ((now - START_US) / TICK_US), uncalm == 0);
         int before = viewers.size();
-        viewers.removeIf(v -> now > v.until + 5 * SECOND_US && v.name == null);
+        viewers.removeIf(viewer -> now > viewer.leavesAt + 5 * SECOND_US && viewer.requestId == null);
         departedViewers += before - viewers.size();
     }
 
-    /** Looks whether shares add up, and whether a viewer is judged alike at all brokers. */
-    private void shares() {
-        double sum = 0;
-        int under = 0;
-        int asked = 0;
-        boolean cut = false;
-        Director.Request r = new Director.Request(
+    /** Measures the sum of the brokers' shares, and whether all brokers shed or admit the same sample request. */
+    private void measureShares() {
+        double shareSum = 0;
+        int shedding = 0;
+        int decisions = 0;
+        boolean anyShedding = false;
+        Director.Request request = new Director.Request(
                 "x",
                 classes.get(random.nextInt(classes.size())).name(),
                 "v" + random.nextInt(100_000),
@@ -915,63 +937,64 @@
                 false,
                 false,
                 false);
-        for (SimulatedBroker s : simulatedBrokers) {
-            if (s.node != null && s.me != script.byzantineBroker) {
-                sum += s.node.newSessionShare(now);
-                cut |= s.snapshot.sheddingThreshold() > 0;
-                under += s.admission.isShed(now, r) ? 1 : 0;
-                asked++;
+        for (BrokerNode node : nodes) {
+            if (node.gossipNode != null && node.number != scenario.byzantineBroker) {
+                shareSum += node.gossipNode.newSessionShare(now);
+                anyShedding |= node.snapshot.sheddingThreshold() > 0;
+                shedding += node.admissionFilter.isShed(now, request) ? 1 : 0;
+                decisions++;
             }
         }
-        maxShareSum = Math.max(maxShareSum, sum);
-        if (cut && asked > 1) {
-            shedDecisions += asked;
-            agreeingShedDecisions += Math.max(under, asked - under);
+        maxShareSum = Math.max(maxShareSum, shareSum);
+        if (anyShedding && decisions > 1) {
+            shedDecisions += decisions;
+            agreeingShedDecisions += Math.max(shedding, decisions - shedding);
         }
     }
 
     private int departedViewers;
 
-    /** People who came at all. */
+    /** Viewers that arrived, including those that have left. */
     public int viewerCount() {
         return viewerCount + departedViewers;
     }
 
-    /** Seconds from a time until all brokers are calm, for a second at least; -1: never. */
+    /** Seconds from a time until all brokers are calm for at least a second; -1 if they never are. */
     public double secondsUntilCalm(long from) {
-        int second = (int) (SECOND_US / TICK);
-        for (int i = (int) (from / TICK); i + second < script.duration / TICK; i++) {
-            if (calm.nextClearBit(i) >= i + second) {
-                return (i * TICK - from) / 1e6;
+        int ticksPerSecond = (int) (SECOND_US / TICK_US);
+        for (int tick = (int) (from / TICK_US); tick + ticksPerSecond < scenario.duration / TICK_US; tick++) {
+            if (calmTicks.nextClearBit(tick) >= tick + ticksPerSecond) {
+                return (tick * TICK_US - from) / 1e6;
             }
         }
         return -1;
     }
 
-    /** Worth earned over worth asked for, over a run from one second to another. */
+    /** Worth earned over worth offered, from one second of the run to another (exclusive). */
     public double serviceRatio(int from, int to) {
-        double asked = 0;
-        double got = 0;
-        for (int i = from; i < Math.min(to, offeredBySecond.length - 1); i++) {
-            asked += offeredBySecond[i];
-            got += earnedBySecond[i];
+        double offered = 0;
+        double earned = 0;
+        for (int second = from; second < Math.min(to, offeredBySecond.length - 1); second++) {
+            offered += offeredBySecond[second];
+            earned += earnedBySecond[second];
         }
-        return asked == 0 ? 1 : got / asked;
+        return offered == 0 ? 1 : earned / offered;
     }
 
-    /** The worst 10 s from one second on. */
+    /** The lowest service ratio of any 10 s from a second of the run on. */
     public double worstTenSeconds(int from) {
         double worst = 1;
-        for (int i = from; i + 10 <= offeredBySecond.length - 1; i++) {
-            worst = Math.min(worst, serviceRatio(i, i + 10));
+        for (int second = from; second + 10 <= offeredBySecond.length - 1; second++) {
+            worst = Math.min(worst, serviceRatio(second, second + 10));
         }
         return worst;
     }
 
-    public List<RetryStormFilter> dampers() {
-        return simulatedBrokers.stream()
-                .filter(s -> s.damper != null)
-                .map(s -> s.damper)
+    /** Filters of the brokers that are up. */
+    public List<RetryStormFilter> stormFilters() {
+        return nodes.stream()
+                .filter(node -> node.filter != null)
+                .map(node -> node.filter)
                 .toList();
     }
 }
--- a/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
+++ b/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
@@ -35,27 +35,27 @@
  * module scripted. The loop is held until both sides of a crossing have come. Afterwards every table is empty.
  */
 class ConcurrentEndingsTest {
-    private static final String ID = "0123456789abcdef";
+    private static final String SESSION = "0123456789abcdef";
 
     /** A server, which the test plays. */
     private static final class ScriptedEdgeServer implements AutoCloseable {
-        final ServerSocket at = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Socket line;
-        BufferedReader reads;
+        final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        Socket connection;
+        BufferedReader reader;
 
         ScriptedEdgeServer() throws IOException {
-            at.setSoTimeout(20_000);
+            listener.setSoTimeout(20_000);
         }
 
         void accept() throws IOException {
-            line = at.accept();
-            line.setSoTimeout(20_000);
-            reads = new BufferedReader(new InputStreamReader(line.getInputStream(), StandardCharsets.UTF_8));
+            connection = listener.accept();
+            connection.setSoTimeout(20_000);
+            reader = new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8));
         }
 
         /** The next line, as "setup ID" or "release ID 16". */
-        String read() throws IOException {
-            String text = reads.readLine();
+        String readMessage() throws IOException {
+            String text = reader.readLine();
             if (text == null) {
                 return "end";
             }
@@ -65,31 +65,31 @@
         }
 
         /** The next set-up; a release before it is of one that was given up before its end had been read. */
-        String setUp() throws IOException {
-            String next = read();
+        String readSetUp() throws IOException {
+            String next = readMessage();
             while (next.startsWith("release ")) {
-                next = read();
+                next = readMessage();
             }
             return next;
         }
 
-        void say(String text) throws IOException {
-            line.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
+        void send(String text) throws IOException {
+            connection.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
         void answer(String id) throws IOException {
-            say("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=0\\r\\n\"}");
+            send("{\"type\":\"answer\",\"id\":\"" + id + "\",\"fields\":{},\"sdp\":\"v=0\\r\\n\"}");
         }
 
         void release(String id, int cause) throws IOException {
-            say("{\"type\":\"release\",\"id\":\"" + id + "\",\"fields\":{},\"cause\":" + cause + "}");
+            send("{\"type\":\"release\",\"id\":\"" + id + "\",\"fields\":{},\"cause\":" + cause + "}");
         }
 
         @Override
         public void close() throws IOException {
-            at.close();
-            if (line != null) {
-                line.close();
+            listener.close();
+            if (connection != null) {
+                connection.close();
             }
         }
     }
@@ -103,21 +103,21 @@
             socket.setSoTimeout(20_000);
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
         void setUp(String id, String cls) throws IOException {
-            say("SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: " + id + "\r\nPriority-Class: " + cls
+            send("SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: " + id + "\r\nPriority-Class: " + cls
                     + "\r\nExpires-Ms: 3000\r\nContent-Length: 5\r\n\r\nv=0\r\n");
         }
 
         void tearDown(String id) throws IOException {
-            say("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n");
+            send("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: " + id + "\r\nContent-Length: 0\r\n\r\n");
         }
 
         /** The next message, as "200 1 ID" or "TEARDOWN 2 ID"; "end" where none comes any more. */
-        String hear() throws Exception {
+        String readMessage() throws Exception {
             byte[] buf = new byte[4096];
             for (HttpStyleMessage m = decoder.next(); ; m = decoder.next()) {
                 if (m != null) {
@@ -133,10 +133,10 @@
         }
 
         /** What comes until a test of the viewer's own passes: all that was told before it. */
-        List<String> settled() throws Exception {
-            say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: ping\r\nContent-Length: 0\r\n\r\n");
+        List<String> readUntilPing() throws Exception {
+            send("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: ping\r\nContent-Length: 0\r\n\r\n");
             List<String> heard = new ArrayList<>();
-            for (String m = hear(); !m.equals("200 3 ping"); m = hear()) {
+            for (String m = readMessage(); !m.equals("200 3 ping"); m = readMessage()) {
                 assertTrue(!m.equals("end"), heard.toString());
                 heard.add(m);
             }
@@ -151,24 +151,24 @@
 
     private final Net net = new Net();
     private final BrokerHarness module = new BrokerHarness();
-    private Director.Actions act;
+    private Director.Actions moduleActions;
     private Broker broker;
-    private InetSocketAddress at;
-    private ScriptedEdgeServer a;
-    private ScriptedEdgeServer b;
+    private InetSocketAddress frontAddress;
+    private ScriptedEdgeServer serverA;
+    private ScriptedEdgeServer serverB;
     private Viewer viewer;
 
     @BeforeEach
     void start() throws Exception {
-        a = new ScriptedEdgeServer();
-        b = new ScriptedEdgeServer();
+        serverA = new ScriptedEdgeServer();
+        serverB = new ScriptedEdgeServer();
         RtspFront front = net.callOnLoop(() -> {
             LoopClock clock = new LoopClock(net.loop());
             TimerQueue deadlines = new TimerQueue(clock::wakeAt);
             broker = new Broker(
                     module.settings,
                     actions -> {
-                        act = actions;
+                        moduleActions = actions;
                         return module;
                     },
                     m -> {},
@@ -180,8 +180,8 @@
                     clock,
                     deadlines,
                     new EdgeServerConnections.Options(250_000, 30_000_000, 0, 0, List.of("busy_reqs", "x0"), 256));
-            module.onRequest = r -> act.send(r.id(), "a", 0);
-            module.onOutcome = id -> act.send(id, "b", 0);
+            module.onRequest = r -> moduleActions.send(r.id(), "a", 0);
+            module.onOutcome = id -> moduleActions.send(id, "b", 0);
             broker.serversChanged(
                     clock.now(),
                     "names",
@@ -189,177 +189,183 @@
                     List.of(
                             new Director.Server("a", "z", "k", 0, Director.State.UP, 1, 0),
                             new Director.Server("b", "z", "k", 0, Director.State.UP, 1, 0)));
-            edges.updateAddresses(Map.of("a", (InetSocketAddress) a.at.getLocalSocketAddress(), "b", (InetSocketAddress)
-                    b.at.getLocalSocketAddress()));
+            edges.updateAddresses(
+                    Map.of("a", (InetSocketAddress) serverA.listener.getLocalSocketAddress(), "b", (InetSocketAddress)
+                            serverB.listener.getLocalSocketAddress()));
             return new RtspFront(broker, edges, clock, deadlines, 10);
         });
-        at = (InetSocketAddress)
+        frontAddress = (InetSocketAddress)
                 net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), front::accept, () -> {}, true)
                         .sync()
                         .channel()
                         .localAddress();
-        viewer = new Viewer(at);
+        viewer = new Viewer(frontAddress);
     }
 
     @AfterEach
     void stop() throws Exception {
         net.close();
-        a.close();
-        b.close();
+        serverA.close();
+        serverB.close();
         viewer.close();
     }
 
-    private void empty() {
+    private void assertTablesEmpty() {
         assertEquals(0, net.callOnLoop(() -> broker.unansweredRequests() + broker.activeSessions()));
     }
 
-    private void out(String id, String cls) throws Exception {
+    private void setUpReachesA(String id, String cls) throws Exception {
         viewer.setUp(id, cls);
-        if (a.line == null) {
-            a.accept();
+        if (serverA.connection == null) {
+            serverA.accept();
         }
-        assertEquals("setup " + id, a.read());
+        assertEquals("setup " + id, serverA.readMessage());
     }
 
     /** A line to b that is up, so that what is sent there would be written at once. */
-    private void lineToB() throws Exception {
+    private void connectToB() throws Exception {
         String other = "00000000000000b1";
-        out(other, "safe");
-        a.release(other, 34);
-        b.accept();
-        assertEquals("setup " + other, b.read());
-        b.release(other, 102); // tried at b once more, as the script says
-        assertEquals("setup " + other, b.read());
+        setUpReachesA(other, "safe");
+        serverA.release(other, 34);
+        serverB.accept();
+        assertEquals("setup " + other, serverB.readMessage());
+        serverB.release(other, 102); // tried at b once more, as the script says
+        assertEquals("setup " + other, serverB.readMessage());
         viewer.tearDown(other);
-        assertEquals("200 2 " + other, viewer.hear());
-        assertEquals("release " + other + " 16", b.read());
+        assertEquals("200 2 " + other, viewer.readMessage());
+        assertEquals("release " + other + " 16", serverB.readMessage());
     }
 
     @Test
     void whoClosesAsTheFirstAttemptEndsHasNoSecond() throws Exception {
-        lineToB();
+        connectToB();
         for (String cls : List.of("safe", "paid")) {
-            String id = cls.equals("safe") ? ID : ID.replace('0', '9');
-            try (Viewer leaves = new Viewer(at)) {
+            String id = cls.equals("safe") ? SESSION : SESSION.replace('0', '9');
+            try (Viewer leaves = new Viewer(frontAddress)) {
                 leaves.setUp(id, cls);
-                assertEquals("setup " + id, a.setUp());
+                assertEquals("setup " + id, serverA.readSetUp());
                 CountDownLatch go = LoopBlocker.block(net);
-                a.release(id, 34); // it never ran: another attempt would be in order
+                serverA.release(id, 34); // it never ran: another attempt would be in order
                 leaves.close();
                 go.countDown();
             }
-            assertEquals(List.of(), viewer.settled());
-            assertEquals(List.of(), viewer.settled());
+            assertEquals(List.of(), viewer.readUntilPing());
+            assertEquals(List.of(), viewer.readUntilPing());
         }
         String next = "00000000000000b2";
         viewer.setUp(next, "safe");
-        assertEquals("setup " + next, a.setUp());
-        a.release(next, 34);
-        assertEquals("setup " + next, b.read(), "nothing came in between");
+        assertEquals("setup " + next, serverA.readSetUp());
+        serverA.release(next, 34);
+        assertEquals("setup " + next, serverB.readMessage(), "nothing came in between");
         viewer.tearDown(next);
-        assertEquals("200 2 " + next, viewer.hear());
-        empty();
+        assertEquals("200 2 " + next, viewer.readMessage());
+        assertTablesEmpty();
     }
 
     @Test
     void anAnswerThatCrossesItsGivingUpIsNeitherHeardNorLeftStanding() throws Exception {
-        out(ID, "paid");
+        setUpReachesA(SESSION, "paid");
         CountDownLatch go = LoopBlocker.block(net);
-        a.answer(ID);
-        viewer.tearDown(ID);
+        serverA.answer(SESSION);
+        viewer.tearDown(SESSION);
         go.countDown();
-        List<String> heard = new ArrayList<>(List.of(viewer.hear()));
-        heard.addAll(viewer.settled());
+        List<String> heard = new ArrayList<>(List.of(viewer.readMessage()));
+        heard.addAll(viewer.readUntilPing());
         // Either was read first: the session stood and was ended by its viewer, or was given up before it stood.
         assertTrue(
-                heard.equals(List.of("200 2 " + ID)) || heard.equals(List.of("200 1 " + ID, "200 2 " + ID)),
+                heard.equals(List.of("200 2 " + SESSION))
+                        || heard.equals(List.of("200 1 " + SESSION, "200 2 " + SESSION)),
                 heard.toString());
-        String told = a.read();
-        assertEquals(heard.size() == 1 ? "release " + ID + " 16" : "release " + ID + " 31", told);
-        empty();
+        String told = serverA.readMessage();
+        assertEquals(heard.size() == 1 ? "release " + SESSION + " 16" : "release " + SESSION + " 31", told);
+        assertTablesEmpty();
     }
 
     @Test
     void aSecondAnswerFromTheSameServerOrFromAnotherChangesNothing() throws Exception {
-        out(ID, "safe");
-        a.release(ID, 34);
-        b.accept();
-        assertEquals("setup " + ID, b.read());
+        setUpReachesA(SESSION, "safe");
+        serverA.release(SESSION, 34);
+        serverB.accept();
+        assertEquals("setup " + SESSION, serverB.readMessage());
         CountDownLatch go = LoopBlocker.block(net);
-        b.answer(ID);
-        b.answer(ID);
-        a.answer(ID);
+        serverB.answer(SESSION);
+        serverB.answer(SESSION);
+        serverA.answer(SESSION);
         go.countDown();
-        assertEquals("200 1 " + ID, viewer.hear());
-        a.answer(ID);
-        b.answer(ID);
-        assertEquals(List.of(), viewer.settled());
-        b.release(ID, 16);
-        assertEquals("TEARDOWN 2 " + ID, viewer.hear());
-        b.release(ID, 16);
-        assertEquals(List.of(), viewer.settled());
-        empty();
+        assertEquals("200 1 " + SESSION, viewer.readMessage());
+        serverA.answer(SESSION);
+        serverB.answer(SESSION);
+        assertEquals(List.of(), viewer.readUntilPing());
+        serverB.release(SESSION, 16);
+        assertEquals("TEARDOWN 2 " + SESSION, viewer.readMessage());
+        serverB.release(SESSION, 16);
+        assertEquals(List.of(), viewer.readUntilPing());
+        assertTablesEmpty();
     }
 
     @Test
     void aResetInTheMiddleOfAnAnswerFailsAPaidSetUpAndRepeatsASafeOne() throws Exception {
-        out(ID, "paid");
-        module.onOutcome = id -> act.fail(id);
-        a.line.getOutputStream().write(("{\"type\":\"answer\",\"id\":\"" + ID).getBytes(StandardCharsets.UTF_8));
-        a.line.setSoLinger(true, 0);
-        a.line.close();
-        assertEquals("500 1 " + ID, viewer.hear());
-        module.onOutcome = id -> act.send(id, "b", 0);
+        setUpReachesA(SESSION, "paid");
+        module.onOutcome = id -> moduleActions.fail(id);
+        serverA.connection
+                .getOutputStream()
+                .write(("{\"type\":\"answer\",\"id\":\"" + SESSION).getBytes(StandardCharsets.UTF_8));
+        serverA.connection.setSoLinger(true, 0);
+        serverA.connection.close();
+        assertEquals("500 1 " + SESSION, viewer.readMessage());
+        module.onOutcome = id -> moduleActions.send(id, "b", 0);
         String safe = "00000000000000b3";
         viewer.setUp(safe, "safe");
-        a.accept();
-        assertEquals("setup " + safe, a.read());
-        a.line.getOutputStream().write(("{\"type\":\"answer\",\"id\":\"" + safe).getBytes(StandardCharsets.UTF_8));
-        a.line.setSoLinger(true, 0);
-        a.line.close();
-        b.accept();
-        assertEquals("setup " + safe, b.read());
-        b.answer(safe);
-        assertEquals("200 1 " + safe, viewer.hear());
+        serverA.accept();
+        assertEquals("setup " + safe, serverA.readMessage());
+        serverA.connection
+                .getOutputStream()
+                .write(("{\"type\":\"answer\",\"id\":\"" + safe).getBytes(StandardCharsets.UTF_8));
+        serverA.connection.setSoLinger(true, 0);
+        serverA.connection.close();
+        serverB.accept();
+        assertEquals("setup " + safe, serverB.readMessage());
+        serverB.answer(safe);
+        assertEquals("200 1 " + safe, viewer.readMessage());
         viewer.tearDown(safe);
-        assertEquals("200 2 " + safe, viewer.hear());
-        empty();
+        assertEquals("200 2 " + safe, viewer.readMessage());
+        assertTablesEmpty();
     }
 
     @Test
     void oneConnectionsEndGivesUpAllThatIsOpenOnItAndNothingElse() throws Exception {
-        out(ID, "safe");
-        try (Viewer leaves = new Viewer(at)) {
+        setUpReachesA(SESSION, "safe");
+        try (Viewer leaves = new Viewer(frontAddress)) {
             for (int i = 1; i <= 3; i++) {
                 leaves.setUp("000000000000000" + i, i == 2 ? "paid" : "safe");
             }
             int setUps = 1;
-            List<Socket> lines = new ArrayList<>(List.of(a.line));
+            List<Socket> lines = new ArrayList<>(List.of(serverA.connection));
             // Each takes a line of its own; which line carries which is the adapter's affair.
-            BufferedReader first = a.reads;
+            BufferedReader first = serverA.reader;
             List<BufferedReader> all = new ArrayList<>(List.of(first));
             while (setUps < 4) {
-                a.accept();
-                lines.add(a.line);
-                all.add(a.reads);
-                assertTrue(a.read().startsWith("setup 000000000000000"));
+                serverA.accept();
+                lines.add(serverA.connection);
+                all.add(serverA.reader);
+                assertTrue(serverA.readMessage().startsWith("setup 000000000000000"));
                 setUps++;
             }
             leaves.close();
             for (int i = 1; i < 4; i++) {
-                a.reads = all.get(i);
-                assertTrue(a.read().matches("release 000000000000000[1-3] 16"));
+                serverA.reader = all.get(i);
+                assertTrue(serverA.readMessage().matches("release 000000000000000[1-3] 16"));
             }
-            a.line = lines.get(0);
-            a.reads = first;
+            serverA.connection = lines.get(0);
+            serverA.reader = first;
             for (int i = 1; i < 4; i++) {
                 lines.get(i).close();
             }
         }
-        a.answer(ID);
-        assertEquals("200 1 " + ID, viewer.hear());
-        viewer.tearDown(ID);
-        assertEquals("200 2 " + ID, viewer.hear());
-        empty();
+        serverA.answer(SESSION);
+        assertEquals("200 1 " + SESSION, viewer.readMessage());
+        viewer.tearDown(SESSION);
+        assertEquals("200 2 " + SESSION, viewer.readMessage());
+        assertTablesEmpty();
     }
 }
--- a/src/test/java/dockshed/rig/FleetBench.java
+++ b/src/test/java/dockshed/rig/FleetBench.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The measurement behind bench/fleet.sh, on the virtual clock: overload with the part off, on, and told all at once. */
+/**
+ * Measurement of bench/fleet.sh on the virtual clock: an overload without the fleet's admission control, with it, with an
+ * exchange without delay and loss, and with a byzantine broker.
+ */
 public final class FleetBench {
     private static final long SECOND_US = BrokerSimulation.SECOND_US;
     private static final int OVERLOAD_FROM_S = 40;
@@ -21,41 +24,41 @@
         LIAR
     }
 
-    /** Twice the room for 20 s, half the boxes slow, a broker killed. */
+    /** Twice the load that fits for 20 s, with half the edge servers slow and a broker killed. */
     static BrokerSimulation.Scenario overload(int brokers) {
-        BrokerSimulation.Scenario s = new BrokerSimulation.Scenario();
-        s.brokers = brokers;
-        s.duration = END_S * SECOND_US;
-        s.arrivalsPerSecond = 48;
-        s.surgeFactor = 2.4;
-        s.minStay = 4 * SECOND_US; // so that the load's end is the end of what is asked for, too
-        s.extraStay = 8 * SECOND_US;
-        s.surgeFrom = OVERLOAD_FROM_S * SECOND_US;
-        s.surgeTo = OVERLOAD_TO_S * SECOND_US;
-        s.slowServers = s.servers / 2;
-        s.slowFrom = OVERLOAD_FROM_S * SECOND_US;
-        s.slowTo = OVERLOAD_TO_S * SECOND_US;
-        return s.outage(1, (OVERLOAD_FROM_S + 5) * SECOND_US, (OVERLOAD_FROM_S + 10) * SECOND_US);
+        BrokerSimulation.Scenario scenario = new BrokerSimulation.Scenario();
+        scenario.brokers = brokers;
+        scenario.duration = END_S * SECOND_US;
+        scenario.arrivalsPerSecond = 48;
+        scenario.surgeFactor = 2.4;
+        scenario.minStay = 4 * SECOND_US; // short, so that the demand ends with the surge
+        scenario.extraStay = 8 * SECOND_US;
+        scenario.surgeFrom = OVERLOAD_FROM_S * SECOND_US;
+        scenario.surgeTo = OVERLOAD_TO_S * SECOND_US;
+        scenario.slowServers = scenario.servers / 2;
+        scenario.slowFrom = OVERLOAD_FROM_S * SECOND_US;
+        scenario.slowTo = OVERLOAD_TO_S * SECOND_US;
+        return scenario.outage(1, (OVERLOAD_FROM_S + 5) * SECOND_US, (OVERLOAD_FROM_S + 10) * SECOND_US);
     }
 
-    private static BrokerSimulation play(Variant v, int brokers, long seed) {
-        BrokerSimulation.Scenario s = overload(brokers);
-        if (v != Variant.OFF) {
-            s.fleet = v == Variant.AT_ONCE
+    private static BrokerSimulation run(Variant variant, int brokers, long seed) {
+        BrokerSimulation.Scenario scenario = overload(brokers);
+        if (variant != Variant.OFF) {
+            scenario.fleet = variant == Variant.AT_ONCE
                     ? new FleetSettings(100_000, 0, 0.5, true, true, true)
                     : FleetSettings.DEFAULTS;
-            s.instantExchange = v == Variant.AT_ONCE;
-            s.byzantineBroker = v == Variant.LIAR ? brokers - 1 : -1;
+            scenario.instantExchange = variant == Variant.AT_ONCE;
+            scenario.byzantineBroker = variant == Variant.LIAR ? brokers - 1 : -1;
         }
-        return BrokerSimulation.run(s, seed);
+        return BrokerSimulation.run(scenario, seed);
     }
 
-    /** Seconds after the load's end until a second's service is 0.95 of that before the load; -1: not within the run. */
-    private static double recovered(BrokerSimulation w) {
-        double usual = w.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S);
-        for (int i = OVERLOAD_TO_S; i + 2 < END_S; i++) {
-            if (w.serviceRatio(i, i + 2) >= 0.95 * usual) {
-                return i - OVERLOAD_TO_S;
+    /** Seconds from the end of the overload until service in two seconds is 0.95 of that before it; -1: not within the run. */
+    private static double secondsToRecover(BrokerSimulation simulation) {
+        double before = simulation.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S);
+        for (int second = OVERLOAD_TO_S; second + 2 < END_S; second++) {
+            if (simulation.serviceRatio(second, second + 2) >= 0.95 * before) {
+                return second - OVERLOAD_TO_S;
             }
         }
         return -1;
@@ -67,51 +70,54 @@
         int brokers = List.of(args).contains("--many") ? 24 : 7;
         double[] during = new double[4];
         double[] after = new double[4];
-        double[] recover = new double[4];
-        double[] paid = new double[4];
-        double[] further = new double[4];
+        double[] recoverySeconds = new double[4];
+        double[] paidServedShare = new double[4];
+        double[] brokerRetries = new double[4];
         double[] people = new double[4];
-        double alike = 0;
-        double judged = 0;
-        double shares = 0;
+        double agreeing = 0;
+        double decisions = 0;
+        double maxShareSum = 0;
         double bytes = 0;
-        int lost = 0;
-        int twice = 0;
+        int unanswered = 0;
+        int paidTwice = 0;
         System.out.println(
                 "| variant | seed | before | load | after | recovered, s | refused | paid kept | further | shares | alike |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (Variant v : Variant.values()) {
-            int i = v.ordinal();
+        for (Variant variant : Variant.values()) {
+            int index = variant.ordinal();
             for (int seed = 1; seed <= seeds; seed++) {
-                BrokerSimulation w = play(v, brokers, seed);
-                double r = recovered(w);
-                during[i] += w.serviceRatio(OVERLOAD_FROM_S, OVERLOAD_TO_S) / seeds;
-                after[i] += w.serviceRatio(OVERLOAD_TO_S, OVERLOAD_TO_S + 15) / seeds;
-                recover[i] += (r < 0 ? END_S - OVERLOAD_TO_S : r) / seeds;
-                paid[i] += w.paidServed / (double) Math.max(1, w.paidRequests) / seeds;
-                further[i] += w.brokerRetries / (double) Math.max(1, w.viewerCount()) / seeds;
-                lost += w.unanswered;
-                twice += w.duplicatePaidSetUps;
-                if (v == Variant.ON) {
-                    alike += w.agreeingShedDecisions;
-                    judged += w.shedDecisions;
-                    shares = Math.max(shares, w.maxShareSum);
-                    bytes += w.fleetBytes / (double) END_S / brokers / seeds;
+                BrokerSimulation simulation = run(variant, brokers, seed);
+                double recovery = secondsToRecover(simulation);
+                during[index] += simulation.serviceRatio(OVERLOAD_FROM_S, OVERLOAD_TO_S) / seeds;
+                after[index] += simulation.serviceRatio(OVERLOAD_TO_S, OVERLOAD_TO_S + 15) / seeds;
+                recoverySeconds[index] += (recovery < 0 ? END_S - OVERLOAD_TO_S : recovery) / seeds;
+                paidServedShare[index] += simulation.paidServed / (double) Math.max(1, simulation.paidRequests) / seeds;
+                brokerRetries[index] +=
+                        simulation.brokerRetries / (double) Math.max(1, simulation.viewerCount()) / seeds;
+                unanswered += simulation.unanswered;
+                paidTwice += simulation.duplicatePaidSetUps;
+                if (variant == Variant.ON) {
+                    agreeing += simulation.agreeingShedDecisions;
+                    decisions += simulation.shedDecisions;
+                    maxShareSum = Math.max(maxShareSum, simulation.maxShareSum);
+                    bytes += simulation.fleetBytes / (double) END_S / brokers / seeds;
                 }
                 System.out.printf(
                         Locale.ROOT,
                         "| %s | %d | %.3f | %.3f | %.3f | %.0f | %d | %.3f | %.3f | %.3f | %.3f |%n",
-                        v,
+                        variant,
                         seed,
-                        w.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S),
-                        w.serviceRatio(OVERLOAD_FROM_S, OVERLOAD_TO_S),
-                        w.serviceRatio(OVERLOAD_TO_S, OVERLOAD_TO_S + 15),
-                        r,
-                        w.refused,
-                        w.paidServed / (double) Math.max(1, w.paidRequests),
-                        w.brokerRetries / (double) w.viewerCount(),
-                        w.maxShareSum,
-                        w.shedDecisions == 0 ? 1 : w.agreeingShedDecisions / w.shedDecisions);
+                        simulation.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S),
+                        simulation.serviceRatio(OVERLOAD_FROM_S, OVERLOAD_TO_S),
+                        simulation.serviceRatio(OVERLOAD_TO_S, OVERLOAD_TO_S + 15),
+                        recovery,
+                        simulation.refused,
+                        simulation.paidServed / (double) Math.max(1, simulation.paidRequests),
+                        simulation.brokerRetries / (double) simulation.viewerCount(),
+                        simulation.maxShareSum,
+                        simulation.shedDecisions == 0
+                                ? 1
+                                : simulation.agreeingShedDecisions / simulation.shedDecisions);
             }
         }
         FleetCosts.ByteRates five = FleetCosts.byteRates(5, 30);
@@ -139,16 +145,16 @@
                 during[0],
                 during[2],
                 closed,
-                recover[1],
-                recover[0],
-                further[1],
-                judged == 0 ? 1 : alike / judged,
-                paid[1],
-                paid[0],
-                shares,
+                recoverySeconds[1],
+                recoverySeconds[0],
+                brokerRetries[1],
+                decisions == 0 ? 1 : agreeing / decisions,
+                paidServedShare[1],
+                paidServedShare[0],
+                maxShareSum,
                 during[1] - during[3],
-                lost,
-                twice,
+                unanswered,
+                paidTwice,
                 few.probesPerSecond(),
                 many.probesPerSecond(),
                 bytes,
--- a/src/test/java/dockshed/storm/StormScenariosTest.java
+++ b/src/test/java/dockshed/storm/StormScenariosTest.java
@@ -98,7 +98,7 @@
                         > runWithoutFilter(scenario).worstTenSeconds(MEASURE_FROM_S) - 0.03,
                 "worst " + withFilter.worstTenSeconds(MEASURE_FROM_S) + " without "
                         + runWithoutFilter(scenario).worstTenSeconds(MEASURE_FROM_S));
-        assertTrue(withFilter.dampers().get(1).counts().returnTimesGiven > 0);
+        assertTrue(withFilter.stormFilters().get(1).counts().returnTimesGiven > 0);
     }
 
     @Test
@@ -165,7 +165,7 @@
         Scenario scenario = coldFleetScenario();
         scenario.ignoringShare = 0.5;
         BrokerSimulation simulation = runWithFilter(scenario);
-        assertTrue(simulation.dampers().stream()
+        assertTrue(simulation.stormFilters().stream()
                         .mapToLong(filter -> filter.counts().returnsEarly)
                         .sum()
                 > 0);
