--- a/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
+++ b/src/test/java/dockshed/rig/ConcurrentEndingsTest.java
@@ -31,10 +31,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against races between two endings of one attempt or session, such as an answer and a cancellation, which could leave
- * entries in the broker's tables, send a second attempt or send a second answer. The real front, broker and connections to two
- * edge servers run on loopback sockets, with a scripted decision module. The event loop is blocked until both messages of a race
- * have been sent. At the end of each test all tables are empty.
+ * Guards against races between two endings of one attempt or session, such as an answer and a cancellation, which could
+ * leave entries in the broker's tables, send a second attempt or send a second answer. The real front, broker and
+ * connections to two edge servers run on loopback sockets, with a scripted decision module. The event loop is blocked
+ * until both messages of a race have been sent. At the end of each test all tables are empty.
  */
 class ConcurrentEndingsTest {
     private static final String SESSION = "0123456789abcdef";
--- a/src/test/java/dockshed/rig/FleetBench.java
+++ b/src/test/java/dockshed/rig/FleetBench.java
@@ -53,7 +53,10 @@
         return BrokerSimulation.run(scenario, seed);
     }
 
-    /** Seconds from the end of the overload until service in two seconds is 0.95 of that before it; -1: not within the run. */
+    /**
+     * Seconds from the end of the overload until service in two seconds is 0.95 of that before it; -1: not within the
+     * run.
+     */
     private static double secondsToRecover(BrokerSimulation simulation) {
         double before = simulation.serviceRatio(OVERLOAD_FROM_S - 10, OVERLOAD_FROM_S);
         for (int second = OVERLOAD_TO_S; second + 2 < END_S; second++) {
--- a/src/test/java/dockshed/rig/FleetProcessTest.java
+++ b/src/test/java/dockshed/rig/FleetProcessTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards the fleet's membership and shares against a killed broker, a stopped one, a partition, a planned end and a byzantine
- * peer, over a network that loses, delays and duplicates datagrams. Five brokers run as processes; their merged logs are
- * checked.
+ * Guards the fleet's membership and shares against a killed broker, a stopped one, a partition, a planned end and a
+ * byzantine peer, over a network that loses, delays and duplicates datagrams. Five brokers run as processes; their
+ * merged logs are checked.
  */
 class FleetProcessTest {
     private static final int BROKERS = 5;
--- a/src/test/java/dockshed/rig/FleetRig.java
+++ b/src/test/java/dockshed/rig/FleetRig.java
@@ -78,7 +78,10 @@
         return new BrokerConfig(number, MAX_SOCKETS, listenAddress, peers, addresses);
     }
 
-    /** Requests a session of a broker and returns the status of the final response; 0 if the connection was closed instead. */
+    /**
+     * Requests a session of a broker and returns the status of the final response; 0 if the connection was closed
+     * instead.
+     */
     int requestSession(int broker, String className) throws IOException {
         String session = String.format("%016x", sessionIds.incrementAndGet());
         try (Socket socket = new Socket()) {
--- a/src/test/java/dockshed/rig/ReadyBench.java
+++ b/src/test/java/dockshed/rig/ReadyBench.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Starts many brokers at the same time with the platform's run line and without a name server, and measures the seconds until
- * each passes its first health check. They share the machine's cores. The first argument is the number of brokers (100), the
- * second the number of cores that they may use (all), set by taskset.
+ * Starts many brokers at the same time with the platform's run line and without a name server, and measures the seconds
+ * until each passes its first health check. They share the machine's cores. The first argument is the number of brokers
+ * (100), the second the number of cores that they may use (all), set by taskset.
  */
 public final class ReadyBench {
     private static final byte[] HEALTH_CHECK =
--- a/src/test/java/dockshed/rig/RolloutProcessTest.java
+++ b/src/test/java/dockshed/rig/RolloutProcessTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards the rollout of configurations against killed voters and proposers, a voter without its state, a broker that can't be
- * heard and concurrent proposals. Five brokers run as processes: three voters, one learner and one without rollout.
+ * Guards the rollout of configurations against killed voters and proposers, a voter without its state, a broker that
+ * can't be heard and concurrent proposals. Five brokers run as processes: three voters, one learner and one without
+ * rollout.
  */
 class RolloutProcessTest {
     private static final int BROKERS = 5;
--- a/src/test/java/dockshed/rig/SocketStorm.java
+++ b/src/test/java/dockshed/rig/SocketStorm.java
@@ -29,13 +29,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The storm on loopback sockets: three brokers as processes of their own, lesson boxes and viewers in this one. The first
- * broker is killed and started again; each run is played without the part and with it.
+ * Measures a retry storm on loopback sockets: three brokers run as processes, edge servers and viewers in this process. The
+ * first broker is killed and started again. Each run is made without and with the retry storm filter.
  */
 public final class SocketStorm {
     private static final double[] RATES = {255, 425, 706, 1174, 1951};
     private static final double[] WORTHS = {.17, .41, .62, .81, 1};
-    private static final double LINK_KB_S = 30_000;
+    private static final double LINK_KB_S = 30_000; // of each edge server
     private static final int BROKERS = 3;
     private static final int EDGE_SERVERS = 12;
     private static final int CONNECTIONS_PER_BROKER = 4;
@@ -43,7 +43,7 @@
     private final Net net = new Net();
     private final SplittableRandom random = new SplittableRandom(17);
     private final Path dir;
-    private final String conf; // null: without the part
+    private final String operatorFile; // null: without the retry storm filter
     private final List<StubEdgeServer> edgeServers = new ArrayList<>();
     private final List<BrokerNode> brokers = new ArrayList<>();
     private final List<Viewer> viewers = new ArrayList<>();
@@ -61,21 +61,22 @@
     private int lastRequestId;
     private Duration cpuTime = Duration.ZERO;
 
-    private SocketStorm(Path dir, String conf) {
+    private SocketStorm(Path dir, String operatorFile) {
         this.dir = dir;
-        this.conf = conf;
+        this.operatorFile = operatorFile;
     }
 
-    private void schedule(long millis, Runnable what) {
-        net.loop().schedule(what, millis, TimeUnit.MILLISECONDS);
+    private void schedule(long millis, Runnable action) {
+        net.loop().schedule(action, millis, TimeUnit.MILLISECONDS);
     }
 
     private int second() {
         return (int) ((clock.now() - startedAt) / 1_000_000);
     }
 
-    // ---- Boxes.
+    // ---- Edge servers.
 
+    /** An edge server that answers every set-up and reports the load of its link. */
     private final class StubEdgeServer {
         final Map<String, Viewer> sessions = new HashMap<>();
         final Map<String, EdgeConnection> connectionBySession = new HashMap<>();
@@ -83,7 +84,7 @@
 
         double linkLoad() {
             return sessions.values().stream()
-                            .mapToDouble(v -> RATES[v.rendition] * v.scale)
+                            .mapToDouble(viewer -> RATES[viewer.rendition] * viewer.scale)
                             .sum()
                     / LINK_KB_S;
         }
@@ -93,58 +94,60 @@
             private Channel channel;
 
             @Override
-            public void channelActive(ChannelHandlerContext ctx) {
-                channel = ctx.channel();
+            public void channelActive(ChannelHandlerContext context) {
+                channel = context.channel();
             }
 
             @Override
-            protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
-                for (byte b : bytes) {
-                    if (b != '\n') {
-                        partialLine.write(b);
+            protected void onBytes(ChannelHandlerContext context, byte[] bytes) {
+                for (byte character : bytes) {
+                    if (character != '\n') {
+                        partialLine.write(character);
                         continue;
                     }
-                    JsonObject m = JsonParser.parseString(partialLine.toString(StandardCharsets.UTF_8))
+                    JsonObject message = JsonParser.parseString(partialLine.toString(StandardCharsets.UTF_8))
                             .getAsJsonObject();
                     partialLine.reset();
-                    handle(m, m.get("id").getAsString());
+                    handle(message, message.get("id").getAsString());
                 }
             }
 
-            private void handle(JsonObject m, String id) {
-                switch (m.get("type").getAsString()) {
-                    case "ping" -> send("pong", id, 1, "", null);
+            private void handle(JsonObject message, String session) {
+                switch (message.get("type").getAsString()) {
+                    case "ping" -> send("pong", session, 1, "", null);
                     case "setup" -> {
-                        JsonObject f = m.getAsJsonObject("fields");
-                        if (!executedSetUps.add(id)
-                                && f.get("class").getAsString().equals("cert-lesson")) {
+                        JsonObject fields = message.getAsJsonObject("fields");
+                        if (!executedSetUps.add(session)
+                                && fields.get("class").getAsString().equals("cert-lesson")) {
                             duplicatePaidSetUps++;
                         }
-                        Viewer v = Viewer.find(viewers, id);
-                        if (v != null) {
-                            v.rendition = f.has("rung") ? f.get("rung").getAsInt() : v.lowestRendition;
-                            sessions.put(id, v);
-                            connectionBySession.put(id, this);
+                        Viewer viewer = Viewer.find(viewers, session);
+                        if (viewer != null) {
+                            viewer.rendition =
+                                    fields.has("rung") ? fields.get("rung").getAsInt() : viewer.lowestRendition;
+                            sessions.put(session, viewer);
+                            connectionBySession.put(session, this);
                             schedule(20, () -> {
                                 send(
                                         "answer",
-                                        id,
+                                        session,
                                         -1,
                                         "\"load\":\"" + loadReport() + "\"",
-                                        m.get("sdp").getAsString());
-                                sendMetric(id);
+                                        message.get("sdp").getAsString());
+                                sendMetric(session);
                             });
                         }
                     }
                     case "rate" -> {
-                        if (sessions.containsKey(id)) {
-                            sessions.get(id).rendition =
-                                    m.getAsJsonObject("fields").get("rung").getAsInt();
+                        if (sessions.containsKey(session)) {
+                            sessions.get(session).rendition = message.getAsJsonObject("fields")
+                                    .get("rung")
+                                    .getAsInt();
                         }
                     }
                     case "release" -> {
-                        sessions.remove(id);
-                        connectionBySession.remove(id);
+                        sessions.remove(session);
+                        connectionBySession.remove(session);
                     }
                     default -> {}
                 }
@@ -154,64 +157,66 @@
                 return "busy_reqs:" + sessions.size() + ";x0:" + String.format(Locale.ROOT, "%.4f", linkLoad());
             }
 
-            void sendMetric(String id) {
+            void sendMetric(String session) {
                 send(
                         "note",
-                        id,
+                        session,
                         -1,
                         String.format(Locale.ROOT, "\"note\":\"local\",\"value\":\"%.4f\"", linkLoad()),
                         null);
             }
 
-            void send(String type, String id, int cause, String fields, String sdp) {
-                JsonObject m = new JsonObject();
-                m.addProperty("type", type);
-                m.addProperty("id", id);
-                m.add("fields", JsonParser.parseString("{" + fields + "}"));
+            void send(String type, String session, int cause, String fields, String sdp) {
+                JsonObject message = new JsonObject();
+                message.addProperty("type", type);
+                message.addProperty("id", session);
+                message.add("fields", JsonParser.parseString("{" + fields + "}"));
                 if (cause >= 0) {
-                    m.addProperty("cause", cause);
+                    message.addProperty("cause", cause);
                 }
                 if (sdp != null) {
-                    m.addProperty("sdp", sdp);
+                    message.addProperty("sdp", sdp);
                 }
-                channel.writeAndFlush(Net.toByteBuf((m + "\n").getBytes(StandardCharsets.UTF_8)));
+                channel.writeAndFlush(Net.toByteBuf((message + "\n").getBytes(StandardCharsets.UTF_8)));
             }
 
             @Override
-            protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
-                // A broker that died takes its sessions along.
-                List<String> gone = connectionBySession.entrySet().stream()
-                        .filter(e -> e.getValue() == this)
+            protected void onClosed(ChannelHandlerContext context, boolean reset) {
+                // Sessions end with the broker that they belong to.
+                List<String> lost = connectionBySession.entrySet().stream()
+                        .filter(entry -> entry.getValue() == this)
                         .map(Map.Entry::getKey)
                         .toList();
-                gone.forEach(id -> {
-                    connectionBySession.remove(id);
-                    if (!sessions.get(id).broker.isUp()) {
-                        sessions.remove(id);
+                lost.forEach(session -> {
+                    connectionBySession.remove(session);
+                    if (!sessions.get(session).broker.isUp()) {
+                        sessions.remove(session);
                     }
                 });
             }
         }
 
+        /** Sends the load of the link once a second on every connection that carries a session. */
         void reportLoads() {
-            Map<EdgeConnection, String> one = new HashMap<>();
-            connectionBySession.forEach((id, line) -> one.put(line, id));
-            one.forEach(EdgeConnection::sendMetric);
+            Map<EdgeConnection, String> sessionByConnection = new HashMap<>();
+            connectionBySession.forEach((session, connection) -> sessionByConnection.put(connection, session));
+            sessionByConnection.forEach(EdgeConnection::sendMetric);
             schedule(1000, this::reportLoads);
         }
 
-        /** The session has come to its natural end. */
-        void endSession(String id) {
-            EdgeConnection l = connectionBySession.remove(id);
-            sessions.remove(id);
-            if (l != null) {
-                l.send("release", id, 16, "", null);
+        /** Ends a session whose viewer has watched to the end. */
+        void endSession(String session) {
+            EdgeConnection connection = connectionBySession.remove(session);
+            sessions.remove(session);
+            if (connection != null) {
+                connection.send("release", session, 16, "", null);
             }
         }
     }
 
     // ---- Brokers.
 
+    /** A broker that runs as a process, and its connections from viewers. */
     private final class BrokerNode {
         final int number;
         final int port = freePort();
@@ -220,8 +225,8 @@
         Process process;
         long failureNoticedAt;
 
-        BrokerNode(int me, int peerPort) {
-            this.number = me;
+        BrokerNode(int number, int peerPort) {
+            this.number = number;
             this.peerPort = peerPort;
         }
 
@@ -242,15 +247,15 @@
                     System.getProperty("java.class.path"),
                     "dockshed.Main",
                     "serve"));
-            if (conf != null) {
-                command.addAll(List.of("--conf", conf));
+            if (operatorFile != null) {
+                command.addAll(List.of("--conf", operatorFile));
             }
-            ProcessBuilder b = new ProcessBuilder(command)
+            ProcessBuilder builder = new ProcessBuilder(command)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(
                             dir.resolve("broker" + number + ".log").toFile()));
-            b.environment().put("EDGE_CONFIG", file.toString());
-            process = b.start();
+            builder.environment().put("EDGE_CONFIG", file.toString());
+            process = builder.start();
         }
 
         void kill() {
@@ -260,25 +265,26 @@
             failureNoticedAt = clock.now() + 1_200_000 + random.nextLong(2_200_000);
         }
 
-        void send(Viewer v, byte[] bytes) {
-            int i = random.nextInt(CONNECTIONS_PER_BROKER);
-            if (connections[i] != null) {
-                connections[i].openViewers.removeIf(o -> o.connection != connections[i] || o.requestId == null);
+        void send(Viewer viewer, byte[] bytes) {
+            int index = random.nextInt(CONNECTIONS_PER_BROKER);
+            if (connections[index] != null) {
+                connections[index].openViewers.removeIf(
+                        other -> other.connection != connections[index] || other.requestId == null);
             }
-            if (connections[i] == null) {
-                connections[i] = new ViewerConnection(this, i);
-                net.connect(new InetSocketAddress("127.0.0.1", port), 500, connections[i]::handler)
-                        .addListener(done -> {
-                            if (!done.isSuccess()) {
-                                connections[i].connectionLost();
+            if (connections[index] == null) {
+                connections[index] = new ViewerConnection(this, index);
+                net.connect(new InetSocketAddress("127.0.0.1", port), 500, connections[index]::handler)
+                        .addListener(connected -> {
+                            if (!connected.isSuccess()) {
+                                connections[index].connectionLost();
                             }
                         });
             }
-            connections[i].send(v, bytes);
+            connections[index].send(viewer, bytes);
         }
     }
 
-    /** A connection that carries many viewers. */
+    /** A connection that carries the requests of many viewers. */
     private final class ViewerConnection {
         final BrokerNode broker;
         final int index;
@@ -286,15 +292,15 @@
         final ByteArrayOutputStream pendingOutput = new ByteArrayOutputStream();
         Channel channel;
 
-        ViewerConnection(BrokerNode node, int index) {
-            this.broker = node;
+        ViewerConnection(BrokerNode broker, int index) {
+            this.broker = broker;
             this.index = index;
         }
 
-        void send(Viewer v, byte[] bytes) {
-            if (v != null) {
-                openViewers.add(v);
-                v.connection = this;
+        void send(Viewer viewer, byte[] bytes) {
+            if (viewer != null) {
+                openViewers.add(viewer);
+                viewer.connection = this;
             }
             if (channel == null) {
                 pendingOutput.writeBytes(bytes);
@@ -308,49 +314,50 @@
                 private final HttpStyleMessageDecoder decoder = new HttpStyleMessageDecoder(1 << 16);
 
                 @Override
-                public void channelActive(ChannelHandlerContext ctx) {
-                    channel = ctx.channel();
+                public void channelActive(ChannelHandlerContext context) {
+                    channel = context.channel();
                     channel.writeAndFlush(Net.toByteBuf(pendingOutput.toByteArray()));
                 }
 
                 @Override
-                protected void onBytes(ChannelHandlerContext ctx, byte[] bytes) {
+                protected void onBytes(ChannelHandlerContext context, byte[] bytes) {
                     decoder.add(bytes, 0, bytes.length);
                     try {
-                        for (HttpStyleMessage m = decoder.next(); m != null; m = decoder.next()) {
-                            Viewer v = Viewer.find(viewers, m.header("session", ""));
-                            if (v != null && m.startLine().startsWith("RTSP/")) {
-                                v.answered(m);
-                            } else if (v != null && !m.startLinePart(0).equals("SET_PARAMETER")) {
+                        for (HttpStyleMessage message = decoder.next(); message != null; message = decoder.next()) {
+                            Viewer viewer = Viewer.find(viewers, message.header("session", ""));
+                            if (viewer != null && message.startLine().startsWith("RTSP/")) {
+                                viewer.answered(message);
+                            } else if (viewer != null
+                                    && !message.startLinePart(0).equals("SET_PARAMETER")) {
                                 send(
                                         null,
                                         HttpStyleMessage.encode(
                                                 "RTSP/1.0 200 OK",
-                                                Map.of("CSeq", "2", "Session", v.requestId),
+                                                Map.of("CSeq", "2", "Session", viewer.requestId),
                                                 new byte[0]));
-                                v.connectionLost();
+                                viewer.connectionLost();
                             }
                         }
-                    } catch (HttpStyleMessage.MalformedMessageException e) {
-                        throw new IllegalStateException(e);
+                    } catch (HttpStyleMessage.MalformedMessageException malformed) {
+                        throw new IllegalStateException(malformed);
                     }
                 }
 
                 @Override
-                protected void onClosed(ChannelHandlerContext ctx, boolean reset) {
+                protected void onClosed(ChannelHandlerContext context, boolean reset) {
                     connectionLost();
                 }
             };
         }
 
-        /** A closed connection loses the requests open on it; sessions are lost with their broker only. */
+        /** Unanswered requests are lost with their connection, sessions only with their broker. */
         void connectionLost() {
             if (broker.connections[index] == this) {
                 broker.connections[index] = null;
             }
-            for (Viewer v : List.copyOf(openViewers)) {
-                if (v.connection == this && (!v.playing || !broker.isUp())) {
-                    v.connectionLost();
+            for (Viewer viewer : List.copyOf(openViewers)) {
+                if (viewer.connection == this && (!viewer.playing || !broker.isUp())) {
+                    viewer.connectionLost();
                 }
             }
         }
@@ -361,12 +368,13 @@
     private static final class Viewer {
         private static final String[] CLASSES = {"refresher", "cert-lesson", "audio-guide"};
         private final SocketStorm storm;
-        final int classIndex; // heeds 0: P-Back-Off, 1: Retry-After, 2: nothing, 3: doubles its wait
+        final int classIndex; // in CLASSES; 1 is the paid class
         final int lowestRendition;
         final int highestRendition;
-        final int retryPolicy;
-        final double scale;
-        final long leavesAt;
+        final int retryPolicy; // 0: as P-Back-Off advises, 1: as Retry-After advises, 2: ignores advice, 3: doubles its
+        // delay
+        final double scale; // of the rates of its class
+        final long leavesAt; // microseconds
         final long deadlineMillis;
         final String id;
         String requestId;
@@ -376,104 +384,106 @@
         long backoffMillis = 500;
         boolean playing;
 
-        Viewer(SocketStorm in) {
-            this.storm = in;
-            classIndex = in.random.nextDouble() < .3 ? 0 : in.random.nextDouble() < .36 ? 1 : 2;
+        Viewer(SocketStorm storm) {
+            this.storm = storm;
+            classIndex = storm.random.nextDouble() < .3 ? 0 : storm.random.nextDouble() < .36 ? 1 : 2;
             lowestRendition = classIndex == 1 ? 1 : 0;
-            highestRendition = in.random.nextDouble() < .26 ? 2 : 4;
+            highestRendition = storm.random.nextDouble() < .26 ? 2 : 4;
             scale = classIndex == 2 ? .7 : 1;
             deadlineMillis = classIndex == 1 ? 4000 : 3000;
-            retryPolicy = in.random.nextInt(4);
-            leavesAt = in.clock.now() + 8_000_000 + in.random.nextLong(12_000_000);
-            id = "v" + in.viewers.size();
+            retryPolicy = storm.random.nextInt(4);
+            leavesAt = storm.clock.now() + 8_000_000 + storm.random.nextLong(12_000_000);
+            id = "v" + storm.viewers.size();
         }
 
-        static Viewer find(List<Viewer> all, String name) {
-            return name.length() != 16
+        /** The viewer whose current request or session has this id; null if there is none. */
+        static Viewer find(List<Viewer> viewers, String session) {
+            return session.length() != 16
                     ? null
-                    : all.get((int) (Long.parseLong(name.substring(0, 8), 16))).ifCurrent(name);
+                    : viewers.get((int) (Long.parseLong(session.substring(0, 8), 16)))
+                            .ifCurrent(session);
         }
 
         private Viewer ifCurrent(String session) {
             return session.equals(requestId) ? this : null;
         }
 
-        void sendRequest(boolean again) {
+        void sendRequest(boolean isRetry) {
             if (storm.clock.now() > leavesAt - 1_000_000 || storm.clock.now() > storm.endsAt) {
                 return;
             }
             storm.requests++;
             broker = storm.brokers.get(storm.random.nextInt(BROKERS));
             if (!broker.isUp() && storm.clock.now() > broker.failureNoticedAt) {
-                List<BrokerNode> up =
+                List<BrokerNode> alive =
                         storm.brokers.stream().filter(BrokerNode::isUp).toList();
-                broker = up.get(storm.random.nextInt(up.size()));
+                broker = alive.get(storm.random.nextInt(alive.size()));
             }
             requestId = String.format("%08x%08x", Integer.parseInt(id.substring(1)), ++storm.lastRequestId);
-            Map<String, String> h = new LinkedHashMap<>();
-            h.put("CSeq", "1");
-            h.put("Session", requestId);
-            h.put("Priority-Class", CLASSES[classIndex]);
-            h.put("Expires-Ms", Long.toString(deadlineMillis));
-            h.put("Expected-Ms", Long.toString((leavesAt - storm.clock.now()) / 1000));
-            if (again) {
-                h.put("P-Repeat", "1");
+            Map<String, String> headers = new LinkedHashMap<>();
+            headers.put("CSeq", "1");
+            headers.put("Session", requestId);
+            headers.put("Priority-Class", CLASSES[classIndex]);
+            headers.put("Expires-Ms", Long.toString(deadlineMillis));
+            headers.put("Expected-Ms", Long.toString((leavesAt - storm.clock.now()) / 1000));
+            if (isRetry) {
+                headers.put("P-Repeat", "1");
             }
-            h.put(
+            headers.put(
                     "P-Trunk-Info",
-                    "home:0;copies:3;top:" + highestRendition + ";viewer:" + id + (again ? ";again:1" : ""));
-            String asked = requestId;
+                    "home:0;copies:3;top:" + highestRendition + ";viewer:" + id + (isRetry ? ";again:1" : ""));
+            String sentId = requestId;
             broker.send(
                     this,
                     HttpStyleMessage.encode(
-                            "SETUP rtsp://media/lesson RTSP/1.0", h, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
+                            "SETUP rtsp://media/lesson RTSP/1.0", headers, "v=0\r\n".getBytes(StandardCharsets.UTF_8)));
             storm.schedule(deadlineMillis + 300, () -> {
-                if (asked.equals(requestId) && !playing) {
+                if (sentId.equals(requestId) && !playing) {
                     storm.unanswered += broker.isUp() ? 1 : 0;
                     connectionLost();
                 }
             });
         }
 
-        void answered(HttpStyleMessage m) {
-            if (m.status() == 200) {
+        void answered(HttpStyleMessage response) {
+            if (response.status() == 200) {
                 playing = true;
                 storm.schedule((leavesAt - storm.clock.now()) / 1000, this::leave);
                 return;
             }
-            boolean no = m.status() == 453 || m.status() == 503;
-            storm.refused += no ? 1 : 0;
-            storm.failed += no ? 0 : 1;
+            boolean isRefusal = response.status() == 453 || response.status() == 503;
+            storm.refused += isRefusal ? 1 : 0;
+            storm.failed += isRefusal ? 0 : 1;
             requestId = null;
-            long own = 740 + storm.random.nextLong(2160);
-            String millis = m.header("p-back-off");
-            String seconds = m.header("retry-after");
-            long back = retryPolicy == 0 && millis != null
-                    ? Long.parseLong(millis)
-                    : retryPolicy == 1 && seconds != null
-                            ? 1000 * Long.parseLong(seconds)
-                            : retryPolicy == 3 ? backoffMillis : own;
+            long ownDelay = 740 + storm.random.nextLong(2160);
+            String advisedMillis = response.header("p-back-off");
+            String advisedSeconds = response.header("retry-after");
+            long delay = retryPolicy == 0 && advisedMillis != null
+                    ? Long.parseLong(advisedMillis)
+                    : retryPolicy == 1 && advisedSeconds != null
+                            ? 1000 * Long.parseLong(advisedSeconds)
+                            : retryPolicy == 3 ? backoffMillis : ownDelay;
             backoffMillis *= 2;
-            if (no || classIndex != 1) {
-                storm.schedule(back, () -> sendRequest(true));
+            if (isRefusal || classIndex != 1) {
+                storm.schedule(delay, () -> sendRequest(true));
             }
         }
 
         private void leave() {
             if (playing && requestId != null) {
-                String was = requestId;
-                storm.edgeServers.forEach(b -> b.endSession(was));
+                String session = requestId;
+                storm.edgeServers.forEach(server -> server.endSession(session));
                 requestId = null;
                 playing = false;
             }
         }
 
-        /** Its session or request was lost. */
+        /** The session or request was lost with its connection or broker. */
         void connectionLost() {
-            boolean again = playing || classIndex != 1; // a paid request that was lost may have run
+            boolean retries = playing || classIndex != 1; // a lost paid request may have run
             playing = false;
             requestId = null;
-            if (again) {
+            if (retries) {
                 storm.schedule(740 + storm.random.nextLong(2160), () -> sendRequest(true));
             }
         }
@@ -482,39 +492,39 @@
     // ---- The run.
 
     private static int freePort() {
-        try (ServerSocket s = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private String config(BrokerNode n, List<Integer> peerPorts) {
-        JsonObject c = JsonParser.parseString(TEMPLATE).getAsJsonObject();
-        c.addProperty("name", "n" + n.number);
-        c.addProperty("listen", "127.0.0.1:" + n.port);
-        c.addProperty("seed", String.format("%016x", random.nextLong()));
-        c.addProperty("peer_listen", "127.0.0.1:" + n.peerPort);
-        peerPorts.forEach(p -> c.getAsJsonArray("peers").add("127.0.0.1:" + p));
+    private String config(BrokerNode broker, List<Integer> peerPorts) {
+        JsonObject config = JsonParser.parseString(TEMPLATE).getAsJsonObject();
+        config.addProperty("name", "n" + broker.number);
+        config.addProperty("listen", "127.0.0.1:" + broker.port);
+        config.addProperty("seed", String.format("%016x", random.nextLong()));
+        config.addProperty("peer_listen", "127.0.0.1:" + broker.peerPort);
+        peerPorts.forEach(port -> config.getAsJsonArray("peers").add("127.0.0.1:" + port));
         StringBuilder members = new StringBuilder();
-        for (int i = 0; i < EDGE_SERVERS; i++) {
-            members.append(i == 0 ? "" : ",")
+        for (int index = 0; index < EDGE_SERVERS; index++) {
+            members.append(index == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
                             "{'id':'s-%d','host_port':'127.0.0.1:%d',"
                                     + "'locality':'east','flavor':'std','cell':%d,'phase':'active','size':1}",
-                            i,
-                            edgeServers.get(i).port,
-                            i % 3));
+                            index,
+                            edgeServers.get(index).port,
+                            index % 3));
         }
-        c.add(
+        config.add(
                 "known",
                 JsonParser.parseString("{'rev':2,'notices':[{'rev':1,'pool':{'complete':true,'members':[" + members
                         + "]}},{'rev':2,'pool':{'complete':false,'members':[]}}]}"));
-        JsonObject s = c.getAsJsonObject("settings");
-        s.addProperty("me", n.number);
-        s.getAsJsonObject("family_info").addProperty("links_kb", LINK_KB_S * EDGE_SERVERS);
-        return c.toString();
+        JsonObject settings = config.getAsJsonObject("settings");
+        settings.addProperty("me", broker.number);
+        settings.getAsJsonObject("family_info").addProperty("links_kb", LINK_KB_S * EDGE_SERVERS);
+        return config.toString();
     }
 
     private static final String TEMPLATE = "{'limits':{'cores':1,'memory_mb':192,'sockets':512},'peers':[],'settings':{"
@@ -530,12 +540,13 @@
             + "'retry_after':true,'max_retry_after':2000},'prices':{},'report':{'fields':['busy_reqs','x0']}}}";
 
     private void measure() {
-        int sec = second();
-        for (Viewer v : viewers) {
-            if (clock.now() < v.leavesAt && sec < offeredBySecond.length) {
-                double worth = v.classIndex == 1 ? 3 : 1;
-                offeredBySecond[sec] += worth * WORTHS[v.highestRendition];
-                earnedBySecond[sec] += v.playing ? worth * WORTHS[Math.min(v.rendition, v.highestRendition)] : 0;
+        int second = second();
+        for (Viewer viewer : viewers) {
+            if (clock.now() < viewer.leavesAt && second < offeredBySecond.length) {
+                double classWorth = viewer.classIndex == 1 ? 3 : 1;
+                offeredBySecond[second] += classWorth * WORTHS[viewer.highestRendition];
+                earnedBySecond[second] +=
+                        viewer.playing ? classWorth * WORTHS[Math.min(viewer.rendition, viewer.highestRendition)] : 0;
             }
         }
         if (clock.now() < endsAt) {
@@ -545,23 +556,29 @@
 
     private void addViewer(double perSecond) {
         if (clock.now() < endsAt) {
-            Viewer v = new Viewer(this);
-            viewers.add(v);
-            v.sendRequest(false);
+            Viewer viewer = new Viewer(this);
+            viewers.add(viewer);
+            viewer.sendRequest(false);
             schedule(
                     Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1000)),
                     () -> addViewer(perSecond));
         }
     }
 
-    private double[] run(int seconds, double perSecond, int killAt, int backAt) throws Exception {
+    /**
+     * Runs the measurement and prints its row of the table. {@code killAtSecond} 0: no outage.
+     *
+     * @return the worst service ratio in 5 s, that of the whole run, requests per viewer, milliseconds of processor
+     *     time of the brokers after their start, viewers
+     */
+    private double[] run(int seconds, double perSecond, int killAtSecond, int restartAtSecond) throws Exception {
         clock = net.callOnLoop(() -> new LoopClock(net.loop()));
         List<Integer> peerPorts = new ArrayList<>();
         for (int i = 0; i < EDGE_SERVERS; i++) {
-            StubEdgeServer b = new StubEdgeServer();
-            edgeServers.add(b);
-            b.port = ((InetSocketAddress)
-                            net.listen(new InetSocketAddress("127.0.0.1", 0), () -> b.new EdgeConnection())
+            StubEdgeServer server = new StubEdgeServer();
+            edgeServers.add(server);
+            server.port = ((InetSocketAddress)
+                            net.listen(new InetSocketAddress("127.0.0.1", 0), () -> server.new EdgeConnection())
                                     .sync()
                                     .channel()
                                     .localAddress())
@@ -571,22 +588,23 @@
             peerPorts.add(freePort());
             brokers.add(new BrokerNode(i, peerPorts.get(i)));
         }
-        for (BrokerNode n : brokers) {
-            n.start(peerPorts);
+        for (BrokerNode broker : brokers) {
+            broker.start(peerPorts);
         }
-        Thread.sleep(2500); // a measurement, no test: the brokers come up
+        Thread.sleep(2500); // time for the brokers to start; this is a measurement, not a test
         net.callOnLoop(() -> {
-            for (BrokerNode n : brokers) { // starting costs the same each time, and is no part of the overhead
-                cpuTime = cpuTime.minus(n.process.info().totalCpuDuration().orElse(Duration.ZERO));
+            for (BrokerNode broker :
+                    brokers) { // the cost of starting is the same in every run, and not part of the overhead
+                cpuTime = cpuTime.minus(broker.process.info().totalCpuDuration().orElse(Duration.ZERO));
             }
             startedAt = clock.now();
             endsAt = startedAt + seconds * 1_000_000L;
             edgeServers.forEach(StubEdgeServer::reportLoads);
             addViewer(perSecond);
             measure();
-            if (killAt > 0) {
-                schedule(killAt * 1000L, () -> brokers.get(0).kill());
-                schedule(backAt * 1000L, () -> {
+            if (killAtSecond > 0) {
+                schedule(killAtSecond * 1000L, () -> brokers.get(0).kill());
+                schedule(restartAtSecond * 1000L, () -> {
                     try {
                         brokers.get(0).start(peerPorts);
                     } catch (IOException e) {
@@ -597,41 +615,41 @@
             return null;
         });
         Thread.sleep(seconds * 1000L + 200);
-        double[] out = net.callOnLoop(() -> {
+        double[] results = net.callOnLoop(() -> {
             double worst = 1;
-            double asked = 0;
-            double got = 0;
+            double offered = 0;
+            double earned = 0;
             for (int i = 10; i + 5 < seconds; i++) {
-                double a = 0;
-                double e = 0;
+                double offeredWorth = 0;
+                double earnedWorth = 0;
                 for (int j = i; j < i + 5; j++) {
-                    a += offeredBySecond[j];
-                    e += earnedBySecond[j];
+                    offeredWorth += offeredBySecond[j];
+                    earnedWorth += earnedBySecond[j];
                 }
-                worst = Math.min(worst, e / a);
-                asked += offeredBySecond[i];
-                got += earnedBySecond[i];
+                worst = Math.min(worst, earnedWorth / offeredWorth);
+                offered += offeredBySecond[i];
+                earned += earnedBySecond[i];
             }
             brokers.stream().filter(BrokerNode::isUp).forEach(BrokerNode::kill);
             return new double[] {
-                worst, got / asked, requests / (double) viewers.size(), cpuTime.toMillis(), viewers.size()
+                worst, earned / offered, requests / (double) viewers.size(), cpuTime.toMillis(), viewers.size()
             };
         });
         net.close();
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %.3f | %.3f | %d | %d | %d | %.2f | %.0f | %d | %d |%n",
-                (conf == null ? "off" : "on") + (killAt > 0 ? ", outage" : ", calm"),
-                out[0],
-                out[1],
+                (operatorFile == null ? "off" : "on") + (killAtSecond > 0 ? ", outage" : ", calm"),
+                results[0],
+                results[1],
                 viewers.size(),
                 refused,
                 failed,
-                out[2],
-                out[3],
+                results[2],
+                results[3],
                 duplicatePaidSetUps,
                 unanswered);
-        return out;
+        return results;
     }
 
     public static void main(String[] args) throws Exception {
@@ -641,24 +659,24 @@
                 "| run | worst 5 s | whole | viewers | refused | failed | tries a viewer | processor after the start, ms | paid twice | "
                         + "unanswered |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        String conf =
+        String operatorFile =
                 Files.writeString(dir.resolve("storm.conf"), "storm {\n}\n").toString();
         int seconds = quick ? 16 : 45;
-        int at = quick ? 8 : 15;
-        double[][] seen = new double[2][];
+        int killAtSecond = quick ? 8 : 15;
+        double[][] outage = new double[2][];
         double[][] calm = new double[2][];
-        int twice = 0;
+        int paidTwice = 0;
         int unanswered = 0;
-        for (int on = 0; on < 2 && !List.of(args).contains("--calm"); on++) {
-            SocketStorm s = new SocketStorm(dir, on == 0 ? null : conf);
-            seen[on] = s.run(seconds, 45, at, at + 4);
-            twice += s.duplicatePaidSetUps;
-            unanswered += s.unanswered;
+        for (int withFilter = 0; withFilter < 2 && !List.of(args).contains("--calm"); withFilter++) {
+            SocketStorm storm = new SocketStorm(dir, withFilter == 0 ? null : operatorFile);
+            outage[withFilter] = storm.run(seconds, 45, killAtSecond, killAtSecond + 4);
+            paidTwice += storm.duplicatePaidSetUps;
+            unanswered += storm.unanswered;
         }
-        for (int on = 0; on < 2 && !quick; on++) {
-            calm[on] = new SocketStorm(dir, on == 0 ? null : conf).run(seconds, 20, 0, 0);
+        for (int withFilter = 0; withFilter < 2 && !quick; withFilter++) {
+            calm[withFilter] = new SocketStorm(dir, withFilter == 0 ? null : operatorFile).run(seconds, 20, 0, 0);
         }
-        if (seen[0] == null) {
+        if (outage[0] == null) {
             System.out.printf(Locale.ROOT, "storm-sockets overhead=%.3f%n", calm[1][3] / calm[0][3] - 1);
             System.exit(0);
         }
@@ -666,13 +684,13 @@
                 Locale.ROOT,
                 "storm-sockets worst5_on=%.3f worst5_off=%.3f tries_on=%.2f tries_off=%.2f viewers=%.0f "
                         + "overhead=%s paid_twice=%d unanswered=%d%n",
-                seen[1][0],
-                seen[0][0],
-                seen[1][2],
-                seen[0][2],
-                seen[1][4],
+                outage[1][0],
+                outage[0][0],
+                outage[1][2],
+                outage[0][2],
+                outage[1][4],
                 quick ? "unmeasured" : String.format(Locale.ROOT, "%.3f", calm[1][3] / calm[0][3] - 1),
-                twice,
+                paidTwice,
                 unanswered);
         System.exit(0);
     }
--- a/src/test/java/dockshed/rig/StormBench.java
+++ b/src/test/java/dockshed/rig/StormBench.java
@@ -10,7 +10,10 @@
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 
-/** Measurement of bench/storm.sh: outages on the virtual clock, with and without the retry storm filter, for several seeds. */
+/**
+ * Measurement of bench/storm.sh: outages on the virtual clock, with and without the retry storm filter, for several
+ * seeds.
+ */
 public final class StormBench {
     static final long SECOND_US = BrokerSimulation.SECOND_US;
     private static final int MEASURE_FROM_S = 30; // from then on the fleet is at its full load
@@ -234,7 +237,10 @@
                 unanswered);
     }
 
-    /** Milliseconds spent in the brokers in a calm run, without and with the filter: the least of several alternating runs. */
+    /**
+     * Milliseconds spent in the brokers in a calm run, without and with the filter: the least of several alternating
+     * runs.
+     */
     private static double[] brokerMillis(int runs) {
         double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
         for (int i = 0; i < 2 * runs; i++) {
--- a/src/test/java/dockshed/rig/ZonedFleetProcessTest.java
+++ b/src/test/java/dockshed/rig/ZonedFleetProcessTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards the membership of zones against the loss of a whole zone and of one direction between two, over a network that loses
- * and delays datagrams. Two zones of three brokers run as processes.
+ * Guards the membership of zones against the loss of a whole zone and of one direction between two, over a network that
+ * loses and delays datagrams. Two zones of three brokers run as processes.
  */
 class ZonedFleetProcessTest {
     private static final int[] NORTH = {0, 1, 2};
--- a/src/test/java/dockshed/storm/StormComponentsTest.java
+++ b/src/test/java/dockshed/storm/StormComponentsTest.java
@@ -38,7 +38,10 @@
 
     // ---- Storm detector.
 
-    /** Records steady arrivals, evaluating the detector after each; {@code repeats} and {@code refused} are shares of them. */
+    /**
+     * Records steady arrivals, evaluating the detector after each; {@code repeats} and {@code refused} are shares of
+     * them.
+     */
     private static long recordSteadyArrivals(
             StormDetector detector, long from, long to, double perSecond, double repeats, double refused) {
         SplittableRandom random = new SplittableRandom(9);
